--- a/crates/fernring-gateway/src/blame/keeping.rs
+++ b/crates/fernring-gateway/src/blame/keeping.rs
@@ -4,9 +4,9 @@
     super::Blame,
     crate::{
         content::ContentKey,
-        endings::Run,
+        crash_detection::Run,
         log,
-        suspects::EndFact,
+        quarantine::EndFact,
         wire::{KeyedRecord, StoreError, Topic},
     },
     fernring_core::{clock::saturating_ms, text::LogLine},
--- a/crates/fernring-gateway/src/blame/mod.rs
+++ b/crates/fernring-gateway/src/blame/mod.rs
@@ -1,6 +1,6 @@
 //! Who ends upstreams: gathers the signs, looks, tells the other nodes and keeps in the store who is turned away.
 //!
-//! [`crate::endings`] decides whether an upstream has ended, [`crate::suspects`] who is turned away for it.
+//! [`crate::crash_detection`] decides whether an upstream has ended, [`crate::quarantine`] who is turned away for it.
 
 mod keeping;
 
@@ -10,13 +10,13 @@
         connections::connect,
         content::ContentKey,
         directory::Effect,
-        endings::{Break, Ended, Endings, Probe, Run},
+        crash_detection::{Break, Ended, Endings, Probe, Run},
         log, measures,
         model::UpstreamKey,
         peers::Peers,
         refusal::Refusal,
         settings::DecideSettings,
-        suspects::{ClearFact, EndFact, LIFETIME, News, Suspects},
+        quarantine::{ClearFact, EndFact, LIFETIME, News, Suspects},
         upstreams::{Target, Upstreams},
         wire::Store,
     },
--- a/crates/fernring-gateway/src/connections.rs
+++ b/crates/fernring-gateway/src/connections.rs
@@ -2,7 +2,7 @@
 //! anything odd.
 
 use {
-    crate::{barred::Barred, endings::Break},
+    crate::{eligibility::Barred, crash_detection::Break},
     bytes::Bytes,
     fernring_core::clock::Clock,
     http::{Request, Response, response::Parts},
--- a/crates/fernring-gateway/src/decide/backlogs.rs
+++ b/crates/fernring-gateway/src/decide/backlogs.rs
@@ -4,7 +4,7 @@
 use {
     crate::{
         backlog::{Backlog, PiecesByRank, RANKS},
-        pools::MakerPool,
+        worker_pools::MakerPool,
     },
     fernring_protocol::gateway::{LoadsOf, StageLoad},
     std::{
--- a/crates/fernring-gateway/src/decide/batching.rs
+++ b/crates/fernring-gateway/src/decide/batching.rs
@@ -7,7 +7,7 @@
     crate::{
         backlog::{Backlog, PiecesByRank, RANKS, rank},
         content::ContentKey,
-        makers::usual_time,
+        workers::usual_time,
         model::{BatchShape, Piece},
         residency::Residency,
         settings::DecideSettings,
--- a/crates/fernring-gateway/src/decide/endings.rs
+++ b/crates/fernring-gateway/src/decide/crash_detection.rs
@@ -8,7 +8,7 @@
 //! use {
 //!     fernring_gateway::{
 //!         content::ContentKey,
-//!         endings::{Break, Endings, Probe, Run},
+//!         crash_detection::{Break, Endings, Probe, Run},
 //!         model::UpstreamKey,
 //!     },
 //!     std::time::Duration,
--- a/crates/fernring-gateway/src/decide/mod.rs
+++ b/crates/fernring-gateway/src/decide/mod.rs
@@ -2,31 +2,31 @@
 //!
 //! | question | decided in |
 //! |---|---|
-//! | is a request taken on? | [`admission`], from [`backlog`] and [`backlogs`] (what waits where) and [`flow`] (how fast it goes) |
-//! | may it be sent again, and when may its caller come back? | [`attempts`], [`budget`], [`come_back`] |
-//! | may an upstream be sent to now, and which one is? | [`barred`], [`cold`], [`limits`] (what upstreams take) and [`turns_granted`], [`selection`], [`reading`] |
+//! | is a request taken on? | [`admission`], from [`backlog`] and [`backlogs`] (what waits where) and [`throughput`] (how fast it goes) |
+//! | may it be sent again, and when may its caller come back? | [`attempts`], [`budget`], [`retry_after`] |
+//! | may an upstream be sent to now, and which one is? | [`eligibility`], [`cold`], [`limits`] (what upstreams take) and [`permit_issuer`], [`selection`], [`prefill_speed`] |
 //! | in which regions may it be served? | [`residency`] |
-//! | which pieces go into which call, by whose hand? | [`batching`], [`makers`], [`pools`], [`rounds`], [`stage_plan`] |
-//! | has an upstream ended, and under which request? | [`endings`], [`suspects`] |
+//! | which pieces go into which call, by whose hand? | [`batching`], [`workers`], [`worker_pools`], [`dispatch_round`], [`stage_plan`] |
+//! | has an upstream ended, and under which request? | [`crash_detection`], [`quarantine`] |
 
 pub mod admission;
 pub mod attempts;
 pub mod backlog;
 pub mod backlogs;
-pub mod barred;
+pub mod eligibility;
 pub mod batching;
 pub mod budget;
 pub mod cold;
-pub mod come_back;
-pub mod endings;
-pub mod flow;
+pub mod retry_after;
+pub mod crash_detection;
+pub mod throughput;
 pub mod limits;
-pub mod makers;
-pub mod pools;
-pub mod reading;
+pub mod workers;
+pub mod worker_pools;
+pub mod prefill_speed;
 pub mod residency;
-pub mod rounds;
+pub mod dispatch_round;
 pub mod selection;
 pub mod stage_plan;
-pub mod suspects;
-pub mod turns_granted;
+pub mod quarantine;
+pub mod permit_issuer;
--- a/crates/fernring-gateway/src/decide/turns_granted.rs
+++ b/crates/fernring-gateway/src/decide/permit_issuer.rs
@@ -5,7 +5,7 @@
 //! it where each is at least one. A node that counts grants what the limit allows, in the order of the questions. Cuts make
 //! several nodes count; so each grants by the part of the nodes that it hears, and together no more than [`OVERSIZE`] of the limit.
 
-use {crate::flow::Arrivals, std::time::Duration};
+use {crate::throughput::Arrivals, std::time::Duration};
 
 /// What the parts of a fleet that don't hear each other may grant together, as a multiple of the limit. Half of the limit is
 /// allowed besides; the rest of it is for what was granted before a cut was noticed, and for requests held up on the way.
--- a/crates/fernring-gateway/src/decide/suspects.rs
+++ b/crates/fernring-gateway/src/decide/quarantine.rs
@@ -14,7 +14,7 @@
 //!
 //! ```
 //! use {
-//!     fernring_gateway::{content::ContentKey, endings::Run, suspects::Suspects},
+//!     fernring_gateway::{content::ContentKey, crash_detection::Run, quarantine::Suspects},
 //!     std::time::Duration,
 //! };
 //!
@@ -28,7 +28,7 @@
 //! ```
 
 use {
-    crate::{content::ContentKey, endings::Run},
+    crate::{content::ContentKey, crash_detection::Run},
     std::{
         collections::{HashMap, HashSet},
         time::Duration,
--- a/crates/fernring-gateway/src/decide/flow.rs
+++ b/crates/fernring-gateway/src/decide/throughput.rs
@@ -7,7 +7,7 @@
     crate::{
         backlog::{Backlog, RANKS},
         batching::BatchQueue,
-        makers::usual_time,
+        workers::usual_time,
         model::BatchShape,
     },
     std::time::Duration,
--- a/crates/fernring-gateway/src/lib.rs
+++ b/crates/fernring-gateway/src/lib.rs
@@ -41,9 +41,9 @@
 pub(crate) use store::records;
 pub use {
     decide::{
-        admission, attempts, backlog, backlogs, barred, batching, budget, cold, come_back, endings,
-        flow, limits, makers, pools, reading, residency, rounds, selection, stage_plan, suspects,
-        turns_granted,
+        admission, attempts, backlog, backlogs, eligibility, batching, budget, cold, retry_after, crash_detection,
+        throughput, limits, workers, worker_pools, prefill_speed, residency, dispatch_round, selection, stage_plan, quarantine,
+        permit_issuer,
     },
     members::{delegates, peers, stillness},
     serving::{
--- a/crates/fernring-gateway/src/node.rs
+++ b/crates/fernring-gateway/src/node.rs
@@ -14,7 +14,7 @@
         owner::{Owner, Parts},
         peers::{PeerHandler, Peers},
         position::Position,
-        reading::ReadingSpeeds,
+        prefill_speed::ReadingSpeeds,
         records::{change_from, directory_record, evacuation_from, evacuation_word},
         retries::Retries,
         rollout::{orders::Standing, shell::Rollouts},
--- a/crates/fernring-gateway/src/owner/outcomes.rs
+++ b/crates/fernring-gateway/src/owner/outcomes.rs
@@ -3,12 +3,12 @@
 use {
     super::{Owner, WorkEnd, calls::CallFailure, reply},
     crate::{
-        barred::Barred,
+        eligibility::Barred,
         batching::{CALLS_MAX, Task},
         log,
-        makers::Kept,
+        workers::Kept,
         model::PieceOutcome,
-        pools::MakerPool,
+        worker_pools::MakerPool,
         upstreams::Target,
     },
     fernring_core::text::LogLine,
--- a/crates/fernring-gateway/src/serving/context.rs
+++ b/crates/fernring-gateway/src/serving/context.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        alarm::Alarm, blame::Blame, config::ConfigState, peers::Peers, reading::ReadingSpeeds,
+        alarm::Alarm, blame::Blame, config::ConfigState, peers::Peers, prefill_speed::ReadingSpeeds,
         retries::Retries, rollout::shell::Rollouts, settings::DecideSettings, stages::Stages,
         upstreams::Upstreams, wire::Wire,
     },
--- a/crates/fernring-gateway/src/serving/exchange/mod.rs
+++ b/crates/fernring-gateway/src/serving/exchange/mod.rs
@@ -11,7 +11,7 @@
         backlog::rank,
         backlogs::Promise,
         blame::Held,
-        come_back::come_back,
+        retry_after::come_back,
         connections::AnswerBody,
         content::ContentKey,
         context::Serving,
--- a/crates/fernring-gateway/src/stages.rs
+++ b/crates/fernring-gateway/src/stages.rs
@@ -9,7 +9,7 @@
         model::PieceInput,
         owner::{Owner, Work, WorkEnd},
         peers::Peers,
-        pools::{MakerPool, Splits, draw_domain},
+        worker_pools::{MakerPool, Splits, draw_domain},
         residency::Residency,
         upstreams::Upstreams,
     },
--- a/crates/fernring-gateway/src/upstreams/access.rs
+++ b/crates/fernring-gateway/src/upstreams/access.rs
@@ -3,7 +3,7 @@
 use {
     super::Upstreams,
     crate::{
-        barred::Barred,
+        eligibility::Barred,
         cold::{Asker, MostNodes, NoListener, START_TIME, Turns},
         connections::SendFailure,
         directory::Upstream,
@@ -103,7 +103,7 @@
         &self.evacuations
     }
 
-    /// Tells whether an upstream may be sent something new now: see [`crate::barred`].
+    /// Tells whether an upstream may be sent something new now: see [`crate::eligibility`].
     ///
     /// # Errors
     /// With the reason if it may not.
--- a/crates/fernring-gateway/src/upstreams/limited.rs
+++ b/crates/fernring-gateway/src/upstreams/limited.rs
@@ -1,17 +1,17 @@
 //! What upstreams say of how much they take from all nodes together, and the question before each send there.
 //!
-//! [`crate::limits`] knows the newest words, [`crate::turns_granted`] grants. All nodes ask the same node for an upstream, as far
+//! [`crate::limits`] knows the newest words, [`crate::permit_issuer`] grants. All nodes ask the same node for an upstream, as far
 //! as they see the same members; a word is told on in heartbeats, in questions and in their answers.
 
 use {
     super::{Target, Upstreams},
     crate::{
         backlog::RANKS,
-        barred::Barred,
+        eligibility::Barred,
         limits::{LimitChange, LimitWord, Limits},
         log, measures,
         model::{SaidLimit, UpstreamKey, UpstreamRecord},
-        turns_granted::{Denied, Grants, drained_together, part_of},
+        permit_issuer::{Denied, Grants, drained_together, part_of},
     },
     fernring_core::text::LogLine,
     fernring_protocol::gateway::{self, TurnAnswer, TurnQuestion},
--- a/crates/fernring-gateway/src/upstreams/mod.rs
+++ b/crates/fernring-gateway/src/upstreams/mod.rs
@@ -20,7 +20,7 @@
         config::ConfigState,
         connections::{Answer, Pool, SendFailure},
         directory::{Change, Directory, Effect, Upstream},
-        endings::Run,
+        crash_detection::Run,
         evacuations::Evacuations,
         model::{UpstreamKey, run_id},
         position::Position,
--- a/crates/fernring-gateway/tests/testsuite/admission.rs
+++ b/crates/fernring-gateway/tests/testsuite/admission.rs
@@ -4,7 +4,7 @@
     fernring_gateway::{
         admission::{Need, StageNeed, Verdict, decide},
         backlog::{Backlog, RANKS},
-        flow::{Arrivals, Pace},
+        throughput::{Arrivals, Pace},
     },
     std::time::Duration,
 };
--- a/crates/fernring-gateway/tests/testsuite/backlogs.rs
+++ b/crates/fernring-gateway/tests/testsuite/backlogs.rs
@@ -1,7 +1,7 @@
 //! What a node knows of what waits at stage services elsewhere.
 
 use {
-    fernring_gateway::{backlog::Backlog, backlogs::Backlogs, pools::MakerPool},
+    fernring_gateway::{backlog::Backlog, backlogs::Backlogs, worker_pools::MakerPool},
     fernring_protocol::gateway::LoadsOf,
     std::{net::SocketAddr, rc::Rc, time::Duration},
 };
--- a/crates/fernring-gateway/tests/testsuite/endings.rs
+++ b/crates/fernring-gateway/tests/testsuite/crash_detection.rs
@@ -3,7 +3,7 @@
 use {
     fernring_gateway::{
         content::ContentKey,
-        endings::{Break, CAUSE_MAX, Endings, Probe, Run},
+        crash_detection::{Break, CAUSE_MAX, Endings, Probe, Run},
         model::UpstreamKey,
     },
     slotmap::SlotMap,
--- a/crates/fernring-gateway/tests/testsuite/rounds.rs
+++ b/crates/fernring-gateway/tests/testsuite/dispatch_round.rs
@@ -3,7 +3,7 @@
 use {
     fernring_gateway::{
         batching::Makers,
-        rounds::{LeftAlone, MakersByDomain},
+        dispatch_round::{LeftAlone, MakersByDomain},
     },
     std::{cell::Cell, time::Duration},
 };
--- a/crates/fernring-gateway/tests/testsuite/turns_granted.rs
+++ b/crates/fernring-gateway/tests/testsuite/permit_issuer.rs
@@ -9,7 +9,7 @@
         backlog::RANKS,
         cold::{Asker, Turns},
         model::ColdBounds,
-        turns_granted::{Denied, Grants, drained_together, part_of},
+        permit_issuer::{Denied, Grants, drained_together, part_of},
     },
     rand::{RngExt, SeedableRng, rngs::StdRng},
     std::{collections::VecDeque, time::Duration},
--- a/crates/fernring-gateway/tests/testsuite/reading.rs
+++ b/crates/fernring-gateway/tests/testsuite/prefill_speed.rs
@@ -1,6 +1,6 @@
 //! How fast model engines read, as learned.
 
-use {fernring_gateway::reading::ReadingSpeed, std::time::Duration};
+use {fernring_gateway::prefill_speed::ReadingSpeed, std::time::Duration};
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
--- a/crates/fernring-gateway/tests/testsuite/suspects.rs
+++ b/crates/fernring-gateway/tests/testsuite/quarantine.rs
@@ -3,8 +3,8 @@
 use {
     fernring_gateway::{
         content::ContentKey,
-        endings::Run,
-        suspects::{ClearFact, ENDS_MAX, EndFact, LIFETIME, Suspects},
+        crash_detection::Run,
+        quarantine::{ClearFact, ENDS_MAX, EndFact, LIFETIME, Suspects},
     },
     rand::{RngExt, SeedableRng, rngs::StdRng, seq::SliceRandom},
     std::{collections::HashMap, time::Duration},
--- a/crates/fernring-gateway/tests/testsuite/come_back.rs
+++ b/crates/fernring-gateway/tests/testsuite/retry_after.rs
@@ -1,6 +1,6 @@
 //! When callers that are turned away come back.
 
-use {fernring_gateway::come_back::come_back, std::time::Duration};
+use {fernring_gateway::retry_after::come_back, std::time::Duration};
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
--- a/crates/fernring-gateway/tests/testsuite/pools.rs
+++ b/crates/fernring-gateway/tests/testsuite/worker_pools.rs
@@ -4,7 +4,7 @@
 //! Its calls waited at the link, and on a calm day 0.17 of the worth was earned. These tests replay that load.
 
 use {
-    fernring_gateway::pools::{Carried, MakerPool, Splits, draw_domain, shall_split},
+    fernring_gateway::worker_pools::{Carried, MakerPool, Splits, draw_domain, shall_split},
     std::{collections::BTreeMap, sync::Arc, time::Duration},
 };
 
--- a/crates/fernring-gateway/tests/testsuite/makers.rs
+++ b/crates/fernring-gateway/tests/testsuite/workers.rs
@@ -2,7 +2,7 @@
 
 use {
     fernring_gateway::{
-        makers::{Kept, MakerSet, overdue_after, usual_time},
+        workers::{Kept, MakerSet, overdue_after, usual_time},
         model::{BatchShape, UpstreamKey},
     },
     slotmap::SlotMap,
