--- a/crates/fernring-gateway/src/blame/keeping.rs
+++ b/crates/fernring-gateway/src/blame/keeping.rs
@@ -4,9 +4,9 @@
     super::Blame,
     crate::{
         content::ContentKey,
-        crash_detection::Run,
+        crash_detection::Incarnation,
         log,
-        quarantine::EndFact,
+        quarantine::CrashRecord,
         wire::{KeyedRecord, StoreError, Topic},
     },
     fernring_core::{clock::saturating_ms, text::LogLine},
@@ -60,13 +60,13 @@
     }
 
     fn all_turned_away(&self) -> BTreeSet<ContentKey> {
-        self.suspects.borrow().turned_away().map(|(content, _)| content).collect()
+        self.suspects.borrow().quarantined().map(|(content, _)| content).collect()
     }
 
     fn record(&self, now: Duration, content: ContentKey) -> Option<String> {
         let suspects = self.suspects.borrow();
-        let (_, at) = suspects.turned_away().find(|(turned_away, _)| *turned_away == content)?;
-        let ended = suspects.ends_of(content).into_iter().map(|run| EndedStart {
+        let (_, at) = suspects.quarantined().find(|(turned_away, _)| *turned_away == content)?;
+        let ended = suspects.crashes_of(content).into_iter().map(|run| EndedStart {
             instance: run.instance.to_string(),
             started_ms: run.started_ms,
         });
@@ -119,8 +119,8 @@
             let age_ms = self.clock.now().wall_ms().saturating_sub(read.at_ms);
             let at = self.now().saturating_sub(Duration::from_millis(age_ms));
             for end in read.ended {
-                let run = Run { instance: end.instance.into(), started_ms: end.started_ms };
-                self.charge(&EndFact { run, at, contents: vec![content] });
+                let run = Incarnation { instance: end.instance.into(), started_ms: end.started_ms };
+                self.charge(&CrashRecord { incarnation: run, at, fingerprints: vec![content] });
             }
         }
     }
--- a/crates/fernring-gateway/src/blame/mod.rs
+++ b/crates/fernring-gateway/src/blame/mod.rs
@@ -10,13 +10,13 @@
         connections::connect,
         content::ContentKey,
         directory::Effect,
-        crash_detection::{Break, Ended, Endings, Probe, Run},
+        crash_detection::{Disconnect, Crash, CrashDetector, ProbeResult, Incarnation},
         log, measures,
         model::UpstreamKey,
         peers::Peers,
         refusal::Refusal,
         settings::DecideSettings,
-        quarantine::{ClearFact, EndFact, LIFETIME, News, Suspects},
+        quarantine::{ClearanceRecord, CrashRecord, ATTRIBUTION_LIFETIME, QuarantineChange, Quarantine},
         upstreams::{Target, Upstreams},
         wire::Store,
     },
@@ -85,10 +85,10 @@
     peers: Rc<Peers>,
     rules: Rc<Cell<DecideSettings>>,
     in_hand: RefCell<HashMap<UpstreamKey, InHand>>,
-    endings: RefCell<Endings>,
-    suspects: RefCell<Suspects>,
+    endings: RefCell<CrashDetector>,
+    suspects: RefCell<Quarantine>,
     /// What all peers are to be told, once it has gathered.
-    news: RefCell<(Vec<EndFact>, Vec<ClearFact>)>,
+    news: RefCell<(Vec<CrashRecord>, Vec<ClearanceRecord>)>,
     /// Told when a look at an upstream has found something.
     probed: Notify,
     /// Told when another request is turned away.
@@ -129,7 +129,7 @@
 
     /// Tells whether a request is turned away: asked just before each send.
     pub fn is_turned_away(&self, content: ContentKey) -> bool {
-        self.rules.get().turn_away && self.suspects.borrow().is_turned_away(content)
+        self.rules.get().turn_away && self.suspects.borrow().is_quarantined(content)
     }
 
     /// Tells whether an upstream has ended under a request since it last got a whole answer.
@@ -140,7 +140,7 @@
     /// Tells whether any request is turned away.
     pub fn turns_any_away(&self) -> bool {
         let suspects = self.suspects.borrow();
-        self.rules.get().turn_away && suspects.turned_away().next().is_some()
+        self.rules.get().turn_away && suspects.quarantined().next().is_some()
     }
 
     /// Waits until a request is turned away.
@@ -157,7 +157,7 @@
     /// Waits while a request is turned away but in doubt: an answer that is being given elsewhere may clear it.
     pub async fn until_settled(&self, content: ContentKey) {
         while self.is_turned_away(content)
-            && self.suspects.borrow().is_in_doubt(self.now(), content)
+            && self.suspects.borrow().is_ambiguous(self.now(), content)
         {
             sleep(DOUBT_LOOK).await;
         }
@@ -170,7 +170,7 @@
 
     /// Says under which starts a request was in hand when they ended.
     pub fn reason(&self, content: ContentKey) -> String {
-        format!("upstreams ended under it: {}", names(&self.suspects.borrow().ends_of(content)))
+        format!("upstreams ended under it: {}", names(&self.suspects.borrow().crashes_of(content)))
     }
 
     /// Says that a request is in hand at an upstream.
@@ -201,12 +201,12 @@
 
     /// Takes in that a send broke off. `content` is charged if the upstream has ended; a call with pieces of several
     /// requests charges none, since each shows by itself in the calls that follow.
-    pub fn broke(self: &Rc<Self>, target: &Target, how: Break, content: Option<ContentKey>) {
+    pub fn broke(self: &Rc<Self>, target: &Target, how: Disconnect, content: Option<ContentKey>) {
         if self.upstreams.is_leaving(target.key) {
             return;
         }
         let (now, run) = (self.now(), target.run());
-        let ended = self.endings.borrow_mut().broke(now, place(target), &run, how, content);
+        let ended = self.endings.borrow_mut().record_disconnect(now, place(target), &run, how, content);
         self.has_ended(ended);
         self.look(target);
     }
@@ -217,7 +217,7 @@
         let verdict = async {
             loop {
                 let probed = self.probed.notified();
-                if let Some(verdict) = self.endings.borrow().verdict(key) {
+                if let Some(verdict) = self.endings.borrow().has_crashed(key) {
                     return verdict;
                 }
                 probed.await;
@@ -229,11 +229,11 @@
     /// Takes in that a request got a whole answer.
     pub fn answered(self: &Rc<Self>, content: ContentKey) {
         let now = self.now();
-        if !self.suspects.borrow_mut().answered(content, now) {
+        if !self.suspects.borrow_mut().record_answer(content, now) {
             return;
         }
         log::info(LogLine::event("suspect_cleared").with("content", content));
-        self.tell_all(None, Some(ClearFact { content, at: now }));
+        self.tell_all(None, Some(ClearanceRecord { fingerprint: content, at: now }));
     }
 
     /// Takes in that upstreams came or went.
@@ -241,11 +241,11 @@
         let now = self.now();
         for effect in effects {
             match effect {
-                Effect::Draining(key) => self.endings.borrow_mut().leaving(now, *key),
+                Effect::Draining(key) => self.endings.borrow_mut().record_leaving(now, *key),
                 Effect::Gone(key) => self.went(*key),
                 Effect::Appeared(key) => self.appeared(*key),
                 Effect::Restarted { old, .. } => {
-                    let ended = self.endings.borrow_mut().restarted(now, *old);
+                    let ended = self.endings.borrow_mut().record_restart(now, *old);
                     self.has_ended(ended);
                 }
                 _ => {}
@@ -257,13 +257,13 @@
         let Some(target) = self.upstreams.target(key) else {
             return;
         };
-        let ended = self.endings.borrow_mut().appeared(self.now(), key, target.address);
+        let ended = self.endings.borrow_mut().record_new_upstream(self.now(), key, target.address);
         ended.into_iter().for_each(|ended| self.has_ended(Some(ended)));
     }
 
     /// Takes in that another instance than was meant answers at an upstream's address.
     pub fn replaced(self: &Rc<Self>, key: UpstreamKey) {
-        let ended = self.endings.borrow_mut().restarted(self.now(), key);
+        let ended = self.endings.borrow_mut().record_restart(self.now(), key);
         self.has_ended(ended);
     }
 
@@ -276,10 +276,10 @@
         let mut endings = self.endings.borrow_mut();
         if let Some((target, contents)) = &there {
             for content in contents {
-                endings.broke(now, place(target), &target.run(), Break::Silent, Some(*content));
+                endings.record_disconnect(now, place(target), &target.run(), Disconnect::Silent, Some(*content));
             }
         }
-        let ended = endings.removed(now, key);
+        let ended = endings.record_removal(now, key);
         drop(endings);
         self.has_ended(ended);
         if let Some((target, _)) = there {
@@ -289,7 +289,7 @@
 
     /// Looks whether anybody is there where a send broke off, if that is still to be found out.
     fn look(self: &Rc<Self>, target: &Target) {
-        if self.endings.borrow_mut().shall_probe(self.now(), target.key) {
+        if self.endings.borrow_mut().start_probe(self.now(), target.key) {
             spawn_local(self.clone().probe(target.clone()));
         }
     }
@@ -300,17 +300,17 @@
             let found = probe(target.address).await;
             let line = LogLine::event("upstream_probed").with("upstream", target.run());
             log::info(line.with("address", target.address).with("found", found.name()));
-            let ended = self.endings.borrow_mut().probed(target.key, found);
+            let ended = self.endings.borrow_mut().record_probe(target.key, found);
             self.has_ended(ended);
             self.probed.notify_waiters();
-            if found != Probe::Accepted {
+            if found != ProbeResult::Accepted {
                 return;
             }
         }
     }
 
-    fn has_ended(self: &Rc<Self>, ended: Option<Ended>) {
-        let Some(Ended { run, contents }) = ended else {
+    fn has_ended(self: &Rc<Self>, ended: Option<Crash>) {
+        let Some(Crash { incarnation: run, fingerprints: contents }) = ended else {
             return;
         };
         for content in &contents {
@@ -318,13 +318,13 @@
             log::warn(line.with("content", content));
         }
         measures::upstream_ended();
-        let fact = EndFact { run, at: self.now(), contents };
+        let fact = CrashRecord { incarnation: run, at: self.now(), fingerprints: contents };
         self.charge(&fact);
         self.tell_all(Some(fact), None);
     }
 
     /// Tells all peers what this node has seen.
-    fn tell_all(self: &Rc<Self>, end: Option<EndFact>, cleared: Option<ClearFact>) {
+    fn tell_all(self: &Rc<Self>, end: Option<CrashRecord>, cleared: Option<ClearanceRecord>) {
         let mut news = self.news.borrow_mut();
         let was_empty = news.0.is_empty() && news.1.is_empty();
         news.0.extend(end);
@@ -340,13 +340,13 @@
         });
     }
 
-    fn charge(&self, fact: &EndFact) -> bool {
+    fn charge(&self, fact: &CrashRecord) -> bool {
         let mut suspects = self.suspects.borrow_mut();
-        let News { is_new, turned_away } =
-            suspects.ended(self.now(), &fact.run, fact.at, &fact.contents);
+        let QuarantineChange { is_new, newly_quarantined: turned_away } =
+            suspects.record_crash(self.now(), &fact.incarnation, fact.at, &fact.fingerprints);
         for content in &turned_away {
             let line = LogLine::event("request_turned_away").with("content", content);
-            log::warn(line.with("ended", names(&suspects.ends_of(*content))));
+            log::warn(line.with("ended", names(&suspects.crashes_of(*content))));
         }
         drop(suspects);
         if !turned_away.is_empty() {
@@ -365,20 +365,20 @@
         let mut covering = Vec::new();
         for report in told.cleared {
             let fact =
-                key(&report.content).map(|c| ClearFact { content: c, at: at(report.age_ms) });
-            if fact.is_some_and(|fact| self.suspects.borrow_mut().cleared(now, fact)) {
+                key(&report.content).map(|c| ClearanceRecord { fingerprint: c, at: at(report.age_ms) });
+            if fact.is_some_and(|fact| self.suspects.borrow_mut().record_clearance(now, fact)) {
                 news.cleared.push(report);
             }
         }
         for report in told.ends {
             let run =
-                Run { instance: report.instance.as_str().into(), started_ms: report.started_ms };
+                Incarnation { instance: report.instance.as_str().into(), started_ms: report.started_ms };
             let contents: Vec<_> = report.contents.iter().filter_map(key).collect();
             let ended_at = at(report.age_ms);
             let suspects = self.suspects.borrow();
-            covering.extend(contents.iter().filter_map(|c| suspects.covering(*c, ended_at)));
+            covering.extend(contents.iter().filter_map(|c| suspects.covering_answer(*c, ended_at)));
             drop(suspects);
-            if self.charge(&EndFact { run, at: ended_at, contents }) {
+            if self.charge(&CrashRecord { incarnation: run, at: ended_at, fingerprints: contents }) {
                 news.ends.push(report);
             }
         }
@@ -396,7 +396,7 @@
     }
 
     fn tell(&self, peer: SocketAddr, most: usize) {
-        let (ends, cleared) = self.suspects.borrow().facts(most);
+        let (ends, cleared) = self.suspects.borrow().records(most);
         if !ends.is_empty() || !cleared.is_empty() {
             self.peers.send(peer, self.reports(ends, cleared));
         }
@@ -417,30 +417,30 @@
         }
     }
 
-    fn reports(&self, ends: Vec<EndFact>, cleared: Vec<ClearFact>) -> GatewayBody {
+    fn reports(&self, ends: Vec<CrashRecord>, cleared: Vec<ClearanceRecord>) -> GatewayBody {
         let now = self.now();
         let age_ms = |at: Duration| now.saturating_sub(at).as_millis() as u32;
         let bytes = |content: &ContentKey| Bytes::copy_from_slice(content.bytes());
         let ends = ends.into_iter().map(|fact| EndReport {
-            instance: fact.run.instance.to_string(),
-            started_ms: fact.run.started_ms,
+            instance: fact.incarnation.instance.to_string(),
+            started_ms: fact.incarnation.started_ms,
             age_ms: age_ms(fact.at),
-            contents: fact.contents.iter().map(bytes).collect(),
+            contents: fact.fingerprints.iter().map(bytes).collect(),
         });
         let cleared = cleared
             .into_iter()
-            .map(|fact| ClearReport { content: bytes(&fact.content), age_ms: age_ms(fact.at) });
+            .map(|fact| ClearReport { content: bytes(&fact.fingerprint), age_ms: age_ms(fact.at) });
         GatewayBody::Ends(EndReports { ends: ends.collect(), cleared: cleared.collect() })
     }
 
     /// Returns the number of requests that are turned away.
     pub fn turned_away(&self) -> usize {
-        self.suspects.borrow().turned_away().count()
+        self.suspects.borrow().quarantined().count()
     }
 
     /// Time that counts from long before the process started, so that what is older than it has an age.
     fn now(&self) -> Duration {
-        LIFETIME * 2 + self.clock.now().monotonic
+        ATTRIBUTION_LIFETIME * 2 + self.clock.now().monotonic
     }
 }
 
@@ -448,20 +448,20 @@
     (target.key, target.address)
 }
 
-fn names(runs: &[Run]) -> String {
-    let names: Vec<_> = runs.iter().map(Run::to_string).collect();
+fn names(runs: &[Incarnation]) -> String {
+    let names: Vec<_> = runs.iter().map(Incarnation::to_string).collect();
     names.join(",")
 }
 
 /// Looks whether anybody takes connections at an address.
-async fn probe(address: SocketAddr) -> Probe {
+async fn probe(address: SocketAddr) -> ProbeResult {
     match timeout(PROBE_TIMEOUT, connect(address)).await {
-        Ok(Ok(_)) => Probe::Accepted,
+        Ok(Ok(_)) => ProbeResult::Accepted,
         Ok(Err(error)) => match error.kind() {
-            ErrorKind::ConnectionRefused => Probe::Refused,
-            ErrorKind::ConnectionReset | ErrorKind::ConnectionAborted => Probe::Accepted,
-            _ => Probe::Silent,
+            ErrorKind::ConnectionRefused => ProbeResult::Refused,
+            ErrorKind::ConnectionReset | ErrorKind::ConnectionAborted => ProbeResult::Accepted,
+            _ => ProbeResult::Silent,
         },
-        Err(_) => Probe::Silent,
+        Err(_) => ProbeResult::Silent,
     }
 }
--- a/crates/fernring-gateway/src/connections.rs
+++ b/crates/fernring-gateway/src/connections.rs
@@ -2,7 +2,7 @@
 //! anything odd.
 
 use {
-    crate::{eligibility::Barred, crash_detection::Break},
+    crate::{eligibility::Ineligible, crash_detection::Disconnect},
     bytes::Bytes,
     fernring_core::clock::Clock,
     http::{Request, Response, response::Parts},
@@ -56,7 +56,7 @@
     NoListener(String),
     /// Nothing was written, since the upstream may get nothing new.
     #[error("{0}")]
-    Barred(Barred),
+    Barred(Ineligible),
     /// It may have been written, in whole or in part.
     #[error("no answer: {0}")]
     Broken(BreakOff),
@@ -69,13 +69,13 @@
     /// What was seen.
     pub reason: String,
     /// How, if it was the connection that broke and not an answer that can't be read.
-    pub how: Option<Break>,
+    pub how: Option<Disconnect>,
 }
 
 impl BreakOff {
     /// Nothing came any more.
     pub fn silent(reason: &str) -> Self {
-        Self { reason: reason.to_owned(), how: Some(Break::Silent) }
+        Self { reason: reason.to_owned(), how: Some(Disconnect::Silent) }
     }
 }
 
@@ -86,16 +86,16 @@
 }
 
 /// Tells how a connection broke; `None` if it is the answer that can't be read.
-fn how_broken(error: &hyper::Error) -> Option<Break> {
+fn how_broken(error: &hyper::Error) -> Option<Disconnect> {
     let sources = std::iter::successors(std::error::Error::source(error), |error| error.source());
     let kind = sources.filter_map(|source| source.downcast_ref::<io::Error>()).next();
     match kind.map(io::Error::kind) {
         Some(ErrorKind::TimedOut | ErrorKind::HostUnreachable | ErrorKind::NetworkUnreachable) => {
-            Some(Break::Silent)
+            Some(Disconnect::Silent)
         }
         Some(ErrorKind::InvalidData | ErrorKind::InvalidInput) => None,
         None if error.is_parse() => None,
-        _ => Some(Break::Closed),
+        _ => Some(Disconnect::Closed),
     }
 }
 
@@ -212,7 +212,7 @@
         &self,
         request: Request<Full<Bytes>>,
         open_max: usize,
-        mut check: impl AsyncFnMut() -> Result<(), Barred>,
+        mut check: impl AsyncFnMut() -> Result<(), Ineligible>,
     ) -> Result<Answer, SendFailure> {
         let mut request = request;
         while let Some(connection) = self.take_idle().await {
--- a/crates/fernring-gateway/src/decide/admission.rs
+++ b/crates/fernring-gateway/src/decide/admission.rs
@@ -14,7 +14,7 @@
 
 /// One stage of a request, as its forecast needs it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct StageNeed {
+pub struct StageDemand {
     /// Indexes of the stages whose results it needs. Invariant: all below its own.
     pub after: Vec<usize>,
     /// Its pieces; none if the request leaves it out.
@@ -27,13 +27,13 @@
 
 /// A request that asks to be taken on.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Need {
+pub struct RequestDemand {
     /// Its rank, as an index.
     pub rank: usize,
     /// Its stages.
-    pub stages: Vec<StageNeed>,
+    pub stages: Vec<StageDemand>,
     /// Time from the results of the last stage to the first event.
-    pub reading_time: Duration,
+    pub prefill_time: Duration,
     /// Time left until its answer is worth less.
     pub objective_left: Duration,
     /// Time left until its answer is worth nothing.
@@ -42,7 +42,7 @@
 
 /// What becomes of a request that asks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum AdmissionDecision {
     /// It is taken on and should be answered in time, after the time said.
     InTime(Duration),
     /// It is taken on though its answer will come late, after the time said.
@@ -52,21 +52,21 @@
 }
 
 /// Decides on a request.
-pub fn decide(need: &Need) -> Verdict {
-    let in_time = path_time(need, |backlog| backlog.wait(need.rank));
+pub fn decide(need: &RequestDemand) -> AdmissionDecision {
+    let in_time = path_time(need, |backlog| backlog.wait_for_rank(need.rank));
     if let Some(time) = in_time.filter(|time| *time <= need.objective_left) {
-        return Verdict::InTime(time);
+        return AdmissionDecision::InTime(time);
     }
-    let late = path_time(need, Backlog::late_wait);
+    let late = path_time(need, Backlog::wait_for_late);
     match late {
-        Some(time) if time <= need.time_left => Verdict::Late(time),
-        _ => Verdict::Refused(drained_after(need)),
+        Some(time) if time <= need.time_left => AdmissionDecision::Late(time),
+        _ => AdmissionDecision::Refused(drained_after(need)),
     }
 }
 
 /// Returns the time until the first event, where `wait_of` tells how long a piece waits for its
 /// turn; `None` if it never comes.
-fn path_time(need: &Need, wait_of: impl Fn(&Backlog) -> Option<Duration>) -> Option<Duration> {
+fn path_time(need: &RequestDemand, wait_of: impl Fn(&Backlog) -> Option<Duration>) -> Option<Duration> {
     let mut ends: Vec<Duration> = Vec::with_capacity(need.stages.len());
     for stage in &need.stages {
         let ready_at = stage.after.iter().map(|s| ends[*s]).max().unwrap_or_default();
@@ -79,12 +79,12 @@
         ends.push(end);
     }
     let staged = ends.into_iter().max().unwrap_or_default();
-    Some(staged + need.reading_time)
+    Some(staged + need.prefill_time)
 }
 
 /// Returns the time until what waits now is done at all services.
-fn drained_after(need: &Need) -> Option<Duration> {
+fn drained_after(need: &RequestDemand) -> Option<Duration> {
     let used = need.stages.iter().filter(|stage| stage.pieces > 0);
-    let waits = used.filter_map(|stage| stage.backlog.as_ref()).map(Backlog::late_wait);
+    let waits = used.filter_map(|stage| stage.backlog.as_ref()).map(Backlog::wait_for_late);
     waits.collect::<Option<Vec<_>>>()?.into_iter().max()
 }
--- a/crates/fernring-gateway/src/decide/attempts.rs
+++ b/crates/fernring-gateway/src/decide/attempts.rs
@@ -18,11 +18,11 @@
 
 /// How one send to an upstream ended without an answer to pass on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SendEnd {
+pub enum SendOutcome {
     /// No byte of it left this node.
     NotSent,
     /// The upstream may get nothing new; no byte left this node.
-    Barred,
+    Ineligible,
     /// The upstream states that it has not run it.
     Refused,
     /// The instance that was meant is not at that address any more; it has not run there.
@@ -31,12 +31,12 @@
     Unknown,
 }
 
-impl SendEnd {
+impl SendOutcome {
     /// Returns the name used in log lines and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::NotSent => "not_sent",
-            Self::Barred => "barred",
+            Self::Ineligible => "barred",
             Self::Refused => "refused",
             Self::WrongInstance => "wrong_instance",
             Self::Unknown => "unknown",
@@ -61,11 +61,11 @@
     }
 
     /// Takes in how a send ended.
-    pub fn ended(&mut self, end: SendEnd) {
+    pub fn record_failure(&mut self, end: SendOutcome) {
         match end {
-            SendEnd::NotSent | SendEnd::Barred | SendEnd::WrongInstance => {}
-            SendEnd::Refused => self.sends += 1,
-            SendEnd::Unknown => {
+            SendOutcome::NotSent | SendOutcome::Ineligible | SendOutcome::WrongInstance => {}
+            SendOutcome::Refused => self.sends += 1,
+            SendOutcome::Unknown => {
                 self.sends += 1;
                 self.may_have_run = true;
             }
--- a/crates/fernring-gateway/src/decide/backlog.rs
+++ b/crates/fernring-gateway/src/decide/backlog.rs
@@ -7,7 +7,7 @@
 pub const RANKS: usize = 8;
 
 /// Returns a request's rank as an index.
-pub fn rank(priority: u32) -> usize {
+pub fn rank_index(priority: u32) -> usize {
     (priority as usize).min(RANKS - 1)
 }
 
@@ -29,7 +29,7 @@
 
 impl Backlog {
     /// Returns the backlog as it should be `age` later, if pieces go on to come and go as they did.
-    pub fn after(mut self, age: Duration) -> Self {
+    pub fn extrapolate(mut self, age: Duration) -> Self {
         let arrivals = self.arrivals_per_s.iter().sum::<f64>();
         let change = (arrivals - self.rate_per_s) * age.as_secs_f64();
         let total: u32 = self.waiting.iter().sum();
@@ -44,7 +44,7 @@
     }
 
     /// Adds pieces that are promised and haven't come yet.
-    pub fn add(&mut self, promised: &PiecesByRank) {
+    pub fn add_reserved(&mut self, promised: &PiecesByRank) {
         for (waiting, promised) in self.waiting.iter_mut().zip(promised) {
             *waiting += promised;
         }
@@ -52,7 +52,7 @@
 
     /// Returns the time until a piece of a rank has its turn that can still be in time; `None` if as many
     /// more urgent ones come as can be made.
-    pub fn wait(&self, rank: usize) -> Option<Duration> {
+    pub fn wait_for_rank(&self, rank: usize) -> Option<Duration> {
         let ahead = self.waiting[..=rank].iter().sum::<u32>() + self.late;
         match ahead {
             0 => (self.rate_per_s > 0.0).then_some(Duration::ZERO),
@@ -62,17 +62,17 @@
 
     /// Returns the time until a late piece has its turn, which is when all others are done; `None` if
     /// more come than can be made.
-    pub fn late_wait(&self) -> Option<Duration> {
+    pub fn wait_for_late(&self) -> Option<Duration> {
         let ahead = self.waiting.iter().sum::<u32>() + self.late;
         match ahead {
             0 => Some(Duration::ZERO),
-            _ => self.time_for_late(ahead),
+            _ => self.time_to_process(ahead),
         }
     }
 
     /// Returns the time until a number of pieces is made while those that come go first; `None` if as
     /// many come as can be made.
-    pub fn time_for_late(&self, pieces: u32) -> Option<Duration> {
+    pub fn time_to_process(&self, pieces: u32) -> Option<Duration> {
         time_for(f64::from(pieces), self.rate_left(RANKS))
     }
 
--- a/crates/fernring-gateway/src/decide/backlogs.rs
+++ b/crates/fernring-gateway/src/decide/backlogs.rs
@@ -4,7 +4,7 @@
 use {
     crate::{
         backlog::{Backlog, PiecesByRank, RANKS},
-        worker_pools::MakerPool,
+        worker_pools::WorkerPool,
     },
     fernring_protocol::gateway::{LoadsOf, StageLoad},
     std::{
@@ -44,7 +44,7 @@
 pub struct Backlogs {
     peers: RefCell<HashMap<SocketAddr, Peer>>,
     /// Invariant: some rank of each entry has pieces.
-    promised: RefCell<BTreeMap<MakerPool, PiecesByRank>>,
+    promised: RefCell<BTreeMap<WorkerPool, PiecesByRank>>,
     /// What this node told its domain's delegates last, which the sums that they tell contain.
     told: RefCell<HashMap<u32, PiecesByRank>>,
 }
@@ -52,14 +52,14 @@
 /// Pieces of a stage that were promised to a request and haven't been asked for yet; given back
 /// when dropped.
 #[derive(Debug)]
-pub struct Promise {
+pub struct Reservation {
     backlogs: Rc<Backlogs>,
-    pool: MakerPool,
+    pool: WorkerPool,
     rank: usize,
     pieces: u32,
 }
 
-impl Drop for Promise {
+impl Drop for Reservation {
     fn drop(&mut self) {
         let mut all = self.backlogs.promised.borrow_mut();
         if let Some(promised) = all.get_mut(&self.pool) {
@@ -73,42 +73,42 @@
 
 impl Backlogs {
     /// Promises pieces of a stage to a request of a rank.
-    pub fn promise(self: &Rc<Self>, pool: &MakerPool, rank: usize, pieces: u32) -> Promise {
+    pub fn reserve(self: &Rc<Self>, pool: &WorkerPool, rank: usize, pieces: u32) -> Reservation {
         let mut all = self.promised.borrow_mut();
         all.entry(pool.clone()).or_default()[rank] += pieces;
         drop(all);
-        Promise { backlogs: self.clone(), pool: pool.clone(), rank, pieces }
+        Reservation { backlogs: self.clone(), pool: pool.clone(), rank, pieces }
     }
 
     /// Returns what is ahead at some makers: what its owner has, or said last, and what all nodes have
     /// promised. `own` is set if this node owns it.
-    pub fn of(&self, now: Duration, pool: &MakerPool, own: Option<Backlog>) -> Option<Backlog> {
+    pub fn estimate(&self, now: Duration, pool: &WorkerPool, own: Option<Backlog>) -> Option<Backlog> {
         let hash = pool.hash();
         let peers = self.peers.borrow();
         let fresh = peers.values().filter(|peer| now <= peer.said_at + SAID_AGE_MAX);
         let said = || {
             let newest = fresh.clone().filter(|peer| peer.backlogs.contains_key(&hash));
             let newest = newest.max_by_key(|peer| peer.said_at)?;
-            Some(newest.backlogs[&hash].after(now.saturating_sub(newest.said_at)))
+            Some(newest.backlogs[&hash].extrapolate(now.saturating_sub(newest.said_at)))
         };
         let mut backlog = own.or_else(said)?;
         for (_, promised) in
             peers.values().flat_map(|peer| peer.promised(now)).filter(|(s, _)| **s == hash)
         {
-            backlog.add(promised);
+            backlog.add_reserved(promised);
         }
         if let Some(promised) = self.promised.borrow().get(pool) {
-            backlog.add(promised);
+            backlog.add_reserved(promised);
         }
         Some(backlog)
     }
 
     /// Returns what is to be said in heartbeats: the backlogs of own services and what was promised, by this node or
     /// by its failure domain.
-    pub fn described(
+    pub fn stage_loads(
         &self,
         now: Duration,
-        own: Vec<(MakerPool, Backlog)>,
+        own: Vec<(WorkerPool, Backlog)>,
         loads_of: LoadsOf,
     ) -> Vec<StageLoad> {
         let mut loads: BTreeMap<u32, StageLoad> = BTreeMap::new();
@@ -146,7 +146,7 @@
     }
 
     /// Takes in what a peer says. `contains_own` tells whether the sums of its domain contain what this node promised.
-    pub fn heard(
+    pub fn handle_loads(
         &self,
         now: Duration,
         peer: SocketAddr,
@@ -174,7 +174,7 @@
     }
 
     /// Forgets what a lost peer said.
-    pub fn lost(&self, peer: SocketAddr) {
+    pub fn remove_peer(&self, peer: SocketAddr) {
         self.peers.borrow_mut().remove(&peer);
     }
 }
--- a/crates/fernring-gateway/src/decide/batching.rs
+++ b/crates/fernring-gateway/src/decide/batching.rs
@@ -5,9 +5,9 @@
 
 use {
     crate::{
-        backlog::{Backlog, PiecesByRank, RANKS, rank},
+        backlog::{Backlog, PiecesByRank, RANKS, rank_index},
         content::ContentKey,
-        workers::usual_time,
+        workers::expected_call_time,
         model::{BatchShape, Piece},
         residency::Residency,
         settings::DecideSettings,
@@ -21,7 +21,7 @@
 };
 
 /// Most calls that a piece is put into before its stage fails.
-pub const CALLS_MAX: u32 = 3;
+pub const CALLS_PER_PIECE_MAX: u32 = 3;
 
 /// Head start of each rank over the next, in full calls: more than a wait that can be made good by
 /// another maker, less than one that a whole rank would starve in. Measured against 1 and 7.
@@ -40,20 +40,20 @@
 
 /// A piece that waits for its call.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Task {
+pub struct QueuedPiece {
     /// The work that it belongs to.
     pub work: u64,
     /// What its request asks.
-    pub content: ContentKey,
+    pub fingerprint: ContentKey,
     /// Whether a maker ended under a call that it was in with pieces of other requests: it goes into calls of its own, so that
     /// the request shows that ends makers, and the others go on.
-    pub is_apart: bool,
+    pub is_isolated: bool,
     /// The piece. Its `remaining` is set when its call is sent.
     pub piece: Piece,
     /// When its result is due for its request to be on time.
     pub due_at: Duration,
     /// Failure domain in which its result will be read; `None` if that doesn't matter.
-    pub near: Option<Arc<str>>,
+    pub consumer_domain: Option<Arc<str>>,
     /// When its result is of no more use.
     pub deadline_at: Duration,
     /// Rank of its request; 0 goes first.
@@ -63,25 +63,25 @@
     /// Where its request may be served.
     pub residency: Residency,
     /// The node that asked for it.
-    pub asker: SocketAddr,
+    pub requester: SocketAddr,
     /// Calls that it was put into.
     pub calls: u32,
 }
 
 /// The makers of a service in one failure domain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Makers {
+pub struct DomainWorkers {
     /// Their number.
     pub count: usize,
     /// When the first of them will be free.
     pub free_at: Duration,
 }
 
-impl Makers {
+impl DomainWorkers {
     /// Estimates when the last of `pieces` is made that they work on in order.
     fn done_at(&self, now: Duration, pieces: usize, shape: &BatchShape) -> Duration {
-        let full_call = usual_time(shape, shape.pieces_max);
-        let usual_call = usual_time(shape, shape.pieces_max / 2);
+        let full_call = expected_call_time(shape, shape.pieces_max);
+        let usual_call = expected_call_time(shape, shape.pieces_max / 2);
         let calls_before = pieces.saturating_sub(1) / (shape.pieces_max * self.count.max(1));
         self.free_at.max(now) + full_call * calls_before as u32 + usual_call
     }
@@ -89,39 +89,39 @@
 
 /// The maker that a call is filled for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Taker<'a> {
+pub struct TargetWorker<'a> {
     /// Its failure domain.
     pub failure_domain: &'a str,
     /// Bytes of results that it has room for.
-    pub room_bytes: u64,
+    pub free_bytes: u64,
     /// Makers of its service that take work, itself included.
-    pub makers: usize,
+    pub workers: usize,
 }
 
 /// What ended the filling of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Bound {
+pub enum BatchLimit {
     /// Nothing waits any more.
     Empty,
     /// The call holds as many pieces as it may.
-    Places,
+    Slots,
     /// The maker has no room for the results of what waits.
-    Room,
+    FreeBytes,
     /// What waits is left to makers in the failure domain that reads its results.
-    Domain,
+    ConsumerDomain,
     /// A request's pieces go into a call of their own.
-    Apart,
+    Isolation,
 }
 
-impl Bound {
+impl BatchLimit {
     /// Returns the name used in log lines.
     pub fn name(self) -> &'static str {
         match self {
             Self::Empty => "empty",
-            Self::Places => "places",
-            Self::Room => "room",
-            Self::Domain => "domain",
-            Self::Apart => "apart",
+            Self::Slots => "places",
+            Self::FreeBytes => "room",
+            Self::ConsumerDomain => "domain",
+            Self::Isolation => "apart",
         }
     }
 }
@@ -130,15 +130,15 @@
 #[derive(Debug)]
 pub struct Batch {
     /// The pieces.
-    pub tasks: Vec<Task>,
+    pub pieces: Vec<QueuedPiece>,
     /// Why there are no more: the first that kept one out, or that all places are taken.
-    pub bound: Bound,
+    pub limit: BatchLimit,
 }
 
 /// The pieces that wait for one service.
 #[derive(Debug, Default)]
 pub struct BatchQueue {
-    tasks: Vec<Task>,
+    tasks: Vec<QueuedPiece>,
     /// Works of which some pieces were taken. The others go first: until they are made, the
     /// results of the first ones take room for nothing.
     begun: HashSet<u64>,
@@ -146,7 +146,7 @@
 
 impl BatchQueue {
     /// Adds a piece.
-    pub fn push(&mut self, task: Task) {
+    pub fn push(&mut self, task: QueuedPiece) {
         self.tasks.push(task);
     }
 
@@ -166,13 +166,13 @@
     }
 
     /// Counts the pieces that wait: those that can be in time, by rank, and the others.
-    pub fn counts(&self, now: Duration, shape: &BatchShape) -> (PiecesByRank, u32) {
+    pub fn count_waiting(&self, now: Duration, shape: &BatchShape) -> (PiecesByRank, u32) {
         let mut in_time = [0; RANKS];
         let mut late = 0;
         for task in &self.tasks {
             match misses(task, now, shape) {
                 true => late += 1,
-                false => in_time[rank(task.priority)] += 1,
+                false => in_time[rank_index(task.priority)] += 1,
             }
         }
         (in_time, late)
@@ -185,7 +185,7 @@
     }
 
     /// Drops a piece that was made meanwhile.
-    pub fn drop_piece(&mut self, work: u64, number: u32) {
+    pub fn remove_piece(&mut self, work: u64, number: u32) {
         self.tasks.retain(|task| task.work != work || task.piece.number != number);
     }
 
@@ -199,7 +199,7 @@
         shape: &BatchShape,
         backlog: &Backlog,
         rules: &DecideSettings,
-    ) -> Vec<Task> {
+    ) -> Vec<QueuedPiece> {
         let begun = &self.begun;
         let in_time = backlog.waiting.iter().sum::<u32>();
         let mut late = 0;
@@ -207,12 +207,12 @@
             // Late ones are numbered in their order.
             self.tasks.sort_by_cached_key(|task| (urgency(task, shape, rules), task.work));
         }
-        let expired = |task: &mut Task| {
+        let expired = |task: &mut QueuedPiece| {
             if !rules.give_up || begun.contains(&task.work) || !misses(task, now, shape) {
                 return task.deadline_at <= now + shape.call_time;
             }
             late += 1;
-            let wait = backlog.time_for_late(in_time + late);
+            let wait = backlog.time_to_process(in_time + late);
             wait.is_none_or(|wait| task.deadline_at <= now + wait + shape.call_time)
         };
         self.tasks.extract_if(.., expired).collect()
@@ -222,25 +222,25 @@
     /// fit into a call and into its room. Those that can still be in time go before those that
     /// can't, and the rest of what was begun before all. A result that will be read in another
     /// domain is left to the makers there if they can make it in time; `makers_in` tells of them.
-    pub fn take(
+    pub fn take_batch(
         &mut self,
         now: Duration,
         shape: &BatchShape,
-        taker: Taker<'_>,
+        worker: TargetWorker<'_>,
         rules: &DecideSettings,
-        makers_in: impl Fn(&str) -> Option<Makers>,
+        workers_in: impl Fn(&str) -> Option<DomainWorkers>,
     ) -> Batch {
-        let Taker { failure_domain, mut room_bytes, makers } = taker;
-        let full_call = usual_time(shape, shape.pieces_max);
+        let TargetWorker { failure_domain, mut free_bytes, workers } = worker;
+        let full_call = expected_call_time(shape, shape.pieces_max);
         let begun = &self.begun;
-        let far = |task: &Task| task.near.as_ref().is_some_and(|near| **near != *failure_domain);
-        let order = |task: &Task| {
+        let far = |task: &QueuedPiece| task.consumer_domain.as_ref().is_some_and(|near| **near != *failure_domain);
+        let order = |task: &QueuedPiece| {
             let behind = if far(task) { full_call.mul_f64(FAR_CALLS) } else { Duration::ZERO };
             let turn = urgency(task, shape, rules) + behind;
             (!begun.contains(&task.work), misses(task, now, shape), turn, task.work)
         };
         self.tasks.sort_by_cached_key(order);
-        let crowded_calls = CROWDED_CALLS.max(CROWDED_CALLS_A_MAKER * makers as f64);
+        let crowded_calls = CROWDED_CALLS.max(CROWDED_CALLS_A_MAKER * workers as f64);
         let is_crowded = self.tasks.len() as f64 > crowded_calls * shape.pieces_max as f64;
         // Pieces that will be read in each domain, among those looked at so far.
         let mut ahead: HashMap<Arc<str>, usize> = HashMap::new();
@@ -254,20 +254,20 @@
         let mut company: Option<(ContentKey, bool)> = None;
         let mut is_left_whole = false;
         let mut taken = 0;
-        let mut bound = Bound::Empty;
-        let fits = |task: &mut Task| {
-            let left_to_others = task.near.as_ref().is_some_and(|near| {
+        let mut bound = BatchLimit::Empty;
+        let fits = |task: &mut QueuedPiece| {
+            let left_to_others = task.consumer_domain.as_ref().is_some_and(|near| {
                 let ahead = ahead.entry(near.clone()).or_default();
                 *ahead += 1;
                 !is_crowded
                     && **near != *failure_domain
                     && !begun.contains(&task.work)
-                    && makers_in(near)
+                    && workers_in(near)
                         .is_some_and(|there| there.done_at(now, *ahead, shape) <= task.due_at)
             });
             if looked_at != Some(task.work) {
                 let pieces = sizes[&task.work];
-                let by_room = (room_bytes / task.result_bytes.max(1)) as usize;
+                let by_room = (free_bytes / task.result_bytes.max(1)) as usize;
                 let places = by_room.min(shape.pieces_max - taken);
                 looked_at = Some(task.work);
                 is_left_whole = rules.whole_works
@@ -276,22 +276,22 @@
                     && !begun.contains(&task.work);
             }
             let is_kept_apart = company.is_some_and(|(content, is_apart)| {
-                content != task.content && (is_apart || task.is_apart)
+                content != task.fingerprint && (is_apart || task.is_isolated)
             });
             let kept_out = match () {
-                () if is_kept_apart => Bound::Apart,
-                () if taken == shape.pieces_max => Bound::Places,
-                () if left_to_others => Bound::Domain,
-                () if task.result_bytes > room_bytes => Bound::Room,
-                () if is_left_whole => Bound::Places,
+                () if is_kept_apart => BatchLimit::Isolation,
+                () if taken == shape.pieces_max => BatchLimit::Slots,
+                () if left_to_others => BatchLimit::ConsumerDomain,
+                () if task.result_bytes > free_bytes => BatchLimit::FreeBytes,
+                () if is_left_whole => BatchLimit::Slots,
                 () => {
-                    company.get_or_insert((task.content, task.is_apart));
+                    company.get_or_insert((task.fingerprint, task.is_isolated));
                     taken += 1;
-                    room_bytes -= task.result_bytes;
+                    free_bytes -= task.result_bytes;
                     return true;
                 }
             };
-            if bound == Bound::Empty || kept_out == Bound::Places {
+            if bound == BatchLimit::Empty || kept_out == BatchLimit::Slots {
                 bound = kept_out;
             }
             false
@@ -300,18 +300,18 @@
         self.begun.extend(taken.iter().map(|task| task.work));
         let open: HashSet<_> = self.tasks.iter().map(|task| task.work).collect();
         self.begun.retain(|work| open.contains(work));
-        Batch { tasks: taken, bound }
+        Batch { pieces: taken, limit: bound }
     }
 }
 
 /// Tells whether a piece can't be in time any more.
-fn misses(task: &Task, now: Duration, shape: &BatchShape) -> bool {
-    task.due_at < now + usual_time(shape, shape.pieces_max)
+fn misses(task: &QueuedPiece, now: Duration, shape: &BatchShape) -> bool {
+    task.due_at < now + expected_call_time(shape, shape.pieces_max)
 }
 
 /// The order among pieces that are in time, or among those that are not: by due time, with a head
 /// start for requests of higher rank.
-fn urgency(task: &Task, shape: &BatchShape, rules: &DecideSettings) -> Duration {
-    let step = usual_time(shape, shape.pieces_max).mul_f64(RANK_CALLS);
-    task.due_at + if rules.ranks { step * rank(task.priority) as u32 } else { Duration::ZERO }
+fn urgency(task: &QueuedPiece, shape: &BatchShape, rules: &DecideSettings) -> Duration {
+    let step = expected_call_time(shape, shape.pieces_max).mul_f64(RANK_CALLS);
+    task.due_at + if rules.ranks { step * rank_index(task.priority) as u32 } else { Duration::ZERO }
 }
--- a/crates/fernring-gateway/src/decide/budget.rs
+++ b/crates/fernring-gateway/src/decide/budget.rs
@@ -60,7 +60,7 @@
     }
 
     /// Counts requests for a service.
-    pub fn count_requests(&mut self, now: Duration, service: &Arc<str>, count: usize) {
+    pub fn record_requests(&mut self, now: Duration, service: &Arc<str>, count: usize) {
         let spending = self.services.entry(service.clone()).or_default();
         spending.requests.extend(std::iter::repeat_n(now, count));
         spending.forget(now.saturating_sub(self.allowance.window));
@@ -68,7 +68,7 @@
 
     /// Takes `count` extra sends to a service, or none; tells whether it did. `nodes` is the
     /// number of nodes that share the slack.
-    pub fn take(&mut self, now: Duration, service: &Arc<str>, count: usize, nodes: usize) -> bool {
+    pub fn try_spend(&mut self, now: Duration, service: &Arc<str>, count: usize, nodes: usize) -> bool {
         let spending = self.services.entry(service.clone()).or_default();
         spending.forget(now.saturating_sub(self.allowance.window));
         let by_ratio = spending.requests.len() as f64 * self.allowance.ratio * RATIO_PART;
--- a/crates/fernring-gateway/src/decide/cold.rs
+++ b/crates/fernring-gateway/src/decide/cold.rs
@@ -20,7 +20,7 @@
 /// The time for which turns are drawn, in which the bound counts.
 const WINDOW: Duration = Duration::from_secs(1);
 /// Time after its start in which a node takes no turn: it doesn't know yet how many others there are.
-pub const START_TIME: Duration = Duration::from_secs(3);
+pub const STARTUP_TIME: Duration = Duration::from_secs(3);
 /// How long the largest number of nodes is remembered. Nodes behind a cut are not heard, and send all the same.
 const NODES_REMEMBERED: Duration = Duration::from_secs(600);
 /// Time after a refused connection in which the record of a process that has started again should have come: three of
@@ -29,28 +29,28 @@
 
 /// The most nodes that were known of, of late.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct MostNodes {
+pub struct PeakNodeCount {
     most: usize,
     seen_at: Duration,
 }
 
-impl MostNodes {
+impl PeakNodeCount {
     /// Takes in how many nodes are known of now, this one included.
-    pub fn saw(&mut self, now: Duration, nodes: usize) {
+    pub fn record(&mut self, now: Duration, nodes: usize) {
         if nodes >= self.most || now > self.seen_at + NODES_REMEMBERED {
             *self = Self { most: nodes, seen_at: now };
         }
     }
 
     /// Returns the number that counts.
-    pub fn most(&self) -> usize {
+    pub fn peak(&self) -> usize {
         self.most.max(1)
     }
 }
 
 /// The turns of one node at one cold upstream.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Turns {
+pub struct ColdPermits {
     /// The window that `used` belongs to.
     window: u64,
     used: u32,
@@ -58,7 +58,7 @@
 
 /// Who asks for a turn, and where.
 #[derive(Debug, Clone, Copy)]
-pub struct Asker {
+pub struct PermitScope {
     /// Identity of the node.
     pub node: u64,
     /// Identity of the start of the upstream.
@@ -67,17 +67,17 @@
     pub nodes: usize,
 }
 
-impl Turns {
+impl ColdPermits {
     /// Tells whether a turn is left.
-    pub fn has_turn(&self, now: Duration, bounds: &ColdBounds, asker: Asker) -> bool {
+    pub fn has_permit(&self, now: Duration, bounds: &ColdBounds, asker: PermitScope) -> bool {
         let window = window(now, asker);
         let used = if window == self.window { self.used } else { 0 };
         used < allowed(window, bounds, asker)
     }
 
     /// Takes a turn; tells whether one was left.
-    pub fn take(&mut self, now: Duration, bounds: &ColdBounds, asker: Asker) -> bool {
-        if !self.has_turn(now, bounds, asker) {
+    pub fn try_acquire(&mut self, now: Duration, bounds: &ColdBounds, asker: PermitScope) -> bool {
+        if !self.has_permit(now, bounds, asker) {
             return false;
         }
         let window = window(now, asker);
@@ -88,13 +88,13 @@
 }
 
 /// Returns the window of a moment. The nodes' windows begin at different moments.
-fn window(now: Duration, asker: Asker) -> u64 {
+fn window(now: Duration, asker: PermitScope) -> u64 {
     let shift_ms = asker.node % WINDOW.as_millis() as u64;
     (now.as_millis() as u64 + shift_ms) / WINDOW.as_millis() as u64
 }
 
 /// Returns the turns of a node in a window.
-fn allowed(window: u64, bounds: &ColdBounds, asker: Asker) -> u32 {
+fn allowed(window: u64, bounds: &ColdBounds, asker: PermitScope) -> u32 {
     let share = bounds.per_window(WINDOW) / TURN_PARTS / asker.nodes.max(1) as f64;
     let draw =
         xxh3_64_with_seed(&window.to_le_bytes(), asker.node ^ asker.upstream.rotate_left(32));
@@ -105,21 +105,21 @@
 /// That nobody listened at an upstream's address: what listens there next has just started, though its record may not
 /// say so yet.
 #[derive(Debug, Clone, Copy)]
-pub struct NoListener {
+pub struct RefusedConnection {
     at: Duration,
     /// Position of the upstream's record then.
     record_at: Position,
     accepted_at: Option<Duration>,
 }
 
-impl NoListener {
+impl RefusedConnection {
     /// Takes in that a connection was refused.
     pub fn new(now: Duration, record_at: Position) -> Self {
         Self { at: now, record_at, accepted_at: None }
     }
 
     /// Takes in that the upstream has answered.
-    pub fn answered(&mut self, now: Duration) {
+    pub fn record_answer(&mut self, now: Duration) {
         self.accepted_at.get_or_insert(now);
     }
 
--- a/crates/fernring-gateway/src/decide/crash_detection.rs
+++ b/crates/fernring-gateway/src/decide/crash_detection.rs
@@ -8,20 +8,20 @@
 //! use {
 //!     fernring_gateway::{
 //!         content::ContentKey,
-//!         crash_detection::{Break, Endings, Probe, Run},
+//!         crash_detection::{CrashDetector, Disconnect, Incarnation, ProbeResult},
 //!         model::UpstreamKey,
 //!     },
 //!     std::time::Duration,
 //! };
 //!
 //! let (now, key) = (Duration::ZERO, UpstreamKey::default());
-//! let run = Run { instance: "i-1".into(), started_ms: None };
+//! let incarnation = Incarnation { instance: "i-1".into(), started_ms: None };
 //! let address = "10.0.0.1:8080".parse().unwrap();
-//! let asked = ContentKey::of(None, "/x", b"");
-//! let mut endings = Endings::default();
-//! assert!(endings.broke(now, (key, address), &run, Break::Closed, Some(asked)).is_none(), "not known yet");
-//! let ended = endings.probed(key, Probe::Refused).unwrap();
-//! assert_eq!(ended.contents, [asked]);
+//! let fingerprint = ContentKey::of(None, "/x", b"");
+//! let mut detector = CrashDetector::default();
+//! assert!(detector.record_disconnect(now, (key, address), &incarnation, Disconnect::Closed, Some(fingerprint)).is_none(), "not known yet");
+//! let crash = detector.record_probe(key, ProbeResult::Refused).unwrap();
+//! assert_eq!(crash.fingerprints, [fingerprint]);
 //! ```
 
 use {
@@ -31,7 +31,7 @@
 
 /// How long after a break its cause may still be found out. A record goes three heartbeats of an upstream after its
 /// end (3.6 s where these come every 1.2 s), and a start again takes some seconds.
-pub const CAUSE_MAX: Duration = Duration::from_secs(10);
+pub const CRASH_EVIDENCE_TIME_MAX: Duration = Duration::from_secs(10);
 /// How long it is kept that an upstream went, and how: longer than a request lasts that it served on with.
 const FATE_MAX: Duration = Duration::from_secs(120);
 /// Pause between two looks whether the same upstream takes connections.
@@ -39,14 +39,14 @@
 
 /// One start of an upstream's process.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Run {
+pub struct Incarnation {
     /// Its identity, which a process that starts again may keep.
     pub instance: Arc<str>,
     /// When it started, in Unix milliseconds, if that is known.
     pub started_ms: Option<u64>,
 }
 
-impl fmt::Display for Run {
+impl fmt::Display for Incarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.started_ms {
             Some(started_ms) => write!(f, "{}@{started_ms}", self.instance),
@@ -57,7 +57,7 @@
 
 /// How a send broke off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Break {
+pub enum Disconnect {
     /// The other side closed or reset the connection.
     Closed,
     /// Nothing came any more.
@@ -66,7 +66,7 @@
 
 /// What a look at an upstream's address found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Probe {
+pub enum ProbeResult {
     /// Nothing listens there.
     Refused,
     /// Somebody takes connections.
@@ -75,7 +75,7 @@
     Silent,
 }
 
-impl Probe {
+impl ProbeResult {
     /// Returns the name used in log lines.
     pub fn name(self) -> &'static str {
         match self {
@@ -88,11 +88,11 @@
 
 /// A start that has ended, with what it had in hand.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ended {
+pub struct Crash {
     /// The start.
-    pub run: Run,
+    pub incarnation: Incarnation,
     /// What ran or waited there, each once.
-    pub contents: Vec<ContentKey>,
+    pub fingerprints: Vec<ContentKey>,
 }
 
 /// What became of an upstream's record.
@@ -109,12 +109,12 @@
 /// An upstream at which sends broke off.
 #[derive(Debug)]
 struct Broken {
-    run: Run,
+    run: Incarnation,
     address: SocketAddr,
     last_at: Duration,
     /// Whether any of the sends was closed by the other side.
     was_closed: bool,
-    probe: Option<Probe>,
+    probe: Option<ProbeResult>,
     probed_at: Option<Duration>,
     fate: Option<Fate>,
     /// Those whose upstream isn't known to have ended.
@@ -126,45 +126,45 @@
         let is_restarted = self.fate == Some(Fate::Restarted);
         let is_removed = self.fate == Some(Fate::Removed);
         match self.probe {
-            Some(Probe::Refused) => true,
-            Some(Probe::Accepted) => is_restarted,
-            Some(Probe::Silent) => self.was_closed || is_restarted || is_removed,
+            Some(ProbeResult::Refused) => true,
+            Some(ProbeResult::Accepted) => is_restarted,
+            Some(ProbeResult::Silent) => self.was_closed || is_restarted || is_removed,
             None => is_restarted,
         }
     }
 
     fn lives_on(&self) -> bool {
-        self.probe == Some(Probe::Accepted) && self.fate != Some(Fate::Restarted)
+        self.probe == Some(ProbeResult::Accepted) && self.fate != Some(Fate::Restarted)
     }
 
-    fn take_ended(&mut self) -> Option<Ended> {
+    fn take_ended(&mut self) -> Option<Crash> {
         if self.contents.is_empty() || !self.has_ended() {
             return None;
         }
         let contents = std::mem::take(&mut self.contents);
-        Some(Ended { run: self.run.clone(), contents })
+        Some(Crash { incarnation: self.run.clone(), fingerprints: contents })
     }
 }
 
 /// The upstreams at which sends broke off of late.
 #[derive(Debug, Default)]
-pub struct Endings {
+pub struct CrashDetector {
     broken: HashMap<UpstreamKey, Broken>,
     /// Upstreams that went of late, and how.
     fates: HashMap<UpstreamKey, (Duration, Fate)>,
 }
 
-impl Endings {
+impl CrashDetector {
     /// Takes in that a send broke off; returns what is known to have ended with it. `content` is what is to be charged if
     /// the upstream has ended, if anything is.
-    pub fn broke(
+    pub fn record_disconnect(
         &mut self,
         now: Duration,
         (key, address): (UpstreamKey, SocketAddr),
-        run: &Run,
-        how: Break,
+        run: &Incarnation,
+        how: Disconnect,
         content: Option<ContentKey>,
-    ) -> Option<Ended> {
+    ) -> Option<Crash> {
         let fate = self.fates.get(&key).map(|(_, fate)| *fate);
         match fate {
             Some(Fate::Leaving) => return None,
@@ -183,7 +183,7 @@
             contents: Vec::new(),
         });
         broken.last_at = now;
-        broken.was_closed |= how == Break::Closed;
+        broken.was_closed |= how == Disconnect::Closed;
         if let Some(content) = content
             && !broken.contents.contains(&content)
         {
@@ -193,7 +193,7 @@
     }
 
     /// Tells whether to look now whether an upstream takes connections; if so, it is taken as being looked at.
-    pub fn shall_probe(&mut self, now: Duration, key: UpstreamKey) -> bool {
+    pub fn start_probe(&mut self, now: Duration, key: UpstreamKey) -> bool {
         let Some(broken) = self.broken.get_mut(&key) else {
             return false;
         };
@@ -207,14 +207,14 @@
     }
 
     /// Takes in what a look at an upstream's address found.
-    pub fn probed(&mut self, key: UpstreamKey, found: Probe) -> Option<Ended> {
+    pub fn record_probe(&mut self, key: UpstreamKey, found: ProbeResult) -> Option<Crash> {
         let broken = self.broken.get_mut(&key)?;
         broken.probe = Some(found);
         broken.take_ended()
     }
 
     /// Tells whether an upstream at which a send broke off has ended; `None` if that isn't known yet.
-    pub fn verdict(&self, key: UpstreamKey) -> Option<bool> {
+    pub fn has_crashed(&self, key: UpstreamKey) -> Option<bool> {
         let broken = self.broken.get(&key)?;
         match broken.has_ended() {
             true => Some(true),
@@ -223,31 +223,31 @@
     }
 
     /// Takes in that an upstream has said that it leaves.
-    pub fn leaving(&mut self, now: Duration, key: UpstreamKey) {
+    pub fn record_leaving(&mut self, now: Duration, key: UpstreamKey) {
         self.fates.insert(key, (now, Fate::Leaving));
     }
 
     /// Takes in that an upstream's record is gone.
-    pub fn removed(&mut self, now: Duration, key: UpstreamKey) -> Option<Ended> {
+    pub fn record_removal(&mut self, now: Duration, key: UpstreamKey) -> Option<Crash> {
         self.went(now, key, Fate::Removed)
     }
 
     /// Takes in that another upstream has appeared at an address: whoever had it before has ended, though it takes
     /// connections there.
-    pub fn appeared(&mut self, now: Duration, key: UpstreamKey, address: SocketAddr) -> Vec<Ended> {
+    pub fn record_new_upstream(&mut self, now: Duration, key: UpstreamKey, address: SocketAddr) -> Vec<Crash> {
         let others = self.broken.iter().filter(|(other, broken)| {
             **other != key && broken.address == address && broken.fate != Some(Fate::Leaving)
         });
         let others: Vec<_> = others.map(|(other, _)| *other).collect();
-        others.into_iter().filter_map(|other| self.restarted(now, other)).collect()
+        others.into_iter().filter_map(|other| self.record_restart(now, other)).collect()
     }
 
     /// Takes in that an upstream's process has started again.
-    pub fn restarted(&mut self, now: Duration, key: UpstreamKey) -> Option<Ended> {
+    pub fn record_restart(&mut self, now: Duration, key: UpstreamKey) -> Option<Crash> {
         self.went(now, key, Fate::Restarted)
     }
 
-    fn went(&mut self, now: Duration, key: UpstreamKey, fate: Fate) -> Option<Ended> {
+    fn went(&mut self, now: Duration, key: UpstreamKey, fate: Fate) -> Option<Crash> {
         let before = self.fates.get(&key).map(|(_, fate)| *fate);
         if before != Some(Fate::Leaving) {
             self.fates.insert(key, (now, fate));
@@ -259,7 +259,7 @@
 
     /// Forgets what is too old for its cause to be found out.
     pub fn expire(&mut self, now: Duration) {
-        self.broken.retain(|_, broken| now < broken.last_at + CAUSE_MAX);
+        self.broken.retain(|_, broken| now < broken.last_at + CRASH_EVIDENCE_TIME_MAX);
         self.fates.retain(|_, (at, _)| now < *at + FATE_MAX);
     }
 }
--- a/crates/fernring-gateway/src/decide/dispatch_round.rs
+++ b/crates/fernring-gateway/src/decide/dispatch_round.rs
@@ -4,19 +4,19 @@
 //! maker and piece, the makers of a failure domain would be counted a million times in a round.
 
 use {
-    crate::batching::Makers,
+    crate::batching::DomainWorkers,
     std::{cell::RefCell, collections::HashMap, sync::Arc},
 };
 
 /// The makers of a service by failure domain.
 #[derive(Debug, Default)]
-pub struct MakersByDomain {
-    known: RefCell<HashMap<Arc<str>, Option<Makers>>>,
+pub struct WorkersByDomain {
+    known: RefCell<HashMap<Arc<str>, Option<DomainWorkers>>>,
 }
 
-impl MakersByDomain {
+impl WorkersByDomain {
     /// Returns the makers of a domain; `count` counts them if that wasn't done.
-    pub fn get(&self, domain: &str, count: impl FnOnce() -> Option<Makers>) -> Option<Makers> {
+    pub fn get_or_count(&self, domain: &str, count: impl FnOnce() -> Option<DomainWorkers>) -> Option<DomainWorkers> {
         let mut known = self.known.borrow_mut();
         if let Some(makers) = known.get(domain) {
             return *makers;
@@ -27,27 +27,27 @@
     }
 
     /// Forgets what is known of a domain.
-    pub fn forget(&mut self, domain: &str) {
+    pub fn invalidate(&mut self, domain: &str) {
         self.known.get_mut().remove(domain);
     }
 }
 
 /// The makers that got nothing of what waits: others like them get nothing either.
 #[derive(Debug, Default)]
-pub struct LeftAlone {
+pub struct UnservedCapacity {
     /// By failure domain, the most room with which nothing was found.
     rooms: HashMap<Arc<str>, u64>,
 }
 
-impl LeftAlone {
+impl UnservedCapacity {
     /// Takes in that nothing was found for a maker of a domain with some room.
-    pub fn nothing_for(&mut self, domain: Arc<str>, room_bytes: u64) {
+    pub fn record_unserved(&mut self, domain: Arc<str>, room_bytes: u64) {
         let most = self.rooms.entry(domain).or_default();
         *most = room_bytes.max(*most);
     }
 
     /// Tells whether nothing would be found for a maker of a domain with some room.
-    pub fn covers(&self, domain: &str, room_bytes: u64) -> bool {
+    pub fn is_unserved(&self, domain: &str, room_bytes: u64) -> bool {
         self.rooms.get(domain).is_some_and(|most| room_bytes <= *most)
     }
 }
--- a/crates/fernring-gateway/src/decide/eligibility.rs
+++ b/crates/fernring-gateway/src/decide/eligibility.rs
@@ -6,7 +6,7 @@
 
 /// Why an upstream may get nothing new now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Barred {
+pub enum Ineligible {
     /// It is not known any more.
     #[error("the upstream is gone")]
     Gone,
--- a/crates/fernring-gateway/src/decide/limits.rs
+++ b/crates/fernring-gateway/src/decide/limits.rs
@@ -17,7 +17,7 @@
 
 /// The newest word of one start of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct LimitWord {
+pub struct AnnouncedLimit {
     /// The requests a second that it takes from all nodes together; `None` if it names no limit any more.
     pub per_s: Option<f64>,
     /// When it was said, as far as is known.
@@ -35,13 +35,13 @@
 
 /// The newest words of all upstreams, by their starts ([`crate::model::UpstreamRecord::run_id`]).
 #[derive(Debug, Default)]
-pub struct Limits {
-    words: HashMap<u64, LimitWord>,
+pub struct AnnouncedLimits {
+    words: HashMap<u64, AnnouncedLimit>,
 }
 
-impl Limits {
+impl AnnouncedLimits {
     /// Takes in what an answer says whose request left at `sent_at`; returns what that changes.
-    pub fn heard(
+    pub fn record_answer(
         &mut self,
         now: Duration,
         run: u64,
@@ -68,11 +68,11 @@
         }
         let at = if allows_more || per_s.is_none() { sent_at } else { now };
         let at = held.map_or(at, |held| at.max(held.at));
-        self.put(run, LimitWord { per_s, at })
+        self.put(run, AnnouncedLimit { per_s, at })
     }
 
     /// Takes in what a peer has told; returns what that changes.
-    pub fn told(&mut self, run: u64, word: LimitWord) -> Option<LimitChange> {
+    pub fn record_peer_report(&mut self, run: u64, word: AnnouncedLimit) -> Option<LimitChange> {
         match self.words.get(&run) {
             Some(held) if held.at >= word.at => None,
             None if word.per_s.is_none() => None,
@@ -80,25 +80,25 @@
         }
     }
 
-    fn put(&mut self, run: u64, word: LimitWord) -> Option<LimitChange> {
+    fn put(&mut self, run: u64, word: AnnouncedLimit) -> Option<LimitChange> {
         let before = self.words.insert(run, word).and_then(|before| before.per_s);
         (before != word.per_s).then_some(LimitChange { before, now: word.per_s })
     }
 
     /// Returns the limit of an upstream, if it names one.
-    pub fn of(&self, run: u64) -> Option<f64> {
+    pub fn limit_per_s(&self, run: u64) -> Option<f64> {
         self.words.get(&run)?.per_s
     }
 
     /// Returns the newest word of an upstream.
-    pub fn word(&self, run: u64) -> Option<LimitWord> {
+    pub fn announcement(&self, run: u64) -> Option<AnnouncedLimit> {
         self.words.get(&run).copied()
     }
 
     /// Lists the words that peers are to be told.
-    pub fn to_tell(&self, now: Duration) -> impl Iterator<Item = (u64, LimitWord)> {
+    pub fn to_publish(&self, now: Duration) -> impl Iterator<Item = (u64, AnnouncedLimit)> {
         let is_told =
-            move |word: &LimitWord| word.per_s.is_some() || now < word.at + LIFTED_TOLD_FOR;
+            move |word: &AnnouncedLimit| word.per_s.is_some() || now < word.at + LIFTED_TOLD_FOR;
         self.words.iter().filter(move |(_, word)| is_told(word)).map(|(run, word)| (*run, *word))
     }
 
@@ -108,7 +108,7 @@
     }
 
     /// Returns the number of upstreams that name a limit.
-    pub fn in_force(&self) -> usize {
+    pub fn active_count(&self) -> usize {
         self.words.values().filter(|word| word.per_s.is_some()).count()
     }
 
--- a/crates/fernring-gateway/src/decide/permit_issuer.rs
+++ b/crates/fernring-gateway/src/decide/permit_issuer.rs
@@ -5,7 +5,7 @@
 //! it where each is at least one. A node that counts grants what the limit allows, in the order of the questions. Cuts make
 //! several nodes count; so each grants by the part of the nodes that it hears, and together no more than [`OVERSIZE`] of the limit.
 
-use {crate::throughput::Arrivals, std::time::Duration};
+use {crate::throughput::ArrivalRate, std::time::Duration};
 
 /// What the parts of a fleet that don't hear each other may grant together, as a multiple of the limit. Half of the limit is
 /// allowed besides; the rest of it is for what was granted before a cut was noticed, and for requests held up on the way.
@@ -29,7 +29,7 @@
 
 /// That a send may not go now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Denied {
+pub struct PermitDenied {
     /// When the same node may ask again for a request of this rank.
     pub ask_again_after: Duration,
     /// When as many requests should be done as are asked for in a second now.
@@ -37,45 +37,45 @@
 }
 
 /// Returns the part of a limit that a node grants which hears `heard` of `most` nodes, itself included.
-pub fn part_of(heard: usize, most: usize) -> f64 {
+pub fn limit_share(heard: usize, most: usize) -> f64 {
     let part = heard.max(1) as f64 / most.max(1) as f64;
     (part * OVERSIZE).min(1.0)
 }
 
 /// Returns when several upstreams together should have done what is asked for that each would have done alone after some time:
 /// nearly every request was asked for at each of them. `None` if there are none.
-pub fn drained_together(alone: &[Duration]) -> Option<Duration> {
+pub fn combined_drain_time(alone: &[Duration]) -> Option<Duration> {
     let per_s = |time: &Duration| 1.0 / (*time).max(DRAINED_MIN).as_secs_f64();
     (!alone.is_empty()).then(|| seconds(1.0 / alone.iter().map(per_s).sum::<f64>()))
 }
 
 /// What a node has granted at one upstream.
 #[derive(Debug)]
-pub struct Grants {
+pub struct PermitIssuer {
     saved: f64,
     counted_at: Duration,
-    asked: Arrivals,
+    asked: ArrivalRate,
 }
 
-impl Grants {
+impl PermitIssuer {
     /// Starts to count with nothing saved up: whoever counted before may have granted everything just now. A part of a
     /// fleet waits for up to a grant more, by `draw` between 0 and 1, so that many small parts don't begin at once.
     pub fn new(now: Duration, part: f64, draw: f64) -> Self {
-        Self { saved: -draw * (1.0 - part), counted_at: now, asked: Arrivals::default() }
+        Self { saved: -draw * (1.0 - part), counted_at: now, asked: ArrivalRate::default() }
     }
 
     /// Grants a send to an upstream that takes `limit_per_s`, or not; `draw` between 0 and 1 spreads the next questions.
     ///
     /// # Errors
     /// If it may not go now.
-    pub fn ask(
+    pub fn request(
         &mut self,
         now: Duration,
         limit_per_s: f64,
         part: f64,
         rank: usize,
         draw: f64,
-    ) -> Result<(), Denied> {
+    ) -> Result<(), PermitDenied> {
         let rate = limit_per_s.max(ASK_ABOUT_PER_S) * part;
         let most = SAVED_MIN + rate * SAVED_TIME.as_secs_f64();
         let passed = now.saturating_sub(self.counted_at).as_secs_f64();
@@ -91,7 +91,7 @@
         }
         let wait = missing / rate;
         let drained = (self.asked.per_s(now) / rate).max(wait);
-        Err(Denied {
+        Err(PermitDenied {
             ask_again_after: seconds(wait * (1.0 + draw)).clamp(ASK_AGAIN_MIN, ASK_AGAIN_MAX),
             drained_after: seconds(drained).min(DRAINED_MAX),
         })
--- a/crates/fernring-gateway/src/decide/prefill_speed.rs
+++ b/crates/fernring-gateway/src/decide/prefill_speed.rs
@@ -15,15 +15,15 @@
 
 /// The speed at which a model service's engines read, in tokens a millisecond.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ReadingSpeed(f64);
+pub struct PrefillSpeed(f64);
 
-impl Default for ReadingSpeed {
+impl Default for PrefillSpeed {
     fn default() -> Self {
         Self(SPEED_FIRST)
     }
 }
 
-impl ReadingSpeed {
+impl PrefillSpeed {
     /// Returns the time in which an engine that does nothing else reads some tokens.
     pub fn time_for(self, tokens: f64) -> Duration {
         Duration::from_secs_f64(tokens / self.0 / 1_000.0)
@@ -35,7 +35,7 @@
     }
 
     /// Takes in that the first event came `took` after a request was sent that had `tokens` to read.
-    pub fn read(&mut self, tokens: f64, took: Duration) {
+    pub fn record_prefill(&mut self, tokens: f64, took: Duration) {
         if tokens < TOKENS_MIN || took.is_zero() {
             return;
         }
@@ -47,16 +47,16 @@
 
 /// The speeds of all model services that a node has sent to, by name.
 #[derive(Debug, Default)]
-pub struct ReadingSpeeds(RefCell<HashMap<Arc<str>, ReadingSpeed>>);
+pub struct PrefillSpeeds(RefCell<HashMap<Arc<str>, PrefillSpeed>>);
 
-impl ReadingSpeeds {
+impl PrefillSpeeds {
     /// Returns the speed of a service's engines.
-    pub fn of(&self, service: &str) -> ReadingSpeed {
+    pub fn for_service(&self, service: &str) -> PrefillSpeed {
         self.0.borrow().get(service).copied().unwrap_or_default()
     }
 
     /// Takes in that an engine's first event came `took` after it was sent a request with `tokens` to read.
-    pub fn read(&self, service: &Arc<str>, tokens: f64, took: Duration) {
-        self.0.borrow_mut().entry(service.clone()).or_default().read(tokens, took);
+    pub fn record_prefill(&self, service: &Arc<str>, tokens: f64, took: Duration) {
+        self.0.borrow_mut().entry(service.clone()).or_default().record_prefill(tokens, took);
     }
 }
--- a/crates/fernring-gateway/src/decide/quarantine.rs
+++ b/crates/fernring-gateway/src/decide/quarantine.rs
@@ -14,21 +14,21 @@
 //!
 //! ```
 //! use {
-//!     fernring_gateway::{content::ContentKey, crash_detection::Run, quarantine::Suspects},
+//!     fernring_gateway::{content::ContentKey, crash_detection::Incarnation, quarantine::Quarantine},
 //!     std::time::Duration,
 //! };
 //!
-//! let (now, content) = (Duration::from_secs(9), ContentKey::of(None, "/x", b""));
-//! let mut suspects = Suspects::default();
+//! let (now, fingerprint) = (Duration::from_secs(9), ContentKey::of(None, "/x", b""));
+//! let mut quarantine = Quarantine::default();
 //! for instance in ["i-1", "i-2", "i-3"] {
-//!     assert!(!suspects.is_turned_away(content));
-//!     suspects.ended(now, &Run { instance: instance.into(), started_ms: None }, now, &[content]);
+//!     assert!(!quarantine.is_quarantined(fingerprint));
+//!     quarantine.record_crash(now, &Incarnation { instance: instance.into(), started_ms: None }, now, &[fingerprint]);
 //! }
-//! assert!(suspects.is_turned_away(content));
+//! assert!(quarantine.is_quarantined(fingerprint));
 //! ```
 
 use {
-    crate::{content::ContentKey, crash_detection::Run},
+    crate::{content::ContentKey, crash_detection::Incarnation},
     std::{
         collections::{HashMap, HashSet},
         time::Duration,
@@ -39,11 +39,11 @@
 /// them that was being given when the last upstream ended comes within about this time.
 const DOUBT_TIME: Duration = Duration::from_millis(600);
 /// Ends under a request with which it is turned away: what the users allow one request to end.
-pub const ENDS_MAX: usize = 3;
+pub const CRASHES_MAX: usize = 3;
 /// How long an end counts, and so how long a request is turned away after its last one. A caller who repeats comes back within
 /// seconds or minutes; what may run again after a release of the upstreams waits a quarter of an hour at most, and what still ends
 /// them costs twelve ends an hour.
-pub const LIFETIME: Duration = Duration::from_secs(15 * 60);
+pub const ATTRIBUTION_LIFETIME: Duration = Duration::from_secs(15 * 60);
 /// How long after a whole answer an end isn't charged. What made a harmless request deadly, a release of the upstreams, takes
 /// longer to reach the third of them.
 const COVERED_TIME: Duration = Duration::from_secs(60);
@@ -56,45 +56,45 @@
 
 /// An end of an upstream's start, as it is told.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct EndFact {
+pub struct CrashRecord {
     /// The start.
-    pub run: Run,
+    pub incarnation: Incarnation,
     /// When it ended.
     pub at: Duration,
     /// What was in hand there and is charged with it.
-    pub contents: Vec<ContentKey>,
+    pub fingerprints: Vec<ContentKey>,
 }
 
 /// That a request got a whole answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ClearFact {
+pub struct ClearanceRecord {
     /// The request.
-    pub content: ContentKey,
+    pub fingerprint: ContentKey,
     /// When.
     pub at: Duration,
 }
 
 /// What taking something in has changed.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct News {
+pub struct QuarantineChange {
     /// Whether anything was new.
     pub is_new: bool,
     /// Requests that are turned away from now on.
-    pub turned_away: Vec<ContentKey>,
+    pub newly_quarantined: Vec<ContentKey>,
 }
 
 /// The ends that one request is charged with.
 #[derive(Debug, Clone, Default)]
 struct Account {
     /// Each start once, in the order in which they ended; [`ENDS_MAX`] at most.
-    ends: Vec<(Duration, Run)>,
+    ends: Vec<(Duration, Incarnation)>,
     /// The last whole answer since the first end.
     cleared_at: Option<Duration>,
 }
 
 impl Account {
     fn is_turned_away(&self) -> bool {
-        self.ends.len() >= ENDS_MAX
+        self.ends.len() >= CRASHES_MAX
     }
 
     fn last_at(&self) -> Duration {
@@ -103,7 +103,7 @@
     }
 
     /// Charges an end; tells whether it is new.
-    fn charge(&mut self, run: &Run, at: Duration) -> bool {
+    fn charge(&mut self, run: &Incarnation, at: Duration) -> bool {
         let is_known = self.ends.iter().any(|(_, known)| known == run);
         let is_covered = self.cleared_at.is_some_and(|cleared| at <= cleared + COVERED_TIME);
         if is_known || self.is_turned_away() || is_covered {
@@ -127,28 +127,28 @@
 
 /// The accounts of requests that upstreams ended under.
 #[derive(Debug, Default)]
-pub struct Suspects {
+pub struct Quarantine {
     accounts: HashMap<ContentKey, Account>,
     /// Starts that ended under a request that is turned away, and when: nobody else is charged with them.
-    explained: HashMap<Run, Duration>,
+    explained: HashMap<Incarnation, Duration>,
     /// When requests last got whole answers here.
     answers: HashMap<ContentKey, Duration>,
 }
 
-impl Suspects {
+impl Quarantine {
     /// Tells whether a request is charged with any end.
     pub fn is_suspect(&self, content: ContentKey) -> bool {
         self.accounts.get(&content).is_some_and(|account| !account.ends.is_empty())
     }
 
     /// Tells whether a request is turned away.
-    pub fn is_turned_away(&self, content: ContentKey) -> bool {
+    pub fn is_quarantined(&self, content: ContentKey) -> bool {
         self.accounts.get(&content).is_some_and(Account::is_turned_away)
     }
 
     /// Tells whether a request is turned away though another one was in hand at the same ends, all of them just now: one
     /// of the two may be harmless. Neither is sent meanwhile, so this costs no upstream.
-    pub fn is_in_doubt(&self, now: Duration, content: ContentKey) -> bool {
+    pub fn is_ambiguous(&self, now: Duration, content: ContentKey) -> bool {
         let Some(account) = self.accounts.get(&content).filter(|a| a.is_turned_away()) else {
             return false;
         };
@@ -160,31 +160,31 @@
     }
 
     /// Lists the starts that ended under a request.
-    pub fn ends_of(&self, content: ContentKey) -> Vec<Run> {
+    pub fn crashes_of(&self, content: ContentKey) -> Vec<Incarnation> {
         let ends = self.accounts.get(&content).into_iter().flat_map(|account| &account.ends);
         ends.map(|(_, run)| run.clone()).collect()
     }
 
     /// Lists the requests that are turned away, with their last ends.
-    pub fn turned_away(&self) -> impl Iterator<Item = (ContentKey, Duration)> {
+    pub fn quarantined(&self) -> impl Iterator<Item = (ContentKey, Duration)> {
         let accounts = self.accounts.iter().filter(|(_, account)| account.is_turned_away());
         accounts.map(|(content, account)| (*content, account.last_at()))
     }
 
     /// Takes in that a start ended at some time with requests in hand.
-    pub fn ended(
+    pub fn record_crash(
         &mut self,
         now: Duration,
-        run: &Run,
+        run: &Incarnation,
         at: Duration,
         contents: &[ContentKey],
-    ) -> News {
-        if now >= at + LIFETIME {
-            return News::default();
+    ) -> QuarantineChange {
+        if now >= at + ATTRIBUTION_LIFETIME {
+            return QuarantineChange::default();
         }
         let culprits: Vec<_> =
-            contents.iter().copied().filter(|content| self.is_turned_away(*content)).collect();
-        let mut news = News::default();
+            contents.iter().copied().filter(|content| self.is_quarantined(*content)).collect();
+        let mut news = QuarantineChange::default();
         if !culprits.is_empty() {
             news.is_new = self.explain(run, at, &culprits);
         }
@@ -192,21 +192,21 @@
             return news;
         }
         for content in contents {
-            if self.covering(*content, at).is_some() {
+            if self.covering_answer(*content, at).is_some() {
                 continue;
             }
             let account = self.accounts.entry(*content).or_default();
             if account.charge(run, at) {
                 news.is_new = true;
                 if account.is_turned_away() {
-                    news.turned_away.push(*content);
+                    news.newly_quarantined.push(*content);
                 }
             }
         }
-        for content in &news.turned_away {
+        for content in &news.newly_quarantined {
             let ends = self.accounts[content].ends.clone();
             for (at, run) in ends {
-                self.explain(&run, at, &news.turned_away);
+                self.explain(&run, at, &news.newly_quarantined);
             }
         }
         self.accounts.retain(|_, account| !account.ends.is_empty() || account.cleared_at.is_some());
@@ -216,7 +216,7 @@
 
     /// Says that an end is explained by `culprits`: it is taken off the accounts of all others that aren't turned away.
     /// Tells whether that is new.
-    fn explain(&mut self, run: &Run, at: Duration, culprits: &[ContentKey]) -> bool {
+    fn explain(&mut self, run: &Incarnation, at: Duration, culprits: &[ContentKey]) -> bool {
         if self.explained.insert(run.clone(), at).is_some() {
             return false;
         }
@@ -229,7 +229,7 @@
     }
 
     /// Takes in that a request got a whole answer; tells whether it was charged with anything.
-    pub fn answered(&mut self, content: ContentKey, at: Duration) -> bool {
+    pub fn record_answer(&mut self, content: ContentKey, at: Duration) -> bool {
         self.answers.insert(content, at);
         self.drop_old_answers();
         let Some(account) = self.accounts.get_mut(&content) else {
@@ -239,45 +239,45 @@
     }
 
     /// Returns the whole answer seen here that covers an end at some time, if there is one.
-    pub fn covering(&self, content: ContentKey, at: Duration) -> Option<ClearFact> {
+    pub fn covering_answer(&self, content: ContentKey, at: Duration) -> Option<ClearanceRecord> {
         let answered_at = self.answers.get(&content).copied()?;
         let is_covered = at <= answered_at + COVERED_TIME;
-        is_covered.then_some(ClearFact { content, at: answered_at })
+        is_covered.then_some(ClearanceRecord { fingerprint: content, at: answered_at })
     }
 
     /// Takes in that a peer saw a whole answer to a request; tells whether that was new.
-    pub fn cleared(&mut self, now: Duration, fact: ClearFact) -> bool {
-        if now >= fact.at + LIFETIME {
+    pub fn record_clearance(&mut self, now: Duration, fact: ClearanceRecord) -> bool {
+        if now >= fact.at + ATTRIBUTION_LIFETIME {
             return false;
         }
-        let is_new = self.accounts.entry(fact.content).or_default().clear(fact.at);
+        let is_new = self.accounts.entry(fact.fingerprint).or_default().clear(fact.at);
         self.drop_least();
         is_new
     }
 
     /// Lists what is known of the `most` accounts that matter most: those with the most ends, then the latest.
-    pub fn facts(&self, most: usize) -> (Vec<EndFact>, Vec<ClearFact>) {
+    pub fn records(&self, most: usize) -> (Vec<CrashRecord>, Vec<ClearanceRecord>) {
         let mut accounts: Vec<_> = self.accounts.iter().collect();
         accounts.sort_unstable_by_key(|(content, account)| {
             (std::cmp::Reverse((account.ends.len(), account.last_at())), **content)
         });
         accounts.truncate(most);
-        let mut ends: HashMap<&Run, EndFact> = HashMap::new();
+        let mut ends: HashMap<&Incarnation, CrashRecord> = HashMap::new();
         for (content, account) in &accounts {
             for (at, run) in &account.ends {
-                let new = || EndFact { run: run.clone(), at: *at, contents: Vec::new() };
-                ends.entry(run).or_insert_with(new).contents.push(**content);
+                let new = || CrashRecord { incarnation: run.clone(), at: *at, fingerprints: Vec::new() };
+                ends.entry(run).or_insert_with(new).fingerprints.push(**content);
             }
         }
         let cleared = accounts.iter().filter_map(|(content, account)| {
-            Some(ClearFact { content: **content, at: account.cleared_at? })
+            Some(ClearanceRecord { fingerprint: **content, at: account.cleared_at? })
         });
         (ends.into_values().collect(), cleared.collect())
     }
 
     /// Forgets what is too old; returns the requests that are no longer turned away for it.
     pub fn expire(&mut self, now: Duration) -> Vec<ContentKey> {
-        let is_old = |at: Duration| now >= at + LIFETIME;
+        let is_old = |at: Duration| now >= at + ATTRIBUTION_LIFETIME;
         let over = self.accounts.iter().filter(|(_, account)| is_old(account.last_at()));
         let over: HashMap<_, _> =
             over.map(|(content, account)| (*content, account.is_turned_away())).collect();
--- a/crates/fernring-gateway/src/decide/residency.rs
+++ b/crates/fernring-gateway/src/decide/residency.rs
@@ -9,8 +9,8 @@
 //! let regions = Regions::new([("hall-a", "north"), ("hall-b", "south")]);
 //! let route = Residency::within(["north", "south"]);
 //! let workspace = Residency::within(["south"]);
-//! let both = route.and(&workspace);
-//! assert!(both.allows(regions.of("hall-b")) && !both.allows(regions.of("hall-a")));
+//! let both = route.intersect(&workspace);
+//! assert!(both.allows(regions.region_of("hall-b")) && !both.allows(regions.region_of("hall-a")));
 //! ```
 
 use std::{collections::BTreeMap, sync::Arc};
@@ -33,7 +33,7 @@
     }
 
     /// Returns the region of a failure domain, if it is known.
-    pub fn of(&self, failure_domain: &str) -> Option<&Arc<str>> {
+    pub fn region_of(&self, failure_domain: &str) -> Option<&Arc<str>> {
         self.by_domain.get(failure_domain)
     }
 
@@ -60,7 +60,7 @@
     }
 
     /// Returns what both allow.
-    pub fn and(&self, other: &Self) -> Self {
+    pub fn intersect(&self, other: &Self) -> Self {
         match (&self.regions, &other.regions) {
             (None, _) => other.clone(),
             (_, None) => self.clone(),
--- a/crates/fernring-gateway/src/decide/retry_after.rs
+++ b/crates/fernring-gateway/src/decide/retry_after.rs
@@ -16,7 +16,7 @@
 
 /// Returns the pause for a caller of a rank that has `time_left`. `drained_after` is when what waits now
 /// should be done, if that can be said; `draw` lies between 0 and 1 and spreads callers of a rank.
-pub fn come_back(
+pub fn retry_after(
     drained_after: Option<Duration>,
     time_left: Duration,
     rank: usize,
--- a/crates/fernring-gateway/src/decide/selection.rs
+++ b/crates/fernring-gateway/src/decide/selection.rs
@@ -14,26 +14,26 @@
     /// Requests that it runs at once.
     pub slots: u32,
     /// Whether it lies in this node's failure domain.
-    pub is_near: bool,
+    pub is_same_domain: bool,
     /// Whether others are to go first: it failed just now, or may be gone.
     pub is_avoided: bool,
     /// Whether it is cold; this node has a turn at it then.
     pub is_cold: bool,
     /// Whether it runs the version that is being rolled out.
-    pub is_ordered: bool,
+    pub is_rollout_target: bool,
 }
 
 /// What a request needs of a model engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct PromptNeed {
+pub struct PromptDemand {
     /// Identity of the last part that its prompt shares with others.
     pub prefix: u64,
     /// Tokens to read where the shared parts are cached.
-    pub own_tokens: f64,
+    pub uncached_tokens: f64,
     /// Tokens to read where nothing is.
-    pub all_tokens: f64,
+    pub total_tokens: f64,
     /// Tokens that may be read before the first event without it being late.
-    pub patience_tokens: f64,
+    pub token_budget: f64,
     /// Upstream that its results were made for, if any.
     pub home: Option<UpstreamKey>,
 }
@@ -60,7 +60,7 @@
 ///
 /// A `home` goes first for as long as the same holds for it. The shared parts are taken to be read there and at
 /// the first of the order.
-pub fn choose_model(candidates: &[Candidate], need: PromptNeed) -> Option<ModelChoice> {
+pub fn choose_model(candidates: &[Candidate], need: PromptDemand) -> Option<ModelChoice> {
     let mut pool = sound(candidates);
     let rank = |c: &Candidate| xxh3_64_with_seed(&c.identity.to_le_bytes(), need.prefix);
     pool.sort_by_cached_key(|c| std::cmp::Reverse(rank(c)));
@@ -68,10 +68,10 @@
     pool.sort_by_key(|c| need.home != Some(c.key));
     let to_read = |c: &Candidate| {
         let has_shared = c.key == usual || need.home == Some(c.key);
-        if has_shared { need.own_tokens } else { need.all_tokens }
+        if has_shared { need.uncached_tokens } else { need.total_tokens }
     };
     let backlog = |c: &Candidate| c.load + to_read(c);
-    let is_in_time = |c: &&Candidate| backlog(c) <= need.patience_tokens;
+    let is_in_time = |c: &&Candidate| backlog(c) <= need.token_budget;
     let in_time = pool.iter().find(is_in_time);
     // The others don't suffice.
     let cold = || sound_cold(candidates).filter(is_in_time).min_by_key(|c| rank(c));
@@ -100,7 +100,7 @@
     let tie = |c: &Candidate| xxh3_64_with_seed(&c.identity.to_le_bytes(), draw);
     let order = |a: &&Candidate, b: &&Candidate| {
         let by_load = share(a).total_cmp(&share(b));
-        by_load.then(b.is_near.cmp(&a.is_near)).then(tie(a).cmp(&tie(b)))
+        by_load.then(b.is_same_domain.cmp(&a.is_same_domain)).then(tie(a).cmp(&tie(b)))
     };
     pool.iter().min_by(order).map(|c| c.key)
 }
--- a/crates/fernring-gateway/src/decide/stage_plan.rs
+++ b/crates/fernring-gateway/src/decide/stage_plan.rs
@@ -85,7 +85,7 @@
     }
 
     /// Tells whether results that were made have been given up.
-    pub fn is_released(&self) -> bool {
+    pub fn has_released_results(&self) -> bool {
         let made_none = |progress: &Progress| matches!(progress, Progress::Done(h) if h.is_empty());
         self.counts.iter().zip(&self.progress).any(|(count, p)| *count > 0 && made_none(p))
     }
@@ -96,13 +96,13 @@
     }
 
     /// Tells whether a stage makes results of `bytes` or more.
-    pub fn makes_any(&self, bytes: u64) -> bool {
+    pub fn makes_large_results(&self, bytes: u64) -> bool {
         let large = |(spec, count): (&StageSpec, &u32)| *count > 0 && spec.result_bytes >= bytes;
         self.stages.iter().zip(&self.counts).any(large)
     }
 
     /// Returns the number of pieces of a stage.
-    pub fn count(&self, stage: usize) -> u32 {
+    pub fn piece_count(&self, stage: usize) -> u32 {
         self.counts[stage]
     }
 
@@ -112,7 +112,7 @@
     }
 
     /// Returns the handles that a stage needs, or `None` for a stage that follows none.
-    pub fn inputs(&self, stage: usize) -> Option<Vec<Arc<str>>> {
+    pub fn input_handles(&self, stage: usize) -> Option<Vec<Arc<str>>> {
         let after = &self.stages[stage].after;
         (!after.is_empty()).then(|| after.iter().flat_map(|s| self.handles(*s)).cloned().collect())
     }
@@ -132,7 +132,7 @@
 
     /// Returns the stages whose results nothing needs any more: those that a stage follows, once
     /// all stages that follow it are done. Each is returned once.
-    pub fn take_spent(&mut self) -> Vec<(usize, Vec<Arc<str>>)> {
+    pub fn take_consumed(&mut self) -> Vec<(usize, Vec<Arc<str>>)> {
         let mut spent = Vec::new();
         for stage in 0..self.stages.len() {
             let followers =
@@ -151,7 +151,7 @@
     }
 
     /// Returns all handles that were made and not yet given up, with their stages.
-    pub fn take_all(&mut self) -> Vec<(usize, Vec<Arc<str>>)> {
+    pub fn take_remaining(&mut self) -> Vec<(usize, Vec<Arc<str>>)> {
         let mut all = Vec::new();
         for (stage, progress) in self.progress.iter_mut().enumerate() {
             if let Progress::Done(handles) = progress
--- a/crates/fernring-gateway/src/decide/throughput.rs
+++ b/crates/fernring-gateway/src/decide/throughput.rs
@@ -7,7 +7,7 @@
     crate::{
         backlog::{Backlog, RANKS},
         batching::BatchQueue,
-        workers::usual_time,
+        workers::expected_call_time,
         model::BatchShape,
     },
     std::time::Duration,
@@ -22,21 +22,21 @@
 
 /// How the pieces of one service come and go.
 #[derive(Debug, Default)]
-pub struct Flow {
+pub struct ServiceThroughput {
     /// By rank.
-    arrivals: [Arrivals; RANKS],
-    pace: Pace,
+    arrivals: [ArrivalRate; RANKS],
+    pace: WorkerThroughput,
 }
 
-impl Flow {
+impl ServiceThroughput {
     /// Takes in that pieces of a rank came that can be in time.
-    pub fn came(&mut self, now: Duration, rank: usize, pieces: u32) {
+    pub fn record_arrivals(&mut self, now: Duration, rank: usize, pieces: u32) {
         self.arrivals[rank].add(now, pieces);
     }
 
     /// Takes in a call that left pieces behind for want of places or room.
-    pub fn called(&mut self, shape: &BatchShape, pieces: usize, took: Duration) {
-        self.pace.called(pieces, took, said_pace(shape));
+    pub fn record_saturated_call(&mut self, shape: &BatchShape, pieces: usize, took: Duration) {
+        self.pace.record_saturated_call(pieces, took, said_pace(shape));
     }
 
     /// Returns the backlog of the service, of which a number of whole makers take work.
@@ -47,7 +47,7 @@
         makers: f64,
         queue: Option<&BatchQueue>,
     ) -> Backlog {
-        let (waiting, late) = queue.map(|queue| queue.counts(now, shape)).unwrap_or_default();
+        let (waiting, late) = queue.map(|queue| queue.count_waiting(now, shape)).unwrap_or_default();
         Backlog {
             rate_per_s: self.pace.per_s(said_pace(shape)) * makers,
             arrivals_per_s: self.arrivals.each_ref().map(|arrivals| arrivals.per_s(now)),
@@ -59,17 +59,17 @@
 
 /// Pieces a second of one maker in full calls, by what is said of it.
 fn said_pace(shape: &BatchShape) -> f64 {
-    shape.pieces_max as f64 / usual_time(shape, shape.pieces_max).as_secs_f64()
+    shape.pieces_max as f64 / expected_call_time(shape, shape.pieces_max).as_secs_f64()
 }
 
 /// Counts arrivals with a memory that fades.
 #[derive(Debug, Default)]
-pub struct Arrivals {
+pub struct ArrivalRate {
     count: f64,
     counted_at: Duration,
 }
 
-impl Arrivals {
+impl ArrivalRate {
     /// Counts pieces that came.
     pub fn add(&mut self, now: Duration, pieces: u32) {
         self.count = self.fading(now) + f64::from(pieces);
@@ -89,13 +89,13 @@
 
 /// Pieces a second of one maker while more wait than it can take, as learned from its service's calls.
 #[derive(Debug, Default)]
-pub struct Pace {
+pub struct WorkerThroughput {
     learned: Option<f64>,
 }
 
-impl Pace {
+impl WorkerThroughput {
     /// Takes in a call that left pieces behind for want of places or room.
-    pub fn called(&mut self, pieces: usize, took: Duration, said: f64) {
+    pub fn record_saturated_call(&mut self, pieces: usize, took: Duration, said: f64) {
         let seen = pieces as f64 / took.as_secs_f64().max(0.001);
         let before = self.learned.unwrap_or(said);
         self.learned = Some(before + PACE_WEIGHT * (seen - before));
--- a/crates/fernring-gateway/src/decide/worker_pools.rs
+++ b/crates/fernring-gateway/src/decide/worker_pools.rs
@@ -28,16 +28,16 @@
 
 /// The makers that one owner works with: all of a service, or those of one failure domain.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct MakerPool {
+pub struct WorkerPool {
     /// The service.
     pub service: Arc<str>,
     /// The failure domain, where the service is split.
     pub failure_domain: Option<Arc<str>>,
 }
 
-impl MakerPool {
+impl WorkerPool {
     /// Returns all makers of a service.
-    pub fn whole(service: Arc<str>) -> Self {
+    pub fn unsharded(service: Arc<str>) -> Self {
         Self { service, failure_domain: None }
     }
 
@@ -50,12 +50,12 @@
     }
 
     /// Tells whether makers of a failure domain belong to it.
-    pub fn covers(&self, failure_domain: &str) -> bool {
+    pub fn covers_domain(&self, failure_domain: &str) -> bool {
         self.failure_domain.as_ref().is_none_or(|own| **own == *failure_domain)
     }
 }
 
-impl fmt::Display for MakerPool {
+impl fmt::Display for WorkerPool {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.failure_domain {
             None => f.write_str(&self.service),
@@ -80,12 +80,12 @@
 
 /// Counts what calls carry, with a memory that fades.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Carried {
+pub struct CallTraffic {
     bytes: f64,
     counted_at: Duration,
 }
 
-impl Carried {
+impl CallTraffic {
     /// Counts a call.
     pub fn add(&mut self, now: Duration, bytes: usize) {
         self.bytes = self.per_s(now) + bytes as f64;
@@ -100,7 +100,7 @@
 }
 
 /// Tells whether a service should be split, or stay so, by what one owner carries of it: the whole, or one of `parts`.
-pub fn shall_split(bytes_per_s: f64, link_bytes_per_s: f64, parts: Option<usize>) -> bool {
+pub fn should_shard(bytes_per_s: f64, link_bytes_per_s: f64, parts: Option<usize>) -> bool {
     match parts {
         None => bytes_per_s > SPLIT_PART * link_bytes_per_s,
         Some(parts) => bytes_per_s * parts as f64 > JOIN_PART * link_bytes_per_s,
@@ -109,19 +109,19 @@
 
 /// The services that are split, as owners say.
 #[derive(Debug, Default)]
-pub struct Splits {
+pub struct ShardedServices {
     until: HashMap<u32, Duration>,
 }
 
-impl Splits {
+impl ShardedServices {
     /// Takes in that an owner says that a service, by its short hash, should be split; tells whether that is news.
-    pub fn said(&mut self, now: Duration, service: u32) -> bool {
+    pub fn record_shard_report(&mut self, now: Duration, service: u32) -> bool {
         self.until.retain(|_, until| now < *until);
         self.until.insert(service, now + SPLIT_TIME).is_none()
     }
 
     /// Tells whether a service is split.
-    pub fn is_split(&self, now: Duration, service: &str) -> bool {
+    pub fn is_sharded(&self, now: Duration, service: &str) -> bool {
         !self.until.is_empty()
             && self.until.get(&short_hash(service)).is_some_and(|until| now < *until)
     }
--- a/crates/fernring-gateway/src/decide/workers.rs
+++ b/crates/fernring-gateway/src/decide/workers.rs
@@ -27,22 +27,22 @@
 const SLOW_TIME: Duration = Duration::from_millis(1_500);
 /// A result that lies at its maker.
 #[derive(Debug)]
-pub struct Kept {
+pub struct StoredResult {
     /// Its size.
     pub bytes: u64,
     /// When it was made.
     pub made_at: Duration,
     /// The node that asked for it.
-    pub asker: SocketAddr,
+    pub requester: SocketAddr,
 }
 
 /// One maker.
 #[derive(Debug, Default)]
-pub struct Maker {
+pub struct Worker {
     /// When the call under way will have ended, about; `None` without one.
     busy_until: Option<Duration>,
     /// The results that lie there, by handle.
-    kept: HashMap<Arc<str>, Kept>,
+    kept: HashMap<Arc<str>, StoredResult>,
     /// Bytes of results that are being made.
     making: u64,
     /// Bytes that something else takes, as a refusal for want of room has shown, and until when
@@ -54,38 +54,38 @@
     slow_at: Duration,
 }
 
-impl Maker {
+impl Worker {
     /// Returns when the call under way will have ended, about; `None` without one.
     pub fn busy_until(&self) -> Option<Duration> {
         self.busy_until
     }
 
     /// Returns the bytes of its room that are taken.
-    pub fn kept_bytes(&self) -> u64 {
+    pub fn used_bytes(&self) -> u64 {
         let unknown = self.unknown.map_or(0, |(bytes, _)| bytes);
         self.kept.values().map(|kept| kept.bytes).sum::<u64>() + self.making + unknown
     }
 
     /// Lists the results that a node asked for.
-    pub fn asked_by(&self, asker: SocketAddr) -> impl Iterator<Item = &Arc<str>> {
-        let theirs = self.kept.iter().filter(move |(_, kept)| kept.asker == asker);
+    pub fn results_requested_by(&self, asker: SocketAddr) -> impl Iterator<Item = &Arc<str>> {
+        let theirs = self.kept.iter().filter(move |(_, kept)| kept.requester == asker);
         theirs.map(|(handle, _)| handle)
     }
 
     /// Takes in that a call began that should end at `ends_at` and makes `bytes`.
-    pub fn call_began(&mut self, ends_at: Duration, bytes: u64) {
+    pub fn record_call_start(&mut self, ends_at: Duration, bytes: u64) {
         self.busy_until = Some(ends_at);
         self.making += bytes;
     }
 
     /// Takes in that the call has ended.
-    pub fn call_ended(&mut self, bytes: u64) {
+    pub fn record_call_end(&mut self, bytes: u64) {
         self.busy_until = None;
         self.making = self.making.saturating_sub(bytes);
     }
 
     /// Takes in how long a call took that should have taken `usual`.
-    pub fn took(&mut self, now: Duration, time: Duration, usual: Duration) {
+    pub fn record_call_time(&mut self, now: Duration, time: Duration, usual: Duration) {
         let is_slow = time > usual.mul_f64(SLOWNESS_MAX);
         self.slow_calls = if is_slow { self.slow_calls + 1 } else { 0 };
         self.slow_at = now;
@@ -96,20 +96,20 @@
     }
 
     /// Takes in a result that lies there.
-    pub fn keep(&mut self, handle: Arc<str>, kept: Kept) {
+    pub fn add_result(&mut self, handle: Arc<str>, kept: StoredResult) {
         self.kept.insert(handle, kept);
     }
 
     /// Takes in that a result was given up.
-    pub fn forget(&mut self, handle: &str) {
+    pub fn remove_result(&mut self, handle: &str) {
         self.kept.remove(handle);
     }
 
     /// Takes in that it refused a piece for want of room though there should be some; tells whether
     /// that is news.
-    pub fn had_no_room(&mut self, now: Duration, shape: &BatchShape) -> bool {
+    pub fn record_capacity_refusal(&mut self, now: Duration, shape: &BatchShape) -> bool {
         let before = self.unknown.map_or(0, |(bytes, _)| bytes);
-        let found = shape.result_room_bytes.saturating_sub(self.kept_bytes());
+        let found = shape.result_room_bytes.saturating_sub(self.used_bytes());
         self.unknown = Some((before + found, now + unknown_for(shape)));
         found > 0
     }
@@ -132,45 +132,45 @@
 }
 
 /// Returns the time that a call takes, by what is said of it.
-pub fn usual_time(shape: &BatchShape, pieces: usize) -> Duration {
+pub fn expected_call_time(shape: &BatchShape, pieces: usize) -> Duration {
     shape.call_time + shape.piece_time * pieces as u32
 }
 
 /// Returns the time after which a call is overdue.
 pub fn overdue_after(shape: &BatchShape, pieces: usize) -> Duration {
-    usual_time(shape, pieces).mul_f64(OVERDUE_PART) + OVERDUE_GRACE
+    expected_call_time(shape, pieces).mul_f64(OVERDUE_PART) + OVERDUE_GRACE
 }
 
 /// All makers that were given work.
 #[derive(Debug, Default)]
-pub struct MakerSet {
-    makers: SecondaryMap<UpstreamKey, Maker>,
+pub struct WorkerSet {
+    makers: SecondaryMap<UpstreamKey, Worker>,
 }
 
-impl MakerSet {
+impl WorkerSet {
     /// Returns a maker, if it was given work before.
-    pub fn get(&self, key: UpstreamKey) -> Option<&Maker> {
+    pub fn get(&self, key: UpstreamKey) -> Option<&Worker> {
         self.makers.get(key)
     }
 
     /// Returns a maker, if it was given work before.
-    pub fn get_mut(&mut self, key: UpstreamKey) -> Option<&mut Maker> {
+    pub fn get_mut(&mut self, key: UpstreamKey) -> Option<&mut Worker> {
         self.makers.get_mut(key)
     }
 
     /// Returns a maker; `None` if its key is no longer in use.
-    pub fn of(&mut self, key: UpstreamKey) -> Option<&mut Maker> {
+    pub fn get_or_create(&mut self, key: UpstreamKey) -> Option<&mut Worker> {
         Some(self.makers.entry(key)?.or_default())
     }
 
     /// Lists all makers.
-    pub fn iter(&self) -> impl Iterator<Item = (UpstreamKey, &Maker)> {
+    pub fn iter(&self) -> impl Iterator<Item = (UpstreamKey, &Worker)> {
         self.makers.iter()
     }
 
     /// Lists those of some makers that could start a call, in the order given, with the room that each
     /// has for results. Slow makers are left out for a while, unless all are.
-    pub fn free(
+    pub fn free_workers(
         &mut self,
         now: Duration,
         keys: &[UpstreamKey],
@@ -188,7 +188,7 @@
             !is_busy && (!any_fast || !is_slow(key))
         };
         let room = |key: &UpstreamKey| {
-            let kept = self.makers.get(*key).map_or(0, Maker::kept_bytes);
+            let kept = self.makers.get(*key).map_or(0, Worker::used_bytes);
             (*key, shape.result_room_bytes.saturating_sub(kept))
         };
         keys.iter().filter(is_free).map(room).collect()
--- a/crates/fernring-gateway/src/lib.rs
+++ b/crates/fernring-gateway/src/lib.rs
@@ -9,12 +9,12 @@
 //! traits of [`wire`]. Everything runs on one thread.
 //!
 //! ```
-//! use fernring_gateway::{attempts::{Attempts, SendEnd}, model::Repeat};
+//! use fernring_gateway::{attempts::{Attempts, SendOutcome}, model::Repeat};
 //!
 //! let mut attempts = Attempts::new(Repeat::Never, 2);
-//! attempts.ended(SendEnd::Refused);
+//! attempts.record_failure(SendOutcome::Refused);
 //! assert!(attempts.may_send(), "a refused request has not run");
-//! attempts.ended(SendEnd::Unknown);
+//! attempts.record_failure(SendOutcome::Unknown);
 //! assert!(!attempts.may_send() && attempts.not_run().is_none());
 //! ```
 
--- a/crates/fernring-gateway/src/owner/calls.rs
+++ b/crates/fernring-gateway/src/owner/calls.rs
@@ -3,16 +3,16 @@
 use {
     super::{Owner, outcomes::has_further_call},
     crate::{
-        backlog::{RANKS, rank},
-        eligibility::Barred,
-        batching::{Batch, BatchQueue, Bound, Task},
+        backlog::{RANKS, rank_index},
+        eligibility::Ineligible,
+        batching::{Batch, BatchQueue, BatchLimit, QueuedPiece},
         connections::{BreakOff, SendFailure},
-        crash_detection::Break,
+        crash_detection::Disconnect,
         log,
-        workers::{Maker, overdue_after, usual_time},
+        workers::{Worker, overdue_after, expected_call_time},
         measures,
         model::{BatchShape, Piece, PieceOutcome, Service, UpstreamKey},
-        worker_pools::MakerPool,
+        worker_pools::WorkerPool,
         residency::Residency,
         upstreams::{Sending, Target},
     },
@@ -36,18 +36,18 @@
 impl Owner {
     pub(super) fn start_call(
         self: &Rc<Self>,
-        pool: &MakerPool,
+        pool: &WorkerPool,
         service: &Service,
         shape: BatchShape,
         target: Target,
         batch: Batch,
     ) {
-        let Batch { tasks, bound } = batch;
+        let Batch { pieces: tasks, limit: bound } = batch;
         let bytes: u64 = tasks.iter().map(|task| task.result_bytes).sum();
         let started = self.now();
-        let usual = usual_time(&shape, tasks.len());
-        if let Some(maker) = self.makers.borrow_mut().of(target.key) {
-            maker.call_began(started + usual, bytes);
+        let usual = expected_call_time(&shape, tasks.len());
+        if let Some(maker) = self.makers.borrow_mut().get_or_create(target.key) {
+            maker.record_call_start(started + usual, bytes);
         }
         let owner = self.clone();
         let connections_max = service.connections_max;
@@ -59,15 +59,15 @@
             owner.log_call(&pool, &target, &tasks, started, waiting, bound);
             let now = owner.now();
             if let Some(maker) = owner.makers.borrow_mut().get_mut(target.key) {
-                maker.call_ended(bytes);
+                maker.record_call_end(bytes);
                 if end.is_ok() {
-                    maker.took(now, now.saturating_sub(started), usual);
+                    maker.record_call_time(now, now.saturating_sub(started), usual);
                 }
             }
-            if end.is_ok() && matches!(bound, Bound::Places | Bound::Room) {
+            if end.is_ok() && matches!(bound, BatchLimit::Slots | BatchLimit::FreeBytes) {
                 let took = now.saturating_sub(started);
                 let mut flows = owner.flows.borrow_mut();
-                flows.entry(pool.clone()).or_default().called(&shape, tasks.len(), took);
+                flows.entry(pool.clone()).or_default().record_saturated_call(&shape, tasks.len(), took);
             }
             let has_ended = match &end {
                 Err(CallFailure::Broken(why)) => owner.has_ended(&target, &tasks, why).await,
@@ -79,14 +79,14 @@
     }
 
     /// Finds out whether a call broke off because its maker has ended.
-    async fn has_ended(&self, target: &Target, tasks: &[Task], why: &BreakOff) -> bool {
+    async fn has_ended(&self, target: &Target, tasks: &[QueuedPiece], why: &BreakOff) -> bool {
         let Some(how) = why.how else {
             return false;
         };
-        let first = tasks.first().map(|task| task.content);
-        let is_alone = tasks.iter().all(|task| Some(task.content) == first);
+        let first = tasks.first().map(|task| task.fingerprint);
+        let is_alone = tasks.iter().all(|task| Some(task.fingerprint) == first);
         self.blame.broke(target, how, first.filter(|_| is_alone));
-        how == Break::Closed && self.blame.has_upstream_ended(target.key).await
+        how == Disconnect::Closed && self.blame.has_upstream_ended(target.key).await
     }
 
     /// Waits for a call's end; once it is overdue, its pieces are given to another maker as well.
@@ -94,10 +94,10 @@
     async fn watched<T>(
         self: &Rc<Self>,
         call: impl Future<Output = T>,
-        pool: &MakerPool,
+        pool: &WorkerPool,
         target: &Target,
         shape: &BatchShape,
-        tasks: &[Task],
+        tasks: &[QueuedPiece],
     ) -> (T, bool) {
         if !self.rules.get().copies {
             return (call.await, false);
@@ -111,7 +111,7 @@
         let line = line.with("upstream", &target.instance).with("pieces", tasks.len());
         log::info(line.with("after_ms", patience.as_millis()));
         for task in tasks.iter().filter(|task| has_further_call(task)) {
-            self.put_back(pool, Task { calls: task.calls + 1, ..task.clone() });
+            self.put_back(pool, QueuedPiece { calls: task.calls + 1, ..task.clone() });
         }
         self.pump(pool);
         (call.await, true)
@@ -119,15 +119,15 @@
 
     fn log_call(
         &self,
-        pool: &MakerPool,
+        pool: &WorkerPool,
         target: &Target,
-        tasks: &[Task],
+        tasks: &[QueuedPiece],
         started: Duration,
         waiting: usize,
-        bound: Bound,
+        bound: BatchLimit,
     ) {
         measures::batch_called(&pool.service, tasks.len(), waiting);
-        let kept = self.makers.borrow().get(target.key).map_or(0, Maker::kept_bytes);
+        let kept = self.makers.borrow().get(target.key).map_or(0, Worker::used_bytes);
         let line = LogLine::event("stage_call")
             .with("service", &pool.service)
             .with_some("of_domain", pool.failure_domain.as_ref())
@@ -140,37 +140,37 @@
         log::info(line);
     }
 
-    fn count_carried(&self, pool: &MakerPool, bytes: usize) {
+    fn count_carried(&self, pool: &WorkerPool, bytes: usize) {
         let mut carried = self.carried.borrow_mut();
         carried.entry(pool.clone()).or_default().add(self.now(), bytes);
     }
 
     async fn call(
         &self,
-        pool: &MakerPool,
+        pool: &WorkerPool,
         target: &Target,
         connections_max: u32,
         shape: &BatchShape,
-        tasks: &[Task],
+        tasks: &[QueuedPiece],
     ) -> Result<Vec<PieceOutcome>, CallFailure> {
         let now = self.now();
-        let piece = |task: &Task| Piece {
+        let piece = |task: &QueuedPiece| Piece {
             remaining: task.deadline_at.saturating_sub(now),
             ..task.piece.clone()
         };
         let pieces: Vec<_> = tasks.iter().map(piece).collect();
         let call = self.wire.encode_batch(&pieces);
         self.count_carried(pool, call.body.len());
-        let ranks = tasks.iter().map(|task| rank(task.priority));
+        let ranks = tasks.iter().map(|task| rank_index(task.priority));
         let sending = Sending {
             request: self.request(target, call.path, call.body),
             rank: ranks.min().unwrap_or(0),
             residency: tasks
                 .iter()
-                .fold(Residency::default(), |all, task| all.and(&task.residency)),
+                .fold(Residency::default(), |all, task| all.intersect(&task.residency)),
             connections_max,
         };
-        let expected = usual_time(shape, tasks.len());
+        let expected = expected_call_time(shape, tasks.len());
         let trial = self.rollouts.began_call(&pool.service, target);
         let exchange = async {
             let answer = self.upstreams.send(target, sending).await?;
@@ -259,7 +259,7 @@
     NotSent(String),
     /// Nothing was written, since the upstream may get nothing new.
     #[error("{0}")]
-    Barred(Barred),
+    Barred(Ineligible),
     /// The upstream refused it.
     #[error("refused")]
     Refused,
--- a/crates/fernring-gateway/src/owner/mod.rs
+++ b/crates/fernring-gateway/src/owner/mod.rs
@@ -11,21 +11,21 @@
 
 use {
     crate::{
-        backlog::{Backlog, rank},
-        eligibility::Barred,
-        batching::{BatchQueue, Makers, Taker, Task},
+        backlog::{Backlog, rank_index},
+        eligibility::Ineligible,
+        batching::{BatchQueue, DomainWorkers, TargetWorker, QueuedPiece},
         blame::Blame,
         config::ConfigState,
         content::ContentKey,
         directory::Effect,
-        throughput::Flow,
-        workers::{Maker, MakerSet, usual_time},
+        throughput::ServiceThroughput,
+        workers::{Worker, WorkerSet, expected_call_time},
         model::{BatchShape, Piece, PieceInput, Service, UpstreamKey, short_hash},
         peers::Peers,
-        worker_pools::{Carried, MakerPool, shall_split},
+        worker_pools::{CallTraffic, WorkerPool, should_shard},
         residency::Residency,
         rollout::shell::Rollouts,
-        dispatch_round::{LeftAlone, MakersByDomain},
+        dispatch_round::{UnservedCapacity, WorkersByDomain},
         selection::Candidate,
         settings::DecideSettings,
         upstreams::{Upstreams, maker_address},
@@ -55,7 +55,7 @@
 #[derive(Debug, Clone)]
 pub struct Work {
     /// The makers that may do the work.
-    pub pool: MakerPool,
+    pub pool: WorkerPool,
     /// The request.
     pub request_id: Arc<str>,
     /// What the request asks.
@@ -123,7 +123,7 @@
 struct OpenWork {
     reply: Reply,
     handles: Vec<Option<Arc<str>>>,
-    pool: MakerPool,
+    pool: WorkerPool,
     content: ContentKey,
 }
 
@@ -157,12 +157,12 @@
     blame: Rc<Blame>,
     rollouts: Rc<Rollouts>,
     rules: Rc<Cell<DecideSettings>>,
-    queues: RefCell<BTreeMap<MakerPool, BatchQueue>>,
-    flows: RefCell<BTreeMap<MakerPool, Flow>>,
+    queues: RefCell<BTreeMap<WorkerPool, BatchQueue>>,
+    flows: RefCell<BTreeMap<WorkerPool, ServiceThroughput>>,
     /// What the calls of each pool carry.
-    carried: RefCell<BTreeMap<MakerPool, Carried>>,
+    carried: RefCell<BTreeMap<WorkerPool, CallTraffic>>,
     works: RefCell<HashMap<u64, OpenWork>>,
-    makers: RefCell<MakerSet>,
+    makers: RefCell<WorkerSet>,
     releases: RefCell<HashMap<UpstreamKey, Vec<Arc<str>>>>,
     next_work: Cell<u64>,
 }
@@ -208,7 +208,7 @@
         if work.due_at > now {
             let mut flows = self.flows.borrow_mut();
             let flow = flows.entry(work.pool.clone()).or_default();
-            flow.came(now, rank(work.priority), work.pieces);
+            flow.record_arrivals(now, rank_index(work.priority), work.pieces);
         }
         // A suspect has no company that would have to share the blame.
         let is_apart = self.blame.is_suspect(work.content);
@@ -221,14 +221,14 @@
     }
 
     /// Returns what waits for some makers; `None` if their service is no stage service.
-    pub fn backlog(&self, pool: &MakerPool) -> Option<Backlog> {
+    pub fn backlog(&self, pool: &WorkerPool) -> Option<Backlog> {
         let (_, shape) = self.service(&pool.service)?;
         Some(self.backlog_before(pool, &shape, &self.usable_makers(pool)))
     }
 
     fn backlog_before(
         &self,
-        pool: &MakerPool,
+        pool: &WorkerPool,
         shape: &BatchShape,
         makers: &[UpstreamKey],
     ) -> Backlog {
@@ -240,9 +240,9 @@
     }
 
     /// Returns the backlogs of all makers that had work here, or were asked about.
-    pub fn backlogs(&self) -> Vec<(MakerPool, Backlog)> {
+    pub fn backlogs(&self) -> Vec<(WorkerPool, Backlog)> {
         let pools: Vec<_> = self.flows.borrow().keys().cloned().collect();
-        let with_backlog = |pool: MakerPool| {
+        let with_backlog = |pool: WorkerPool| {
             let backlog = self.backlog(&pool)?;
             Some((pool, backlog))
         };
@@ -265,7 +265,7 @@
     pub fn release_of(&self, asker: SocketAddr) {
         let mut releases = self.releases.borrow_mut();
         for (key, maker) in self.makers.borrow().iter() {
-            let handles: Vec<_> = maker.asked_by(asker).cloned().collect();
+            let handles: Vec<_> = maker.results_requested_by(asker).cloned().collect();
             if !handles.is_empty() {
                 releases.entry(key).or_default().extend(handles);
             }
@@ -321,7 +321,7 @@
     fn forget(&self, key: UpstreamKey, handles: &[Arc<str>]) {
         if let Some(maker) = self.makers.borrow_mut().get_mut(key) {
             for handle in handles {
-                maker.forget(handle);
+                maker.remove_result(handle);
             }
         }
     }
@@ -343,7 +343,7 @@
     }
 
     /// Starts calls while pieces wait and upstreams are free.
-    fn pump(self: &Rc<Self>, pool: &MakerPool) {
+    fn pump(self: &Rc<Self>, pool: &WorkerPool) {
         let Some((service, shape)) = self.service(&pool.service) else {
             self.fail_all(pool);
             return;
@@ -365,8 +365,8 @@
         }
         self.drop_turned_away();
         self.drop_expired(pool, &shape, &makers);
-        let mut known = MakersByDomain::default();
-        let mut left = LeftAlone::default();
+        let mut known = WorkersByDomain::default();
+        let mut left = UnservedCapacity::default();
         for (key, room) in self.free_makers(&makers, &shape) {
             let Some(target) = self.upstreams.target(key) else {
                 continue;
@@ -375,7 +375,7 @@
                 continue;
             }
             let domain = target.failure_domain.clone();
-            if left.covers(&domain, room) {
+            if left.is_unserved(&domain, room) {
                 continue;
             }
             let now = self.now();
@@ -383,22 +383,22 @@
                 Some(queue) if queue.is_empty() => return,
                 Some(queue) => {
                     let makers_in =
-                        |domain: &str| known.get(domain, || self.makers_in(pool, domain));
-                    let taker = Taker {
+                        |domain: &str| known.get_or_count(domain, || self.makers_in(pool, domain));
+                    let taker = TargetWorker {
                         failure_domain: &target.failure_domain,
-                        room_bytes: room,
-                        makers: makers.len(),
+                        free_bytes: room,
+                        workers: makers.len(),
                     };
-                    queue.take(now, &shape, taker, &self.rules.get(), makers_in)
+                    queue.take_batch(now, &shape, taker, &self.rules.get(), makers_in)
                 }
                 None => return,
             };
-            if batch.tasks.is_empty() {
-                left.nothing_for(domain, room);
+            if batch.pieces.is_empty() {
+                left.record_unserved(domain, room);
                 continue;
             }
             // One more of them is busy.
-            known.forget(&domain);
+            known.invalidate(&domain);
             self.rollouts.count_call(&pool.service, &target);
             self.start_call(pool, &service, shape, target, batch);
         }
@@ -410,7 +410,7 @@
         Some((service.clone(), service.batch?))
     }
 
-    fn fail_all(&self, pool: &MakerPool) {
+    fn fail_all(&self, pool: &WorkerPool) {
         let Some(queue) = self.queues.borrow_mut().remove(pool) else {
             return;
         };
@@ -428,7 +428,7 @@
     }
 
     /// Ends the works of which pieces wait: nobody may make them here, and who asked is told now.
-    fn end_waiting(&self, pool: &MakerPool, end: &WorkEnd) {
+    fn end_waiting(&self, pool: &WorkerPool, end: &WorkEnd) {
         let waiting = self.queues.borrow().get(pool).map(BatchQueue::works).unwrap_or_default();
         for work in waiting {
             self.end_work(work, end.clone());
@@ -449,7 +449,7 @@
         }
     }
 
-    fn drop_expired(&self, pool: &MakerPool, shape: &BatchShape, makers: &[UpstreamKey]) {
+    fn drop_expired(&self, pool: &WorkerPool, shape: &BatchShape, makers: &[UpstreamKey]) {
         let now = self.now();
         let backlog = self.backlog_before(pool, shape, makers);
         let expired = match self.queues.borrow_mut().get_mut(pool) {
@@ -464,14 +464,14 @@
 
     /// Lists those of some makers that could start a call, and the room that each has for results.
     fn free_makers(&self, makers: &[UpstreamKey], shape: &BatchShape) -> Vec<(UpstreamKey, u64)> {
-        let mut free = self.makers.borrow_mut().free(self.now(), makers, shape);
+        let mut free = self.makers.borrow_mut().free_workers(self.now(), makers, shape);
         free.shuffle(&mut rand::rng());
         free
     }
 
     /// Lists the makers that take work. Others that are merely busy come free soon, so one that is
     /// avoided or cold waits for them.
-    fn usable_makers(&self, pool: &MakerPool) -> Vec<UpstreamKey> {
+    fn usable_makers(&self, pool: &WorkerPool) -> Vec<UpstreamKey> {
         let is_silent = |domain: &str| self.peers.is_silent(domain);
         let anywhere = Residency::default();
         let mut candidates =
@@ -479,7 +479,7 @@
         if pool.failure_domain.is_some() {
             let directory = self.upstreams.directory();
             let domain_of = |key| directory.get(key).map(|u| u.record.failure_domain.clone());
-            candidates.retain(|c| domain_of(c.key).is_some_and(|domain| pool.covers(&domain)));
+            candidates.retain(|c| domain_of(c.key).is_some_and(|domain| pool.covers_domain(&domain)));
         }
         let is_sound = |candidate: &&Candidate| !candidate.is_avoided && !candidate.is_cold;
         let any_sound = candidates.iter().any(|candidate| is_sound(&candidate));
@@ -489,15 +489,15 @@
 
     /// Returns how many makers without a limit make as much as those that are usable, and those whose limit is used up now. A
     /// limit that counted as a whole maker would have requests promised that wait for its turns until they are late.
-    fn whole_makers(&self, pool: &MakerPool, shape: &BatchShape, usable: &[UpstreamKey]) -> f64 {
-        let call_s = usual_time(shape, shape.pieces_max).as_secs_f64();
+    fn whole_makers(&self, pool: &WorkerPool, shape: &BatchShape, usable: &[UpstreamKey]) -> f64 {
+        let call_s = expected_call_time(shape, shape.pieces_max).as_secs_f64();
         let directory = self.upstreams.directory();
         let share = |key: UpstreamKey| {
             let upstream = directory.get(key)?;
             let limit = self.upstreams.limit_of(&upstream.record);
             let waits = || {
-                let is_covered = pool.covers(&upstream.record.failure_domain);
-                is_covered && self.upstreams.may_send(key) == Err(Barred::Limited)
+                let is_covered = pool.covers_domain(&upstream.record.failure_domain);
+                is_covered && self.upstreams.may_send(key) == Err(Ineligible::Limited)
             };
             (usable.contains(&key) || waits()).then(|| limit.map_or(1.0, |l| (l * call_s).min(1.0)))
         };
@@ -531,14 +531,14 @@
     /// split. `is_own` tells whether it owns a pool, `link_bytes_per_s` what its link carries.
     pub fn to_be_split(
         &self,
-        is_own: impl Fn(&MakerPool) -> bool,
+        is_own: impl Fn(&WorkerPool) -> bool,
         link_bytes_per_s: f64,
     ) -> Vec<u32> {
         let now = self.now();
-        let shall_split = |pool: &MakerPool, carried: &Carried| {
+        let shall_split = |pool: &WorkerPool, carried: &CallTraffic| {
             let parts = || self.makers_by_domain(&pool.service).len();
             let parts = pool.failure_domain.as_ref().map(|_| parts());
-            shall_split(carried.per_s(now), link_bytes_per_s, parts)
+            should_shard(carried.per_s(now), link_bytes_per_s, parts)
         };
         let carried = self.carried.borrow();
         let split =
@@ -549,8 +549,8 @@
     }
 
     /// The makers of a pool in a failure domain; `None` if there are none.
-    fn makers_in(&self, pool: &MakerPool, failure_domain: &str) -> Option<Makers> {
-        if !pool.covers(failure_domain) {
+    fn makers_in(&self, pool: &WorkerPool, failure_domain: &str) -> Option<DomainWorkers> {
+        if !pool.covers_domain(failure_domain) {
             return None;
         }
         let directory = self.upstreams.directory();
@@ -559,10 +559,10 @@
             *upstream.record.failure_domain == *failure_domain
                 && self.upstreams.may_send(*key).is_ok()
         });
-        let free_at = |key| makers.get(key).and_then(Maker::busy_until).unwrap_or_default();
+        let free_at = |key| makers.get(key).and_then(Worker::busy_until).unwrap_or_default();
         let times: Vec<_> = there.map(|(key, _)| free_at(key)).collect();
         let free_at = *times.iter().min()?;
-        Some(Makers { count: times.len(), free_at })
+        Some(DomainWorkers { count: times.len(), free_at })
     }
 
     fn now(&self) -> Duration {
@@ -575,11 +575,11 @@
     drop(reply.send(end));
 }
 
-fn task(work_id: u64, work: &Work, number: u32, is_apart: bool) -> Task {
-    Task {
+fn task(work_id: u64, work: &Work, number: u32, is_apart: bool) -> QueuedPiece {
+    QueuedPiece {
         work: work_id,
-        content: work.content,
-        is_apart,
+        fingerprint: work.content,
+        is_isolated: is_apart,
         piece: Piece {
             request_id: work.request_id.clone(),
             stage: work.stage,
@@ -588,12 +588,12 @@
             remaining: Duration::ZERO,
         },
         due_at: work.due_at,
-        near: work.near.clone(),
+        consumer_domain: work.near.clone(),
         deadline_at: work.deadline_at,
         priority: work.priority,
         result_bytes: (work.result_bytes as f64 * RESULT_SIZE_MARGIN) as u64,
         residency: work.residency.clone(),
-        asker: work.asker,
+        requester: work.asker,
         calls: 0,
     }
 }
--- a/crates/fernring-gateway/src/owner/outcomes.rs
+++ b/crates/fernring-gateway/src/owner/outcomes.rs
@@ -3,12 +3,12 @@
 use {
     super::{Owner, WorkEnd, calls::CallFailure, reply},
     crate::{
-        eligibility::Barred,
-        batching::{CALLS_MAX, Task},
+        eligibility::Ineligible,
+        batching::{CALLS_PER_PIECE_MAX, QueuedPiece},
         log,
-        workers::Kept,
+        workers::StoredResult,
         model::PieceOutcome,
-        worker_pools::MakerPool,
+        worker_pools::WorkerPool,
         upstreams::Target,
     },
     fernring_core::text::LogLine,
@@ -18,16 +18,16 @@
 impl Owner {
     pub(super) fn call_ended(
         &self,
-        pool: &MakerPool,
+        pool: &WorkerPool,
         target: &Target,
-        tasks: Vec<Task>,
+        tasks: Vec<QueuedPiece>,
         end: Result<Vec<PieceOutcome>, CallFailure>,
         was_overdue: bool,
         has_ended: bool,
     ) {
         let now = self.now();
         // Of these, another copy waits or is in a call already.
-        let goes_on = |task: &Task| was_overdue && has_further_call(task);
+        let goes_on = |task: &QueuedPiece| was_overdue && has_further_call(task);
         let outcomes = match end {
             Ok(outcomes) => {
                 self.upstreams.succeeded(target.key);
@@ -48,20 +48,20 @@
                     .with("pieces", tasks.len())
                     .with("error", &failure);
                 log::warn(line);
-                if matches!(failure, CallFailure::Barred(Barred::OutsideRegions)) {
+                if matches!(failure, CallFailure::Barred(Ineligible::OutsideRegions)) {
                     // The region of this failure domain has changed since they were handed in: who asked chooses anew.
                     tasks.iter().for_each(|task| self.end_work(task.work, WorkEnd::NoMakers));
                     return;
                 }
-                let first = tasks.first().map(|task| task.content);
-                let has_company = tasks.iter().any(|task| Some(task.content) != first);
+                let first = tasks.first().map(|task| task.fingerprint);
+                let has_company = tasks.iter().any(|task| Some(task.fingerprint) != first);
                 let is_company_ended = has_ended && has_company;
                 // What another request did to the maker doesn't count among the calls of a piece.
                 let was_sent = !matches!(failure, CallFailure::NotSent(_) | CallFailure::Barred(_));
                 let counts = was_sent && !is_company_ended;
                 for task in tasks.into_iter().filter(|task| !goes_on(task)) {
-                    let is_apart = task.is_apart || is_company_ended;
-                    self.retry(pool, Task { is_apart, ..task }, counts);
+                    let is_apart = task.is_isolated || is_company_ended;
+                    self.retry(pool, QueuedPiece { is_isolated: is_apart, ..task }, counts);
                 }
                 return;
             }
@@ -74,7 +74,7 @@
         }
     }
 
-    fn piece_ended(&self, pool: &MakerPool, target: &Target, task: Task, outcome: PieceOutcome) {
+    fn piece_ended(&self, pool: &WorkerPool, target: &Target, task: QueuedPiece, outcome: PieceOutcome) {
         match outcome {
             PieceOutcome::Made(handle) => self.piece_made(pool, target, &task, handle),
             PieceOutcome::Late => self.end_work(task.work, WorkEnd::Late),
@@ -87,10 +87,10 @@
         }
     }
 
-    fn piece_made(&self, pool: &MakerPool, target: &Target, task: &Task, handle: Arc<str>) {
+    fn piece_made(&self, pool: &WorkerPool, target: &Target, task: &QueuedPiece, handle: Arc<str>) {
         if let Some(maker) = self.makers.borrow_mut().get_mut(target.key) {
-            let kept = Kept { bytes: task.result_bytes, made_at: self.now(), asker: task.asker };
-            maker.keep(handle.clone(), kept);
+            let kept = StoredResult { bytes: task.result_bytes, made_at: self.now(), requester: task.requester };
+            maker.add_result(handle.clone(), kept);
         }
         let mut works = self.works.borrow_mut();
         let Some(work) = works.get_mut(&task.work) else {
@@ -107,7 +107,7 @@
         }
         *place = Some(handle);
         if let Some(queue) = self.queues.borrow_mut().get_mut(pool) {
-            queue.drop_piece(task.work, task.piece.number);
+            queue.remove_piece(task.work, task.piece.number);
         }
         if work.handles.iter().any(Option::is_none) {
             return;
@@ -123,7 +123,7 @@
 
     /// Takes in that a maker has less room than is known here: another owner's results lie there,
     /// or results are larger than they were said to be.
-    fn had_no_room(&self, pool: &MakerPool, target: &Target, task: &Task) {
+    fn had_no_room(&self, pool: &WorkerPool, target: &Target, task: &QueuedPiece) {
         let Some((_, shape)) = self.service(&pool.service) else {
             return;
         };
@@ -131,8 +131,8 @@
         let Some(maker) = makers.get_mut(target.key) else {
             return;
         };
-        let known = maker.kept_bytes();
-        if maker.had_no_room(self.now(), &shape) {
+        let known = maker.used_bytes();
+        if maker.record_capacity_refusal(self.now(), &shape) {
             let line = LogLine::event("maker_full").with("upstream", &target.instance);
             let line = line.with("service", &pool.service).with("kept_bytes", known);
             log::info(line.with("result_bytes", task.result_bytes));
@@ -141,25 +141,25 @@
 
     /// Puts a piece back whose call failed, or fails its work. `was_sent` says whether the
     /// upstream may have worked on it.
-    fn retry(&self, pool: &MakerPool, mut task: Task, was_sent: bool) {
+    fn retry(&self, pool: &WorkerPool, mut task: QueuedPiece, was_sent: bool) {
         if self.is_made(&task) {
             return;
         }
         task.calls += u32::from(was_sent);
-        match task.calls < CALLS_MAX {
+        match task.calls < CALLS_PER_PIECE_MAX {
             true => self.put_back(pool, task),
             false => self.end_work(task.work, WorkEnd::Failed),
         }
     }
 
-    pub(super) fn put_back(&self, pool: &MakerPool, task: Task) {
+    pub(super) fn put_back(&self, pool: &WorkerPool, task: QueuedPiece) {
         if !self.is_made(&task) {
             self.queues.borrow_mut().entry(pool.clone()).or_default().push(task);
         }
     }
 
     /// Tells whether a piece's result is there, or not needed any more.
-    fn is_made(&self, task: &Task) -> bool {
+    fn is_made(&self, task: &QueuedPiece) -> bool {
         let works = self.works.borrow();
         let work = works.get(&task.work);
         work.is_none_or(|work| work.handles[task.piece.number as usize].is_some())
@@ -180,6 +180,6 @@
 }
 
 /// Tells whether a piece may go into a further call.
-pub(super) fn has_further_call(task: &Task) -> bool {
-    task.calls + 1 < CALLS_MAX
+pub(super) fn has_further_call(task: &QueuedPiece) -> bool {
+    task.calls + 1 < CALLS_PER_PIECE_MAX
 }
--- a/crates/fernring-gateway/src/retries.rs
+++ b/crates/fernring-gateway/src/retries.rs
@@ -28,13 +28,13 @@
 
     /// Counts requests for a service.
     pub fn count_requests(&self, now: Duration, service: &Arc<str>, count: usize) {
-        self.budget.borrow_mut().count_requests(now, service, count);
+        self.budget.borrow_mut().record_requests(now, service, count);
     }
 
     /// Takes extra sends to a service, or none; tells whether it did.
     pub fn take(&self, now: Duration, service: &Arc<str>, count: usize) -> bool {
         let nodes = self.peers.nodes();
-        let is_taken = self.budget.borrow_mut().take(now, service, count, nodes);
+        let is_taken = self.budget.borrow_mut().try_spend(now, service, count, nodes);
         if !is_taken {
             measures::budget_spent(service);
         }
--- a/crates/fernring-gateway/src/serving/context.rs
+++ b/crates/fernring-gateway/src/serving/context.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        alarm::Alarm, blame::Blame, config::ConfigState, peers::Peers, prefill_speed::ReadingSpeeds,
+        alarm::Alarm, blame::Blame, config::ConfigState, peers::Peers, prefill_speed::PrefillSpeeds,
         retries::Retries, rollout::shell::Rollouts, settings::DecideSettings, stages::Stages,
         upstreams::Upstreams, wire::Wire,
     },
@@ -31,7 +31,7 @@
     /// The stages.
     pub stages: Rc<Stages>,
     /// How fast model engines read, as learned since the start.
-    pub reading: ReadingSpeeds,
+    pub reading: PrefillSpeeds,
     /// The mechanisms of the policy that are on.
     pub rules: Rc<Cell<DecideSettings>>,
     /// The retry budget.
--- a/crates/fernring-gateway/src/serving/exchange/admitting.rs
+++ b/crates/fernring-gateway/src/serving/exchange/admitting.rs
@@ -3,11 +3,11 @@
 use {
     super::Exchange,
     crate::{
-        admission::{Need, StageNeed, Verdict, decide},
-        backlog::rank,
+        admission::{RequestDemand, StageDemand, AdmissionDecision, decide},
+        backlog::rank_index,
         log,
-        workers::usual_time,
-        worker_pools::MakerPool,
+        workers::expected_call_time,
+        worker_pools::WorkerPool,
         refusal::Refusal,
     },
     fernring_core::{code::ResultCode, text::LogLine},
@@ -18,16 +18,16 @@
     /// Decides at arrival whether the request is taken on, and promises its stages what they need.
     pub(super) fn admit(&mut self) -> Result<(), Refusal> {
         let stages = self.route.stages.len();
-        let is_plain = (0..stages).all(|stage| self.plan.count(stage) == 0);
+        let is_plain = (0..stages).all(|stage| self.plan.piece_count(stage) == 0);
         if is_plain || !self.serving.rules.get().admission {
             return Ok(());
         }
         let need = self.need();
         let verdict = decide(&need);
         let (name, forecast) = match verdict {
-            Verdict::InTime(time) => ("in_time", Some(time)),
-            Verdict::Late(time) => ("late", Some(time)),
-            Verdict::Refused(_) => ("refused", None),
+            AdmissionDecision::InTime(time) => ("in_time", Some(time)),
+            AdmissionDecision::Late(time) => ("late", Some(time)),
+            AdmissionDecision::Refused(_) => ("refused", None),
         };
         let line = LogLine::event("admission")
             .with("request", &self.request.id)
@@ -37,14 +37,14 @@
             .with("objective_ms", need.objective_left.as_millis());
         log::info(line);
         self.forecast = forecast;
-        if let Verdict::Refused(after) = verdict {
+        if let AdmissionDecision::Refused(after) = verdict {
             return Err(self.give_up_until(ResultCode::ExpiredInQueue, "overload", after));
         }
         let backlogs = self.serving.stages.backlogs();
-        for stage in (0..stages).filter(|stage| self.plan.count(*stage) > 0) {
-            let (pieces, spec) = (self.plan.count(stage), self.plan.spec(stage));
+        for stage in (0..stages).filter(|stage| self.plan.piece_count(*stage) > 0) {
+            let (pieces, spec) = (self.plan.piece_count(stage), self.plan.spec(stage));
             if let Some(pool) = self.pool_of(&spec.service) {
-                let promise = backlogs.promise(&pool, need.rank, pieces);
+                let promise = backlogs.reserve(&pool, need.rank, pieces);
                 self.promises.insert(stage, promise);
             }
         }
@@ -52,30 +52,30 @@
     }
 
     /// Returns the makers that a stage is likely to be asked of.
-    fn pool_of(&self, service: &Arc<str>) -> Option<MakerPool> {
+    fn pool_of(&self, service: &Arc<str>) -> Option<WorkerPool> {
         self.serving.stages.pool_for(service, None, &self.request.id, &self.residency)
     }
 
-    fn need(&self) -> Need {
+    fn need(&self) -> RequestDemand {
         let held = self.serving.config.borrow().current();
         let now = self.serving.now();
         let stage_need = |stage: usize| {
             let spec = self.plan.spec(stage);
-            let pieces = self.plan.count(stage);
+            let pieces = self.plan.piece_count(stage);
             let backlog = self.pool_of(&spec.service);
             let backlog = backlog.and_then(|pool| self.serving.stages.backlog(&pool));
             let service = held.as_ref().and_then(|held| held.config.services.get(&spec.service));
             let shape = service.and_then(|service| service.batch);
             let ahead = backlog.map_or(0, |backlog| backlog.waiting.iter().sum());
             let call_time = shape.map_or(Duration::ZERO, |shape| {
-                usual_time(&shape, shape.pieces_max.min((pieces + ahead) as usize))
+                expected_call_time(&shape, shape.pieces_max.min((pieces + ahead) as usize))
             });
-            StageNeed { after: spec.after.clone(), pieces, backlog, call_time }
+            StageDemand { after: spec.after.clone(), pieces, backlog, call_time }
         };
-        Need {
-            rank: rank(self.priority()),
+        RequestDemand {
+            rank: rank_index(self.priority()),
             stages: (0..self.route.stages.len()).map(stage_need).collect(),
-            reading_time: self.reading_time(),
+            prefill_time: self.reading_time(),
             objective_left: self.objective_at.saturating_sub(now),
             time_left: self.hold_until.saturating_sub(now),
         }
--- a/crates/fernring-gateway/src/serving/exchange/mod.rs
+++ b/crates/fernring-gateway/src/serving/exchange/mod.rs
@@ -8,10 +8,10 @@
 use {
     crate::{
         attempts::Attempts,
-        backlog::rank,
-        backlogs::Promise,
+        backlog::rank_index,
+        backlogs::Reservation,
         blame::Held,
-        retry_after::come_back,
+        retry_after::retry_after,
         connections::AnswerBody,
         content::ContentKey,
         context::Serving,
@@ -172,7 +172,7 @@
     /// When the first event should come, after the arrival; `None` if that was not forecast.
     forecast: Option<Duration>,
     /// The stages that haven't begun and were promised, by index.
-    promises: HashMap<usize, Promise>,
+    promises: HashMap<usize, Reservation>,
     inputs: Vec<Arc<str>>,
     /// Model engine that the results are made for.
     home: Option<Target>,
@@ -213,7 +213,7 @@
         let service = draw_service(&route);
         let of_workspace = workspace.as_ref().map(|workspace| &workspace.residency);
         let residency =
-            of_workspace.map_or_else(|| route.residency.clone(), |own| route.residency.and(own));
+            of_workspace.map_or_else(|| route.residency.clone(), |own| route.residency.intersect(own));
         Self {
             attempts: Attempts::new(route.repeat, route.attempts_max),
             plan: StagePlan::new(&route.stages, &request.fields.piece_counts),
@@ -297,7 +297,7 @@
         let now = self.serving.now();
         if let Some(reads) = opened.reads.take() {
             let took = now.saturating_sub(reads.sent_at);
-            self.serving.reading.read(&self.service, reads.tokens, took);
+            self.serving.reading.record_prefill(&self.service, reads.tokens, took);
         }
         let passed_on = self.passed_on.get_or_insert(PassedOn {
             first_at: now,
@@ -319,7 +319,7 @@
         if !self.may_send() {
             return Err(self.give_up(ResultCode::StageFailed, "no further send is allowed"));
         }
-        if self.plan.is_released() {
+        if self.plan.has_released_results() {
             self.plan = StagePlan::new(&self.route.stages, &self.request.fields.piece_counts);
             self.hold_until = self.end_at;
             self.make_admitted().await?;
@@ -358,7 +358,7 @@
             };
         };
         let draw = rand::rng().random_range(0.0..1.0);
-        let after = come_back(drained_after, self.time_left(), rank(self.priority()), draw);
+        let after = retry_after(drained_after, self.time_left(), rank_index(self.priority()), draw);
         Refusal::not_run(not_run, code, after, detail)
     }
 
@@ -396,7 +396,7 @@
     }
 
     fn release_all(&mut self) {
-        for (stage, handles) in self.plan.take_all() {
+        for (stage, handles) in self.plan.take_remaining() {
             self.serving.stages.release(&self.plan.spec(stage).service, handles, &self.residency);
         }
     }
--- a/crates/fernring-gateway/src/serving/exchange/sending.rs
+++ b/crates/fernring-gateway/src/serving/exchange/sending.rs
@@ -3,13 +3,13 @@
 use {
     super::{Exchange, GENERATION_LOAD_TOKENS, Opened, Reads},
     crate::{
-        attempts::SendEnd,
+        attempts::SendOutcome,
         connections::{BreakOff, SendFailure},
         log, measures,
         model::{UpstreamFields, UpstreamKey},
         refusal::Refusal,
         rollout::orders::Admits,
-        selection::{Candidate, PromptNeed, choose, choose_model},
+        selection::{Candidate, PromptDemand, choose, choose_model},
         upstreams::{Sending, Target},
     },
     bytes::Bytes,
@@ -37,12 +37,12 @@
 
 /// A send that brought no answer to pass on.
 struct Unanswered {
-    end: SendEnd,
+    end: SendOutcome,
     why: BreakOff,
 }
 
 impl Unanswered {
-    fn without_break(end: SendEnd, reason: String) -> Self {
+    fn without_break(end: SendOutcome, reason: String) -> Self {
         Self { end, why: BreakOff { reason, how: None } }
     }
 }
@@ -81,7 +81,7 @@
                 }
                 Err(Unanswered { end, why }) => {
                     self.log_send(&target, end, &why.reason);
-                    self.attempts.ended(end);
+                    self.attempts.record_failure(end);
                     self.judge(&target, end);
                     self.note_break(&target, &why);
                     reason = why.reason;
@@ -104,7 +104,7 @@
 
     /// Takes in that a send brought a head but no whole answer.
     pub fn send_broke(&mut self, opened: &Opened, why: &BreakOff) {
-        self.attempts.ended(SendEnd::Unknown);
+        self.attempts.record_failure(SendOutcome::Unknown);
         if let Some(trial) = &opened.trial {
             trial.failed();
         }
@@ -126,7 +126,7 @@
 
     /// Takes in that an upstream answered, though with a failure of its own.
     pub fn answered_with_failure(&mut self) {
-        self.attempts.ended(SendEnd::Unknown);
+        self.attempts.record_failure(SendOutcome::Unknown);
     }
 
     /// Takes in that an upstream gave a whole answer.
@@ -205,7 +205,7 @@
             return candidates;
         };
         let (ordered, others): (Vec<_>, Vec<_>) =
-            candidates.into_iter().partition(|candidate| candidate.is_ordered);
+            candidates.into_iter().partition(|candidate| candidate.is_rollout_target);
         if ordered.is_empty() {
             return others;
         }
@@ -247,14 +247,14 @@
             .with("is_avoided", chosen.is_some_and(|candidate| candidate.is_avoided))
             .with("is_cold", chosen.is_some_and(|candidate| candidate.is_cold))
             .with("is_home", is_home)
-            .with("reads_per_ms", self.serving.reading.of(&self.service).tokens_in(ONE_MS).round())
+            .with("reads_per_ms", self.serving.reading.for_service(&self.service).tokens_in(ONE_MS).round())
             .with("config", self.serving.config.borrow().version())
             .with("left_ms", self.time_left().as_millis());
         log::info(line);
     }
 
     /// What the request needs of a model engine; `None` if it goes to a plain service.
-    fn prompt_need(&self) -> Option<PromptNeed> {
+    fn prompt_need(&self) -> Option<PromptDemand> {
         if !self.route.prefix_affinity || !self.serving.rules.get().prefixes {
             return None;
         }
@@ -262,12 +262,12 @@
         let shared = parts.len().checked_sub(2).and_then(|index| parts.get(index));
         let own = parts.last()?;
         let time_left = self.objective_at.saturating_sub(self.serving.now());
-        let speed = self.serving.reading.of(&self.service);
-        Some(PromptNeed {
+        let speed = self.serving.reading.for_service(&self.service);
+        Some(PromptDemand {
             prefix: shared.unwrap_or(own).id,
-            own_tokens: f64::from(own.tokens),
-            all_tokens: self.prompt_tokens(),
-            patience_tokens: speed.tokens_in(time_left.mul_f64(READ_PART)),
+            uncached_tokens: f64::from(own.tokens),
+            total_tokens: self.prompt_tokens(),
+            token_budget: speed.tokens_in(time_left.mul_f64(READ_PART)),
             home: self.home.as_ref().map(|home| home.key),
         })
     }
@@ -280,7 +280,7 @@
     /// with the shared parts taken as cached, else 1.
     fn weight(&self) -> f64 {
         match self.prompt_need() {
-            Some(need) => need.own_tokens + GENERATION_LOAD_TOKENS,
+            Some(need) => need.uncached_tokens + GENERATION_LOAD_TOKENS,
             None => 1.0,
         }
     }
@@ -298,7 +298,7 @@
         let (service, route) = (&self.service, &self.route.name);
         let trial = self.serving.rollouts.began(service, target, route, is_first);
         let failed = |unanswered: Unanswered| {
-            if let Some(trial) = trial.as_ref().filter(|_| unanswered.end == SendEnd::Unknown) {
+            if let Some(trial) = trial.as_ref().filter(|_| unanswered.end == SendOutcome::Unknown) {
                 trial.failed();
             }
             unanswered
@@ -310,22 +310,22 @@
             // It hasn't begun to answer there: the upstream may be spared.
             () = self.serving.blame.until_turned_away(self.request.content) => {
                 let why = "turned away meanwhile".to_owned();
-                return Err(Unanswered::without_break(SendEnd::Unknown, why));
+                return Err(Unanswered::without_break(SendOutcome::Unknown, why));
             }
         };
         let answer = match sent {
             None => {
                 let why = BreakOff::silent("no answer in time");
-                return Err(failed(Unanswered { end: SendEnd::Unknown, why }));
+                return Err(failed(Unanswered { end: SendOutcome::Unknown, why }));
             }
             Some(Err(SendFailure::NotSent(why) | SendFailure::NoListener(why))) => {
-                return Err(Unanswered::without_break(SendEnd::NotSent, why));
+                return Err(Unanswered::without_break(SendOutcome::NotSent, why));
             }
             Some(Err(SendFailure::Barred(why))) => {
-                return Err(Unanswered::without_break(SendEnd::Barred, why.to_string()));
+                return Err(Unanswered::without_break(SendOutcome::Ineligible, why.to_string()));
             }
             Some(Err(SendFailure::Broken(why))) => {
-                return Err(failed(Unanswered { end: SendEnd::Unknown, why }));
+                return Err(failed(Unanswered { end: SendOutcome::Unknown, why }));
             }
             Some(Ok(answer)) => answer,
         };
@@ -349,21 +349,21 @@
     }
 
     /// Finds what is wrong with the head of an answer to a request that left at `sent_at`.
-    fn check_head(&self, opened: &mut Opened, sent_at: Duration) -> Option<(SendEnd, String)> {
+    fn check_head(&self, opened: &mut Opened, sent_at: Duration) -> Option<(SendOutcome, String)> {
         let status = opened.head.status;
         let fields = self.serving.wire.decode_answer(status, &opened.head.headers);
         if fields.wrong_instance {
-            return Some((SendEnd::WrongInstance, "another instance is there".to_owned()));
+            return Some((SendOutcome::WrongInstance, "another instance is there".to_owned()));
         }
         if fields.request_id.as_deref() != Some(&*self.request.id) {
-            return Some((SendEnd::Unknown, "the answer is to another request".to_owned()));
+            return Some((SendOutcome::Unknown, "the answer is to another request".to_owned()));
         }
         self.serving.upstreams.said_limit(&opened.target, sent_at, fields.limit);
         if fields.not_run {
-            return Some((SendEnd::Refused, format!("refused with status {status}")));
+            return Some((SendOutcome::Refused, format!("refused with status {status}")));
         }
         if status.is_success() && (!fields.is_signed || fields.is_encoded) {
-            return Some((SendEnd::Unknown, "the answer is not the upstream's own".to_owned()));
+            return Some((SendOutcome::Unknown, "the answer is not the upstream's own".to_owned()));
         }
         if let Some(idle_timeout) = fields.idle_timeout {
             opened.body.set_idle_timeout(idle_timeout);
@@ -388,24 +388,24 @@
         request
     }
 
-    fn judge(&self, target: &Target, end: SendEnd) {
+    fn judge(&self, target: &Target, end: SendOutcome) {
         let now = self.serving.now();
         match end {
-            SendEnd::Refused => self.serving.upstreams.was_full(now, target.key),
+            SendOutcome::Refused => self.serving.upstreams.was_full(now, target.key),
             // It is as well as before.
-            SendEnd::Barred => {}
-            SendEnd::NotSent => self.serving.upstreams.was_unreachable(now, target.key),
-            SendEnd::WrongInstance => {
+            SendOutcome::Ineligible => {}
+            SendOutcome::NotSent => self.serving.upstreams.was_unreachable(now, target.key),
+            SendOutcome::WrongInstance => {
                 self.serving.upstreams.failed(now, target.key);
                 self.serving.blame.replaced(target.key);
             }
-            SendEnd::Unknown => {
+            SendOutcome::Unknown => {
                 self.serving.upstreams.failed(now, target.key);
             }
         }
     }
 
-    fn log_send(&self, target: &Target, end: SendEnd, why: &str) {
+    fn log_send(&self, target: &Target, end: SendOutcome, why: &str) {
         measures::send_ended(&self.service, end.name());
         let line = LogLine::event("send_failed")
             .with("request", &self.request.id)
--- a/crates/fernring-gateway/src/serving/exchange/staging.rs
+++ b/crates/fernring-gateway/src/serving/exchange/staging.rs
@@ -3,7 +3,7 @@
 use {
     super::Exchange,
     crate::{
-        backlog::rank,
+        backlog::rank_index,
         model::{PieceInput, StageSpec},
         owner::{Work, WorkEnd},
         refusal::Refusal,
@@ -60,13 +60,13 @@
 
     /// Lists the services on the request's way.
     fn services(&self) -> impl Iterator<Item = &Arc<str>> {
-        let used = (0..self.route.stages.len()).filter(|stage| self.plan.count(*stage) > 0);
+        let used = (0..self.route.stages.len()).filter(|stage| self.plan.piece_count(*stage) > 0);
         let services = used.map(|stage| &self.plan.spec(stage).service);
         services.chain(std::iter::once(&self.service))
     }
 
     pub(super) async fn make_admitted(&mut self) -> Result<(), Refusal> {
-        if self.serving.rules.get().placing && self.plan.makes_any(NEAR_BYTES_MIN) {
+        if self.serving.rules.get().placing && self.plan.makes_large_results(NEAR_BYTES_MIN) {
             self.home = self.choose_home();
         }
         for _ in 0..STAGE_ROUNDS_MAX {
@@ -120,7 +120,7 @@
                 WorkEnd::Made(handles) => self.plan.finish(stage, handles),
                 other => return other,
             }
-            for (stage, handles) in self.plan.take_spent() {
+            for (stage, handles) in self.plan.take_consumed() {
                 serving.stages.release(&self.plan.spec(stage).service, handles, &self.residency);
             }
         }
@@ -143,7 +143,7 @@
     fn stage_work(&self, stage: usize) -> Option<Work> {
         let spec = self.plan.spec(stage);
         let key = self.request.fields.piece_key.clone().unwrap_or_else(|| Arc::from(""));
-        let input = match self.plan.inputs(stage) {
+        let input = match self.plan.input_handles(stage) {
             Some(handles) => PieceInput::Results(handles.into()),
             None => PieceInput::Key(key),
         };
@@ -159,7 +159,7 @@
             request_id: self.request.id.clone(),
             content: self.request.content,
             stage: stage as u32,
-            pieces: self.plan.count(stage),
+            pieces: self.plan.piece_count(stage),
             input,
             due_at: self.due_at(stage),
             near,
@@ -194,7 +194,7 @@
 
     /// Time that a model engine needs for the whole prompt.
     pub(super) fn reading_time(&self) -> Duration {
-        self.serving.reading.of(&self.service).time_for(self.prompt_tokens())
+        self.serving.reading.for_service(&self.service).time_for(self.prompt_tokens())
     }
 
     /// Failure domain in which a stage's pieces are best made: where its results are read if they
@@ -218,7 +218,7 @@
 
     /// Returns the request's rank as an index.
     pub(super) fn rank(&self) -> usize {
-        rank(self.priority())
+        rank_index(self.priority())
     }
 
     pub(super) fn priority(&self) -> u32 {
--- a/crates/fernring-gateway/src/stages.rs
+++ b/crates/fernring-gateway/src/stages.rs
@@ -9,7 +9,7 @@
         model::PieceInput,
         owner::{Owner, Work, WorkEnd},
         peers::Peers,
-        worker_pools::{MakerPool, Splits, draw_domain},
+        worker_pools::{WorkerPool, ShardedServices, draw_domain},
         residency::Residency,
         upstreams::Upstreams,
     },
@@ -50,9 +50,9 @@
     foreign: RefCell<HashMap<(SocketAddr, u64), u64>>,
     next_ticket: Cell<u64>,
     /// The owner that each service was last asked of, and since when, for the log.
-    owners: RefCell<HashMap<MakerPool, (SocketAddr, Duration)>>,
+    owners: RefCell<HashMap<WorkerPool, (SocketAddr, Duration)>>,
     /// The services that are split between owners.
-    splits: RefCell<Splits>,
+    splits: RefCell<ShardedServices>,
 }
 
 /// Cancels a stage whose request is given up.
@@ -104,7 +104,7 @@
 
     /// Returns the owner of a service, and says so if it isn't the one of before: nodes that name different ones at the
     /// same time split the service's calls.
-    fn owner_of(&self, pool: &MakerPool) -> SocketAddr {
+    fn owner_of(&self, pool: &WorkerPool) -> SocketAddr {
         let owner = self.owner_address(pool);
         let now = self.clock.now().monotonic;
         let mut owners = self.owners.borrow_mut();
@@ -125,25 +125,25 @@
     }
 
     /// Returns what is ahead at some makers, as far as this node knows.
-    pub fn backlog(&self, pool: &MakerPool) -> Option<Backlog> {
+    pub fn backlog(&self, pool: &WorkerPool) -> Option<Backlog> {
         let own = if self.owns(pool) { self.owner.backlog(pool) } else { None };
-        self.backlogs.of(self.clock.now().monotonic, pool, own)
+        self.backlogs.estimate(self.clock.now().monotonic, pool, own)
     }
 
-    fn owns(&self, pool: &MakerPool) -> bool {
+    fn owns(&self, pool: &WorkerPool) -> bool {
         self.owner_address(pool) == self.peers.address()
     }
 
     /// Returns the owner of some makers. Those of a failure domain have one in their own region, since requests that may not
     /// leave it are asked of them; without another node there, each asks them itself.
-    fn owner_address(&self, pool: &MakerPool) -> SocketAddr {
+    fn owner_address(&self, pool: &WorkerPool) -> SocketAddr {
         let what = pool.to_string();
         let regions = self.upstreams.regions();
-        let region = pool.failure_domain.as_ref().and_then(|domain| regions.of(domain));
+        let region = pool.failure_domain.as_ref().and_then(|domain| regions.region_of(domain));
         match region {
             None => self.peers.owner(&what),
             Some(region) => {
-                let is_there = |domain: &str| regions.of(domain) == Some(region);
+                let is_there = |domain: &str| regions.region_of(domain) == Some(region);
                 self.peers.owner_among(&what, is_there).unwrap_or(self.peers.address())
             }
         }
@@ -158,8 +158,8 @@
         near: Option<&Arc<str>>,
         request_id: &str,
         residency: &Residency,
-    ) -> Option<MakerPool> {
-        let whole = MakerPool::whole(service.clone());
+    ) -> Option<WorkerPool> {
+        let whole = WorkerPool::unsharded(service.clone());
         if !self.is_by_domain(service, residency) {
             return Some(whole);
         }
@@ -170,13 +170,13 @@
         if failure_domain.is_none() && residency.is_restricted() {
             return None;
         }
-        Some(MakerPool { failure_domain, ..whole })
+        Some(WorkerPool { failure_domain, ..whole })
     }
 
     /// Tells whether the pieces of a request are handed to the makers of one failure domain.
     fn is_by_domain(&self, service: &str, residency: &Residency) -> bool {
         let now = self.clock.now().monotonic;
-        residency.is_restricted() || self.splits.borrow().is_split(now, service)
+        residency.is_restricted() || self.splits.borrow().is_sharded(now, service)
     }
 
     /// Lists the services, by their short hashes, that are to be split by what this node carries of them.
@@ -189,7 +189,7 @@
     /// Takes in that an owner says that a service, by its short hash, should be split.
     pub fn said_split(&self, service: u32) {
         let now = self.clock.now().monotonic;
-        if self.splits.borrow_mut().said(now, service) {
+        if self.splits.borrow_mut().record_shard_report(now, service) {
             log::info(LogLine::event("service_split").with("service_hash", service));
         }
     }
@@ -198,7 +198,7 @@
     pub fn described(&self, loads_of: LoadsOf) -> Vec<StageLoad> {
         let mut own = self.owner.backlogs();
         own.retain(|(pool, _)| self.owns(pool));
-        self.backlogs.described(self.clock.now().monotonic, own, loads_of)
+        self.backlogs.stage_loads(self.clock.now().monotonic, own, loads_of)
     }
 
     /// Takes in what a peer says of stage services. `contains_own` tells whether sums of its domain contain what
@@ -211,7 +211,7 @@
         contains_own: bool,
     ) {
         let now = self.clock.now().monotonic;
-        self.backlogs.heard(now, peer, loads, loads_of, contains_own);
+        self.backlogs.handle_loads(now, peer, loads, loads_of, contains_own);
     }
 
     /// Has the pieces of a stage made. Dropping the future cancels them.
@@ -273,7 +273,7 @@
         let mut by_owner: HashMap<SocketAddr, Vec<Arc<str>>> = HashMap::new();
         for handle in handles {
             let failure_domain = self.owner.domain_of_maker(service, &handle);
-            let pool = MakerPool { service: service.clone(), failure_domain };
+            let pool = WorkerPool { service: service.clone(), failure_domain };
             by_owner.entry(self.owner_address(&pool)).or_default().push(handle);
         }
         for (owner, handles) in by_owner {
@@ -293,13 +293,13 @@
 
     /// Takes in that nothing more is heard of a peer that owns nothing.
     pub fn unfollowed(&self, peer: SocketAddr) {
-        self.backlogs.lost(peer);
+        self.backlogs.remove_peer(peer);
     }
 
     /// Takes in that a peer is lost: what it owned is to be asked for elsewhere, and nobody
     /// there waits any more.
     pub fn peer_lost(&self, peer: SocketAddr) {
-        self.backlogs.lost(peer);
+        self.backlogs.remove_peer(peer);
         let lost: Vec<_> = {
             let mut pending = self.pending.borrow_mut();
             let tickets: Vec<_> =
@@ -418,7 +418,7 @@
         };
         let due_ms = now.as_millis() as i64 + i64::from(message.due_ms);
         Work {
-            pool: MakerPool {
+            pool: WorkerPool {
                 service: message.service.into(),
                 failure_domain: (!message.makers_of.is_empty()).then(|| message.makers_of.into()),
             },
--- a/crates/fernring-gateway/src/upstreams/access.rs
+++ b/crates/fernring-gateway/src/upstreams/access.rs
@@ -3,8 +3,8 @@
 use {
     super::Upstreams,
     crate::{
-        eligibility::Barred,
-        cold::{Asker, MostNodes, NoListener, START_TIME, Turns},
+        eligibility::Ineligible,
+        cold::{PermitScope, PeakNodeCount, RefusedConnection, STARTUP_TIME, ColdPermits},
         connections::SendFailure,
         directory::Upstream,
         evacuations::Evacuations,
@@ -29,22 +29,22 @@
     /// Identity of this node.
     pub(super) node: u64,
     pub(super) started_at: Duration,
-    pub(super) nodes: MostNodes,
-    pub(super) turns: SecondaryMap<UpstreamKey, Turns>,
-    pub(super) no_listener: SecondaryMap<UpstreamKey, NoListener>,
+    pub(super) nodes: PeakNodeCount,
+    pub(super) turns: SecondaryMap<UpstreamKey, ColdPermits>,
+    pub(super) no_listener: SecondaryMap<UpstreamKey, RefusedConnection>,
 }
 
 impl Cold {
-    fn asker(&self, upstream: &Upstream) -> Asker {
+    fn asker(&self, upstream: &Upstream) -> PermitScope {
         let upstream = u64::from(upstream.record.run_hash());
-        Asker { node: self.node, upstream, nodes: self.nodes.most() }
+        PermitScope { node: self.node, upstream, nodes: self.nodes.peak() }
     }
 }
 
 impl Upstreams {
     /// Says how many nodes have a record in the store: there may be so many, whether they are heard or not.
     pub fn nodes_recorded(&self, nodes: usize) {
-        self.cold.borrow_mut().nodes.saw(self.clock.now().monotonic, nodes);
+        self.cold.borrow_mut().nodes.record(self.clock.now().monotonic, nodes);
     }
 
     /// Sets what cold upstreams may be sent beside what the configuration says.
@@ -64,7 +64,7 @@
 
     /// Tells whether what may be served in some regions only may be served in a failure domain.
     pub fn allows(&self, residency: &Residency, failure_domain: &str) -> bool {
-        !residency.is_restricted() || residency.allows(self.regions().of(failure_domain))
+        !residency.is_restricted() || residency.allows(self.regions().region_of(failure_domain))
     }
 
     /// Tells whether a service has upstreams that take work, and none of them in regions that are allowed.
@@ -89,12 +89,12 @@
         &self,
         key: UpstreamKey,
         residency: &Residency,
-    ) -> Result<(), Barred> {
+    ) -> Result<(), Ineligible> {
         let directory = self.directory.borrow();
-        let upstream = directory.get(key).ok_or(Barred::Gone)?;
+        let upstream = directory.get(key).ok_or(Ineligible::Gone)?;
         match self.allows(residency, &upstream.record.failure_domain) {
             true => Ok(()),
-            false => Err(Barred::OutsideRegions),
+            false => Err(Ineligible::OutsideRegions),
         }
     }
 
@@ -107,20 +107,20 @@
     ///
     /// # Errors
     /// With the reason if it may not.
-    pub fn may_send(&self, key: UpstreamKey) -> Result<(), Barred> {
+    pub fn may_send(&self, key: UpstreamKey) -> Result<(), Ineligible> {
         self.asked(key)?;
         let directory = self.directory.borrow();
-        let upstream = directory.get(key).ok_or(Barred::Gone)?;
+        let upstream = directory.get(key).ok_or(Ineligible::Gone)?;
         let now = self.clock.now().monotonic;
         match self.takes_no_more(now, &upstream.record, MOST_URGENT) {
-            true => Err(Barred::Limited),
+            true => Err(Ineligible::Limited),
             false => Ok(()),
         }
     }
 
-    pub(super) fn asked(&self, key: UpstreamKey) -> Result<Option<ColdBounds>, Barred> {
+    pub(super) fn asked(&self, key: UpstreamKey) -> Result<Option<ColdBounds>, Ineligible> {
         let directory = self.directory.borrow();
-        let upstream = directory.get(key).ok_or(Barred::Gone)?;
+        let upstream = directory.get(key).ok_or(Ineligible::Gone)?;
         self.may_send_to(key, upstream, self.cold_start(&upstream.record.service))
     }
 
@@ -134,15 +134,15 @@
         key: UpstreamKey,
         upstream: &Upstream,
         cold_start: Option<ColdStart>,
-    ) -> Result<Option<ColdBounds>, Barred> {
+    ) -> Result<Option<ColdBounds>, Ineligible> {
         if !upstream.takes_work() {
-            return Err(Barred::Leaving);
+            return Err(Ineligible::Leaving);
         }
         if self.evacuations.borrow().covers(&upstream.record.failure_domain) {
-            return Err(Barred::Evacuated);
+            return Err(Ineligible::Evacuated);
         }
         if !self.admits_version(&upstream.record.service, &upstream.record.version) {
-            return Err(Barred::Version);
+            return Err(Ineligible::Version);
         }
         let bounds = cold_start.and_then(|start| self.cold_bounds(key, upstream, start));
         let Some(bounds) = bounds else {
@@ -151,9 +151,9 @@
         let cold = self.cold.borrow();
         let turns = cold.turns.get(key).copied().unwrap_or_default();
         let now = self.clock.now().monotonic;
-        let has_turn = now >= cold.started_at + START_TIME
-            && turns.has_turn(now, &bounds, cold.asker(upstream));
-        if has_turn { Ok(Some(bounds)) } else { Err(Barred::Cold) }
+        let has_turn = now >= cold.started_at + STARTUP_TIME
+            && turns.has_permit(now, &bounds, cold.asker(upstream));
+        if has_turn { Ok(Some(bounds)) } else { Err(Ineligible::Cold) }
     }
 
     /// Returns what an upstream bears, if it is cold.
@@ -174,17 +174,17 @@
     }
 
     /// Takes this node's turn at an upstream if it is cold.
-    pub(super) fn take_turn(&self, key: UpstreamKey) -> Result<(), Barred> {
+    pub(super) fn take_turn(&self, key: UpstreamKey) -> Result<(), Ineligible> {
         let Some(bounds) = self.asked(key)? else {
             return Ok(());
         };
         let directory = self.directory.borrow();
-        let upstream = directory.get(key).ok_or(Barred::Gone)?;
+        let upstream = directory.get(key).ok_or(Ineligible::Gone)?;
         let mut cold = self.cold.borrow_mut();
         let asker = cold.asker(upstream);
-        let entry = cold.turns.entry(key).ok_or(Barred::Gone)?;
+        let entry = cold.turns.entry(key).ok_or(Ineligible::Gone)?;
         let now = self.clock.now().monotonic;
-        if entry.or_default().take(now, &bounds, asker) { Ok(()) } else { Err(Barred::Cold) }
+        if entry.or_default().try_acquire(now, &bounds, asker) { Ok(()) } else { Err(Ineligible::Cold) }
     }
 
     /// Tells whether a service has upstreams that could take work, and all of them lie in evacuated failure domains.
@@ -196,7 +196,7 @@
         let mut any_evacuated = false;
         for asked in asked {
             match asked {
-                Err(Barred::Evacuated) => any_evacuated = true,
+                Err(Ineligible::Evacuated) => any_evacuated = true,
                 Err(_) => {}
                 Ok(_) => return false,
             }
@@ -205,9 +205,9 @@
     }
 
     /// Tells whether an upstream at which this node has taken a turn may get nothing new any more.
-    pub(super) fn barred_since(&self, key: UpstreamKey) -> Result<(), Barred> {
+    pub(super) fn barred_since(&self, key: UpstreamKey) -> Result<(), Ineligible> {
         match self.may_send(key) {
-            Err(Barred::Cold | Barred::Limited) => Ok(()),
+            Err(Ineligible::Cold | Ineligible::Limited) => Ok(()),
             other => other,
         }
     }
@@ -223,11 +223,11 @@
         match failure {
             Some(SendFailure::NoListener(_)) => {
                 let record_at = upstream.at;
-                cold.no_listener.insert(key, NoListener::new(now, record_at));
+                cold.no_listener.insert(key, RefusedConnection::new(now, record_at));
             }
             None => {
                 if let Some(no_listener) = cold.no_listener.get_mut(key) {
-                    no_listener.answered(now);
+                    no_listener.record_answer(now);
                 }
             }
             Some(_) => {}
--- a/crates/fernring-gateway/src/upstreams/limited.rs
+++ b/crates/fernring-gateway/src/upstreams/limited.rs
@@ -7,11 +7,11 @@
     super::{Target, Upstreams},
     crate::{
         backlog::RANKS,
-        eligibility::Barred,
-        limits::{LimitChange, LimitWord, Limits},
+        eligibility::Ineligible,
+        limits::{LimitChange, AnnouncedLimit, AnnouncedLimits},
         log, measures,
         model::{SaidLimit, UpstreamKey, UpstreamRecord},
-        permit_issuer::{Denied, Grants, drained_together, part_of},
+        permit_issuer::{PermitDenied, PermitIssuer, combined_drain_time, limit_share},
     },
     fernring_core::text::LogLine,
     fernring_protocol::gateway::{self, TurnAnswer, TurnQuestion},
@@ -69,10 +69,10 @@
 /// What is known of upstreams that name limits.
 #[derive(Default)]
 pub(super) struct Limited {
-    limits: Limits,
+    limits: AnnouncedLimits,
     closed: HashMap<u64, Closed>,
     /// What this node has granted.
-    grants: HashMap<u64, Grants>,
+    grants: HashMap<u64, PermitIssuer>,
     /// Questions that wait for their answers.
     pending: HashMap<u64, oneshot::Sender<TurnAnswer>>,
     /// Starts whose last answer named a limit that is no number: said once, not with each answer.
@@ -90,7 +90,7 @@
 }
 
 impl Limited {
-    fn close(&mut self, now: Duration, run: u64, rank: usize, denied: Denied) {
+    fn close(&mut self, now: Duration, run: u64, rank: usize, denied: PermitDenied) {
         let closed = self.closed.entry(run).or_default();
         closed.drained_at = now + denied.drained_after;
         for until in closed.until.iter_mut().skip(rank) {
@@ -100,11 +100,11 @@
 
     fn is_closed(&self, now: Duration, run: u64, rank: usize) -> bool {
         let until = self.closed.get(&run).map(|closed| closed.until[rank.min(RANKS - 1)]);
-        self.limits.of(run).is_some() && until.is_some_and(|until| now < until)
+        self.limits.limit_per_s(run).is_some() && until.is_some_and(|until| now < until)
     }
 
     fn message(&self, now: Duration, run: u64) -> gateway::LimitWord {
-        let word = self.limits.word(run);
+        let word = self.limits.announcement(run);
         gateway::LimitWord {
             run,
             per_s: word.and_then(|word| word.per_s),
@@ -132,7 +132,7 @@
             return;
         }
         limited.refused.remove(&run);
-        if let Some(change) = limited.limits.heard(now, run, sent_at, said) {
+        if let Some(change) = limited.limits.record_answer(now, run, sent_at, said) {
             log_limit(run, change, &target.instance);
         }
     }
@@ -145,8 +145,8 @@
             if word.per_s.is_some_and(|per_s| !(per_s.is_finite() && per_s >= 0.0)) {
                 continue;
             }
-            let told = LimitWord { per_s: word.per_s, at };
-            let change = self.limited.borrow_mut().limits.told(word.run, told);
+            let told = AnnouncedLimit { per_s: word.per_s, at };
+            let change = self.limited.borrow_mut().limits.record_peer_report(word.run, told);
             if let Some(change) = change {
                 log_limit(word.run, change, "peer");
             }
@@ -157,7 +157,7 @@
     pub fn limits_to_tell(&self) -> Vec<gateway::LimitWord> {
         let now = self.clock.now().monotonic;
         let mut limited = self.limited.borrow_mut();
-        let mut runs: Vec<_> = limited.limits.to_tell(now).map(|(run, _)| run).collect();
+        let mut runs: Vec<_> = limited.limits.to_publish(now).map(|(run, _)| run).collect();
         runs.sort_unstable();
         let count = runs.len().min(TOLD_MAX);
         let first = limited.told % runs.len().max(1);
@@ -168,12 +168,12 @@
 
     /// Returns the number of upstreams that name a limit.
     pub fn limited(&self) -> usize {
-        self.limited.borrow().limits.in_force()
+        self.limited.borrow().limits.active_count()
     }
 
     /// Returns the requests a second that an upstream takes from all nodes, if it names a limit.
     pub fn limit_of(&self, record: &UpstreamRecord) -> Option<f64> {
-        self.limited.borrow().limits.of(record.run_id())
+        self.limited.borrow().limits.limit_per_s(record.run_id())
     }
 
     /// Tells whether this node knows that an upstream takes no more of a rank now.
@@ -213,7 +213,7 @@
             let drained_at = limited.closed.get(&run).map(|closed| closed.drained_at)?;
             drained.push(drained_at.saturating_sub(now));
         }
-        drained_together(&drained)
+        combined_drain_time(&drained)
     }
 
     /// Asks for a turn at an upstream if it names a limit.
@@ -221,17 +221,17 @@
         &self,
         target: &Target,
         rank: usize,
-    ) -> Result<(), Barred> {
+    ) -> Result<(), Ineligible> {
         let run = target.run_id();
         self.catch_up(run).await;
         let now = self.clock.now().monotonic;
         let counters = {
             let limited = self.limited.borrow();
-            if limited.limits.of(run).is_none() {
+            if limited.limits.limit_per_s(run).is_none() {
                 return Ok(());
             }
             if limited.is_closed(now, run, rank) {
-                return Err(Barred::Limited);
+                return Err(Ineligible::Limited);
             }
             limited.counters.clone()
         };
@@ -244,7 +244,7 @@
         let now = self.clock.now().monotonic;
         asked.map_err(|denied| {
             self.limited.borrow_mut().close(now, run, rank, denied);
-            Barred::Limited
+            Ineligible::Limited
         })
     }
 
@@ -262,7 +262,7 @@
     fn may_lack_limit(&self, run: u64) -> bool {
         let limited = self.limited.borrow();
         let is_behind = || limited.counters.as_ref().is_some_and(|counters| counters.is_behind());
-        limited.limits.of(run).is_none() && is_behind()
+        limited.limits.limit_per_s(run).is_none() && is_behind()
     }
 
     async fn ask(
@@ -271,7 +271,7 @@
         counter: SocketAddr,
         run: u64,
         rank: usize,
-    ) -> Result<(), Denied> {
+    ) -> Result<(), PermitDenied> {
         let now = self.clock.now().monotonic;
         let (sender, receiver) = oneshot::channel();
         let question = {
@@ -285,7 +285,7 @@
         counters.ask(counter, question);
         let Ok(Ok(answer)) = timeout(ANSWER_WAIT, receiver).await else {
             log::info(LogLine::event("turn_unanswered").with("counter", counter));
-            return Err(Denied {
+            return Err(PermitDenied {
                 ask_again_after: UNANSWERED_PAUSE,
                 drained_after: UNANSWERED_PAUSE,
             });
@@ -293,7 +293,7 @@
         self.told_limits(&[answer.word]);
         match answer.is_granted {
             true => Ok(()),
-            false => Err(Denied {
+            false => Err(PermitDenied {
                 ask_again_after: Duration::from_millis(answer.ask_again_ms.into()),
                 drained_after: Duration::from_millis(answer.drained_ms.into()),
             }),
@@ -301,25 +301,25 @@
     }
 
     /// Grants a send by this node's own count, or not.
-    fn grant(&self, run: u64, rank: usize) -> Result<(), Denied> {
+    fn grant(&self, run: u64, rank: usize) -> Result<(), PermitDenied> {
         let now = self.clock.now().monotonic;
         let (started_at, most) = {
             let cold = self.cold.borrow();
-            (cold.started_at, cold.nodes.most())
+            (cold.started_at, cold.nodes.peak())
         };
         let mut limited = self.limited.borrow_mut();
-        let Some(limit) = limited.limits.of(run) else {
+        let Some(limit) = limited.limits.limit_per_s(run) else {
             return Ok(());
         };
         if now < started_at + START_TIME {
             let left = started_at + START_TIME - now;
-            return Err(Denied { ask_again_after: left, drained_after: left });
+            return Err(PermitDenied { ask_again_after: left, drained_after: left });
         }
         let heard = limited.counters.as_ref().map_or(1, |counters| counters.heard());
-        let part = part_of(heard, most);
+        let part = limit_share(heard, most);
         let grants =
-            limited.grants.entry(run).or_insert_with(|| Grants::new(now, part, rand::random()));
-        grants.ask(now, limit, part, rank, rand::random())
+            limited.grants.entry(run).or_insert_with(|| PermitIssuer::new(now, part, rand::random()));
+        grants.request(now, limit, part, rank, rand::random())
     }
 
     /// Takes in a peer's question, and answers it.
@@ -359,8 +359,8 @@
         let Limited { limits, closed, grants, refused, .. } = &mut *limited;
         refused.retain(|run| runs.contains(run));
         limits.retain(now, |run| runs.contains(&run));
-        closed.retain(|run, _| limits.of(*run).is_some());
-        grants.retain(|run, _| limits.of(*run).is_some());
+        closed.retain(|run, _| limits.limit_per_s(*run).is_some());
+        grants.retain(|run, _| limits.limit_per_s(*run).is_some());
     }
 }
 
--- a/crates/fernring-gateway/src/upstreams/mod.rs
+++ b/crates/fernring-gateway/src/upstreams/mod.rs
@@ -16,11 +16,11 @@
         access::Cold, health::Health, limited::Limited, loads::PeerLoads, versions::VersionRules,
     },
     crate::{
-        cold::MostNodes,
+        cold::PeakNodeCount,
         config::ConfigState,
         connections::{Answer, Pool, SendFailure},
         directory::{Change, Directory, Effect, Upstream},
-        crash_detection::Run,
+        crash_detection::Incarnation,
         evacuations::Evacuations,
         model::{UpstreamKey, run_id},
         position::Position,
@@ -60,8 +60,8 @@
     }
 
     /// Returns the start that is meant.
-    pub fn run(&self) -> Run {
-        Run { instance: self.instance.clone(), started_ms: self.started_ms }
+    pub fn run(&self) -> Incarnation {
+        Incarnation { instance: self.instance.clone(), started_ms: self.started_ms }
     }
 }
 
@@ -143,7 +143,7 @@
             settings: cold,
             node: rand::random(),
             started_at: clock.now().monotonic,
-            nodes: MostNodes::default(),
+            nodes: PeakNodeCount::default(),
             turns: SecondaryMap::new(),
             no_listener: SecondaryMap::new(),
         };
@@ -169,7 +169,7 @@
     /// Says how many nodes share the upstreams.
     pub fn set_nodes(&self, nodes: usize) {
         self.nodes.set(nodes.max(1));
-        self.cold.borrow_mut().nodes.saw(self.clock.now().monotonic, nodes);
+        self.cold.borrow_mut().nodes.record(self.clock.now().monotonic, nodes);
     }
 
     /// Says that records were read from the store.
@@ -298,10 +298,10 @@
                 identity: xxh3_64(record.instance.as_bytes()),
                 load: own_loads.get(key).copied().unwrap_or(0.0) + peers,
                 slots: record.slots,
-                is_near: record.failure_domain == self.failure_domain,
+                is_same_domain: record.failure_domain == self.failure_domain,
                 is_avoided: failed || upstream.is_doubtful() || is_silent(&record.failure_domain),
                 is_cold: cold.is_some(),
-                is_ordered: self.is_ordered(service, &record.version),
+                is_rollout_target: self.is_ordered(service, &record.version),
             })
         };
         directory.of_service(service).filter_map(candidate).collect()
--- a/crates/fernring-gateway/tests/testsuite/attempts.rs
+++ b/crates/fernring-gateway/tests/testsuite/attempts.rs
@@ -2,7 +2,7 @@
 
 use {
     fernring_gateway::{
-        attempts::{Attempts, SendEnd},
+        attempts::{Attempts, SendOutcome},
         model::Repeat,
     },
     proptest::prelude::*,
@@ -11,7 +11,7 @@
 #[test]
 fn a_request_that_may_run_once_is_not_sent_again_after_it_may_have_run() {
     let mut attempts = Attempts::new(Repeat::Never, 5);
-    attempts.ended(SendEnd::Unknown);
+    attempts.record_failure(SendOutcome::Unknown);
     assert!(!attempts.may_send());
     assert!(attempts.not_run().is_none());
 }
@@ -19,7 +19,7 @@
 #[test]
 fn a_refusal_that_says_so_allows_another_send_and_the_promise() {
     let mut attempts = Attempts::new(Repeat::Never, 2);
-    attempts.ended(SendEnd::Refused);
+    attempts.record_failure(SendOutcome::Refused);
     assert!(attempts.may_send() && attempts.next_is_extra());
     assert!(attempts.not_run().is_some());
 }
@@ -28,8 +28,8 @@
 fn sends_that_reached_nobody_do_not_count() {
     let mut attempts = Attempts::new(Repeat::Never, 1);
     for _ in 0..10 {
-        attempts.ended(SendEnd::NotSent);
-        attempts.ended(SendEnd::WrongInstance);
+        attempts.record_failure(SendOutcome::NotSent);
+        attempts.record_failure(SendOutcome::WrongInstance);
     }
     assert!(attempts.may_send() && !attempts.next_is_extra());
 }
@@ -37,18 +37,18 @@
 #[test]
 fn no_more_upstreams_than_allowed_are_sent_to() {
     let mut attempts = Attempts::new(Repeat::Always, 2);
-    attempts.ended(SendEnd::Unknown);
+    attempts.record_failure(SendOutcome::Unknown);
     assert!(attempts.may_send());
-    attempts.ended(SendEnd::Refused);
+    attempts.record_failure(SendOutcome::Refused);
     assert!(!attempts.may_send());
 }
 
-fn any_end() -> impl Strategy<Value = SendEnd> {
+fn any_end() -> impl Strategy<Value = SendOutcome> {
     prop_oneof![
-        Just(SendEnd::NotSent),
-        Just(SendEnd::Refused),
-        Just(SendEnd::WrongInstance),
-        Just(SendEnd::Unknown),
+        Just(SendOutcome::NotSent),
+        Just(SendOutcome::Refused),
+        Just(SendOutcome::WrongInstance),
+        Just(SendOutcome::Unknown),
     ]
 }
 
@@ -66,8 +66,8 @@
             if !attempts.may_send() {
                 break;
             }
-            attempts.ended(end);
-            may_have_run += u32::from(end == SendEnd::Unknown);
+            attempts.record_failure(end);
+            may_have_run += u32::from(end == SendOutcome::Unknown);
         }
         prop_assert!(may_have_run <= 1);
         prop_assert_eq!(attempts.not_run().is_some(), may_have_run == 0);
--- a/crates/fernring-gateway/tests/testsuite/backlogs.rs
+++ b/crates/fernring-gateway/tests/testsuite/backlogs.rs
@@ -1,13 +1,13 @@
 //! What a node knows of what waits at stage services elsewhere.
 
 use {
-    fernring_gateway::{backlog::Backlog, backlogs::Backlogs, worker_pools::MakerPool},
+    fernring_gateway::{backlog::Backlog, backlogs::Backlogs, worker_pools::WorkerPool},
     fernring_protocol::gateway::LoadsOf,
     std::{net::SocketAddr, rc::Rc, time::Duration},
 };
 
-fn first() -> MakerPool {
-    MakerPool::whole("first".into())
+fn first() -> WorkerPool {
+    WorkerPool::unsharded("first".into())
 }
 
 const NOW: Duration = Duration::from_secs(100);
@@ -24,34 +24,34 @@
 }
 
 fn ahead(backlogs: &Backlogs, now: Duration) -> Option<u32> {
-    backlogs.of(now, &first(), None).map(|backlog| backlog.waiting.iter().sum())
+    backlogs.estimate(now, &first(), None).map(|backlog| backlog.waiting.iter().sum())
 }
 
 #[test]
 fn what_the_owner_says_and_what_all_have_promised_is_ahead() {
     let service = first();
     let [owner, other, here] = [(); 3].map(|()| Rc::new(Backlogs::default()));
-    let _theirs = other.promise(&service, 0, 5);
-    here.heard(
+    let _theirs = other.reserve(&service, 0, 5);
+    here.handle_loads(
         NOW,
         peer(1),
-        &owner.described(NOW, vec![(service.clone(), backlog(20))], LoadsOf::Sender),
+        &owner.stage_loads(NOW, vec![(service.clone(), backlog(20))], LoadsOf::Sender),
         LoadsOf::Sender,
         false,
     );
-    here.heard(
+    here.handle_loads(
         NOW,
         peer(2),
-        &other.described(NOW, Vec::new(), LoadsOf::Sender),
+        &other.stage_loads(NOW, Vec::new(), LoadsOf::Sender),
         LoadsOf::Sender,
         false,
     );
     assert_eq!(ahead(&here, NOW), Some(25));
-    let ours = here.promise(&service, 2, 3);
+    let ours = here.reserve(&service, 2, 3);
     assert_eq!(ahead(&here, NOW), Some(28));
     drop(ours);
     assert_eq!(ahead(&here, NOW), Some(25), "it has come to the stage, or was given up");
-    here.lost(peer(2));
+    here.remove_peer(peer(2));
     assert_eq!(ahead(&here, NOW), Some(20));
 }
 
@@ -59,10 +59,10 @@
 fn an_owner_that_fell_silent_says_nothing_any_more() {
     let here = Rc::new(Backlogs::default());
     assert_eq!(ahead(&here, NOW), None);
-    here.heard(
+    here.handle_loads(
         NOW,
         peer(1),
-        &here.described(NOW, vec![(first(), backlog(20))], LoadsOf::Sender),
+        &here.stage_loads(NOW, vec![(first(), backlog(20))], LoadsOf::Sender),
         LoadsOf::Sender,
         false,
     );
@@ -73,14 +73,14 @@
 #[test]
 fn the_owner_itself_goes_by_its_own_queue() {
     let here = Rc::new(Backlogs::default());
-    here.heard(
+    here.handle_loads(
         NOW,
         peer(1),
-        &here.described(NOW, vec![(first(), backlog(20))], LoadsOf::Sender),
+        &here.stage_loads(NOW, vec![(first(), backlog(20))], LoadsOf::Sender),
         LoadsOf::Sender,
         false,
     );
-    let own = here.of(NOW, &first(), Some(backlog(7)));
+    let own = here.estimate(NOW, &first(), Some(backlog(7)));
     assert_eq!(own.map(|backlog| backlog.waiting[0]), Some(7));
 }
 
@@ -88,23 +88,23 @@
 fn promises_of_a_domain_are_added_up_by_a_delegate_and_counted_once() {
     let service = first();
     let [owner, follower, delegate, far] = [(); 4].map(|()| Rc::new(Backlogs::default()));
-    let owned = owner.described(NOW, vec![(service.clone(), backlog(20))], LoadsOf::Nobody);
+    let owned = owner.stage_loads(NOW, vec![(service.clone(), backlog(20))], LoadsOf::Nobody);
     for node in [&follower, &delegate, &far] {
-        node.heard(NOW, peer(1), &owned, LoadsOf::Nobody, false);
+        node.handle_loads(NOW, peer(1), &owned, LoadsOf::Nobody, false);
     }
-    let _theirs = follower.promise(&service, 0, 5);
-    let _ours = delegate.promise(&service, 1, 2);
-    let told = follower.described(NOW, Vec::new(), LoadsOf::Sender);
-    delegate.heard(NOW, peer(2), &told, LoadsOf::Sender, false);
+    let _theirs = follower.reserve(&service, 0, 5);
+    let _ours = delegate.reserve(&service, 1, 2);
+    let told = follower.stage_loads(NOW, Vec::new(), LoadsOf::Sender);
+    delegate.handle_loads(NOW, peer(2), &told, LoadsOf::Sender, false);
     assert_eq!(ahead(&delegate, NOW), Some(27));
-    let sums = delegate.described(NOW, Vec::new(), LoadsOf::Domain);
-    far.heard(NOW, peer(3), &sums, LoadsOf::Domain, false);
+    let sums = delegate.stage_loads(NOW, Vec::new(), LoadsOf::Domain);
+    far.handle_loads(NOW, peer(3), &sums, LoadsOf::Domain, false);
     assert_eq!(ahead(&far, NOW), Some(27));
-    follower.heard(NOW, peer(3), &sums, LoadsOf::Domain, true);
+    follower.handle_loads(NOW, peer(3), &sums, LoadsOf::Domain, true);
     assert_eq!(ahead(&follower, NOW), Some(27), "what it promised itself isn't counted twice");
     // Heartbeats in between that tell no loads leave the sums as they are.
-    far.heard(NOW, peer(3), &[], LoadsOf::Nobody, false);
+    far.handle_loads(NOW, peer(3), &[], LoadsOf::Nobody, false);
     assert_eq!(ahead(&far, NOW), Some(27));
-    let passed_on = far.described(NOW, Vec::new(), LoadsOf::Domain);
+    let passed_on = far.stage_loads(NOW, Vec::new(), LoadsOf::Domain);
     assert!(passed_on.is_empty(), "sums of other domains aren't passed on");
 }
--- a/crates/fernring-gateway/tests/testsuite/budget.rs
+++ b/crates/fernring-gateway/tests/testsuite/budget.rs
@@ -12,7 +12,7 @@
 fn take_all(budget: &mut RetryBudget, at_s: u64, nodes: usize) -> usize {
     let service: Arc<str> = "s".into();
     let now = Duration::from_secs(at_s);
-    (0..10_000).take_while(|_| budget.take(now, &service, 1, nodes)).count()
+    (0..10_000).take_while(|_| budget.try_spend(now, &service, 1, nodes)).count()
 }
 
 #[test]
@@ -23,7 +23,7 @@
 #[test]
 fn extra_sends_stay_under_the_ratio_in_every_window() {
     let mut budget = budget(0.0);
-    budget.count_requests(Duration::ZERO, &"s".into(), 100);
+    budget.record_requests(Duration::ZERO, &"s".into(), 100);
     let taken = take_all(&mut budget, 5, 1);
     assert!((1..=20).contains(&taken), "{taken}");
     assert_eq!(take_all(&mut budget, 9, 1), 0);
@@ -41,6 +41,6 @@
 #[test]
 fn services_have_budgets_of_their_own() {
     let mut budget = budget(0.0);
-    budget.count_requests(Duration::ZERO, &"other".into(), 1_000);
+    budget.record_requests(Duration::ZERO, &"other".into(), 1_000);
     assert_eq!(take_all(&mut budget, 0, 1), 0);
 }
--- a/crates/fernring-gateway/tests/testsuite/cold.rs
+++ b/crates/fernring-gateway/tests/testsuite/cold.rs
@@ -5,7 +5,7 @@
 
 use {
     fernring_gateway::{
-        cold::{Asker, MostNodes, NoListener, Turns},
+        cold::{PermitScope, PeakNodeCount, RefusedConnection, ColdPermits},
         model::ColdBounds,
         position::Position,
     },
@@ -22,12 +22,12 @@
 
 /// Nodes that all want to send to one upstream as often as they may, and what each takes the number of nodes for.
 struct Crowd {
-    nodes: Vec<(u64, usize, Turns)>,
+    nodes: Vec<(u64, usize, ColdPermits)>,
 }
 
 impl Crowd {
     fn new(rng: &mut StdRng, count: usize, believed: impl Fn(usize) -> usize) -> Self {
-        let node = |number| (rng.random(), believed(number), Turns::default());
+        let node = |number| (rng.random(), believed(number), ColdPermits::default());
         Self { nodes: (0..count).map(node).collect() }
     }
 
@@ -37,8 +37,8 @@
         let mut most = 0;
         for now in tries {
             for (node, nodes, turns) in &mut self.nodes {
-                let asker = Asker { node: *node, upstream, nodes: *nodes };
-                if turns.take(now, &BOUNDS, asker) {
+                let asker = PermitScope { node: *node, upstream, nodes: *nodes };
+                if turns.try_acquire(now, &BOUNDS, asker) {
                     sends.push_back(now);
                 }
             }
@@ -74,9 +74,9 @@
 #[test]
 fn turns_come_to_every_node() {
     for node in 0..20 {
-        let mut turns = Turns::default();
-        let asker = Asker { node, upstream: 1, nodes: 9 };
-        let taken = (0..60).filter(|s| turns.take(ms(s * 1_000), &BOUNDS, asker)).count();
+        let mut turns = ColdPermits::default();
+        let asker = PermitScope { node, upstream: 1, nodes: 9 };
+        let taken = (0..60).filter(|s| turns.try_acquire(ms(s * 1_000), &BOUNDS, asker)).count();
         assert!((5..55).contains(&taken), "{taken} of about 20");
     }
 }
@@ -85,26 +85,26 @@
 /// the turns; the most of the last ten minutes count, so the sum stays.
 #[test]
 fn a_node_that_hears_fewer_takes_no_more_turns() {
-    let mut nodes = MostNodes::default();
-    nodes.saw(ms(0), 89);
-    nodes.saw(ms(60_000), 30);
-    assert_eq!(nodes.most(), 89);
-    nodes.saw(ms(120_000), 95);
-    assert_eq!(nodes.most(), 95, "some were added");
-    nodes.saw(ms(120_000) + SECOND * 601, 40);
-    assert_eq!(nodes.most(), 40, "after ten minutes they have gone");
+    let mut nodes = PeakNodeCount::default();
+    nodes.record(ms(0), 89);
+    nodes.record(ms(60_000), 30);
+    assert_eq!(nodes.peak(), 89);
+    nodes.record(ms(120_000), 95);
+    assert_eq!(nodes.peak(), 95, "some were added");
+    nodes.record(ms(120_000) + SECOND * 601, 40);
+    assert_eq!(nodes.peak(), 40, "after ten minutes they have gone");
 }
 
 #[test]
 fn what_listens_again_is_cold_until_its_record_says_what_is_so() {
     let cold_start = ms(3_000);
     let (before, after) = (Position::new(0, 5), Position::new(0, 6));
-    let mut gone = NoListener::new(ms(1_000), before);
+    let mut gone = RefusedConnection::new(ms(1_000), before);
     assert!(gone.is_cold(ms(5_000), before, cold_start));
-    gone.answered(ms(6_000));
+    gone.record_answer(ms(6_000));
     assert!(gone.is_cold(ms(8_900), before, cold_start), "for a cold start since it answered");
     assert!(!gone.is_cold(ms(9_000), before, cold_start));
     assert!(!gone.is_cold(ms(6_500), after, cold_start), "unless its record was written anew");
-    let forgotten = NoListener::new(ms(1_000), before);
+    let forgotten = RefusedConnection::new(ms(1_000), before);
     assert!(!forgotten.is_cold(ms(8_000), before, cold_start), "nothing came of it");
 }
