--- a/crates/fernring-gateway/tests/testsuite/crash_detection.rs
+++ b/crates/fernring-gateway/tests/testsuite/crash_detection.rs
@@ -3,7 +3,7 @@
 use {
     fernring_gateway::{
         content::ContentKey,
-        crash_detection::{Break, CAUSE_MAX, Endings, Probe, Run},
+        crash_detection::{Disconnect, CRASH_EVIDENCE_TIME_MAX, CrashDetector, ProbeResult, Incarnation},
         model::UpstreamKey,
     },
     slotmap::SlotMap,
@@ -12,8 +12,8 @@
 
 const NOW: Duration = Duration::from_secs(100);
 
-fn run() -> Run {
-    Run { instance: "i-1".into(), started_ms: Some(7) }
+fn run() -> Incarnation {
+    Incarnation { instance: "i-1".into(), started_ms: Some(7) }
 }
 
 fn address() -> SocketAddr {
@@ -25,33 +25,33 @@
 }
 
 /// Upstreams at which one send broke off, and its key.
-fn broken(how: Break) -> (Endings, UpstreamKey) {
-    let mut endings = Endings::default();
+fn broken(how: Disconnect) -> (CrashDetector, UpstreamKey) {
+    let mut endings = CrashDetector::default();
     let key = UpstreamKey::default();
-    let found = endings.broke(NOW, (key, address()), &run(), how, Some(content("a")));
+    let found = endings.record_disconnect(NOW, (key, address()), &run(), how, Some(content("a")));
     assert_eq!(found, None, "a break alone");
     (endings, key)
 }
 
 #[test]
 fn a_refused_connection_after_a_break_is_an_end() {
-    let (mut endings, key) = broken(Break::Closed);
-    let ended = endings.probed(key, Probe::Refused).unwrap();
-    assert_eq!((ended.run, ended.contents), (run(), vec![content("a")]));
+    let (mut endings, key) = broken(Disconnect::Closed);
+    let ended = endings.record_probe(key, ProbeResult::Refused).unwrap();
+    assert_eq!((ended.incarnation, ended.fingerprints), (run(), vec![content("a")]));
 }
 
 #[test]
 fn a_reset_or_a_broken_answer_of_an_upstream_that_lives_on_is_no_end() {
-    let (mut endings, key) = broken(Break::Closed);
-    assert_eq!(endings.probed(key, Probe::Accepted), None);
-    assert_eq!(endings.removed(NOW, key), None, "it leaves and serves on");
+    let (mut endings, key) = broken(Disconnect::Closed);
+    assert_eq!(endings.record_probe(key, ProbeResult::Accepted), None);
+    assert_eq!(endings.record_removal(NOW, key), None, "it leaves and serves on");
 }
 
 #[test]
 fn a_start_again_is_an_end_whatever_a_look_found() {
-    let (mut endings, key) = broken(Break::Closed);
-    assert_eq!(endings.probed(key, Probe::Accepted), None, "the new process takes connections");
-    assert!(endings.restarted(NOW, key).is_some());
+    let (mut endings, key) = broken(Disconnect::Closed);
+    assert_eq!(endings.record_probe(key, ProbeResult::Accepted), None, "the new process takes connections");
+    assert!(endings.record_restart(NOW, key).is_some());
 }
 
 /// A node that stood still finds the break when another process has long taken the address.
@@ -59,89 +59,89 @@
 fn another_upstream_at_the_address_is_an_end_though_it_takes_connections() {
     let mut keys = SlotMap::<UpstreamKey, ()>::with_key();
     let next = keys.insert(());
-    let (mut endings, key) = broken(Break::Closed);
-    assert_eq!((endings.probed(key, Probe::Accepted), endings.removed(NOW, key)), (None, None));
+    let (mut endings, key) = broken(Disconnect::Closed);
+    assert_eq!((endings.record_probe(key, ProbeResult::Accepted), endings.record_removal(NOW, key)), (None, None));
     let elsewhere = SocketAddr::from(([10, 0, 0, 2], 8080));
-    assert!(endings.appeared(NOW, next, elsewhere).is_empty());
-    assert_eq!(endings.appeared(NOW, next, address())[0].contents, [content("a")]);
+    assert!(endings.record_new_upstream(NOW, next, elsewhere).is_empty());
+    assert_eq!(endings.record_new_upstream(NOW, next, address())[0].fingerprints, [content("a")]);
 }
 
 #[test]
 fn silence_is_an_end_only_beside_another_sign() {
-    let (mut endings, key) = broken(Break::Silent);
-    assert!(!endings.shall_probe(NOW, key), "nothing says that the process ended");
+    let (mut endings, key) = broken(Disconnect::Silent);
+    assert!(!endings.start_probe(NOW, key), "nothing says that the process ended");
     assert_eq!(
-        endings.removed(NOW, key),
+        endings.record_removal(NOW, key),
         None,
         "it may leave and serve on, or be cut off from the store"
     );
-    assert!(endings.shall_probe(NOW, key));
+    assert!(endings.start_probe(NOW, key));
     assert!(
-        endings.probed(key, Probe::Silent).is_some(),
+        endings.record_probe(key, ProbeResult::Silent).is_some(),
         "its record is gone, and nobody is there"
     );
-    let (mut endings, key) = broken(Break::Silent);
-    assert_eq!(endings.probed(key, Probe::Silent), None, "as in a cut");
-    let (mut endings, key) = broken(Break::Closed);
-    assert!(endings.probed(key, Probe::Silent).is_some(), "closed, then silent: its VM has ended");
+    let (mut endings, key) = broken(Disconnect::Silent);
+    assert_eq!(endings.record_probe(key, ProbeResult::Silent), None, "as in a cut");
+    let (mut endings, key) = broken(Disconnect::Closed);
+    assert!(endings.record_probe(key, ProbeResult::Silent).is_some(), "closed, then silent: its VM has ended");
 }
 
 #[test]
 fn an_upstream_whose_record_went_before_the_break_left_as_it_said() {
-    let mut endings = Endings::default();
+    let mut endings = CrashDetector::default();
     let key = UpstreamKey::default();
-    assert_eq!(endings.removed(NOW, key), None);
+    assert_eq!(endings.record_removal(NOW, key), None);
     assert_eq!(
-        endings.broke(NOW, (key, address()), &run(), Break::Closed, Some(content("a"))),
+        endings.record_disconnect(NOW, (key, address()), &run(), Disconnect::Closed, Some(content("a"))),
         None
     );
-    assert_eq!(endings.probed(key, Probe::Refused), None);
+    assert_eq!(endings.record_probe(key, ProbeResult::Refused), None);
 }
 
 #[test]
 fn an_upstream_that_said_that_it_leaves_may_end() {
-    let mut endings = Endings::default();
+    let mut endings = CrashDetector::default();
     let key = UpstreamKey::default();
-    endings.leaving(NOW, key);
-    endings.removed(NOW, key);
+    endings.record_leaving(NOW, key);
+    endings.record_removal(NOW, key);
     assert_eq!(
-        endings.broke(NOW, (key, address()), &run(), Break::Closed, Some(content("a"))),
+        endings.record_disconnect(NOW, (key, address()), &run(), Disconnect::Closed, Some(content("a"))),
         None
     );
-    assert_eq!(endings.probed(key, Probe::Refused), None);
+    assert_eq!(endings.record_probe(key, ProbeResult::Refused), None);
 }
 
 #[test]
 fn what_breaks_after_the_end_is_known_belongs_to_it() {
-    let (mut endings, key) = broken(Break::Closed);
-    endings.probed(key, Probe::Refused);
+    let (mut endings, key) = broken(Disconnect::Closed);
+    endings.record_probe(key, ProbeResult::Refused);
     let later =
-        endings.broke(NOW, (key, address()), &run(), Break::Closed, Some(content("b"))).unwrap();
-    assert_eq!(later.contents, [content("b")], "each is said once");
-    let mut endings = Endings::default();
-    assert_eq!(endings.restarted(NOW, key), None);
+        endings.record_disconnect(NOW, (key, address()), &run(), Disconnect::Closed, Some(content("b"))).unwrap();
+    assert_eq!(later.fingerprints, [content("b")], "each is said once");
+    let mut endings = CrashDetector::default();
+    assert_eq!(endings.record_restart(NOW, key), None);
     assert!(
-        endings.broke(NOW, (key, address()), &run(), Break::Closed, Some(content("c"))).is_some()
+        endings.record_disconnect(NOW, (key, address()), &run(), Disconnect::Closed, Some(content("c"))).is_some()
     );
 }
 
 #[test]
 fn a_verdict_is_given_as_soon_as_there_is_one() {
-    let mut endings = Endings::default();
+    let mut endings = CrashDetector::default();
     let key = UpstreamKey::default();
-    assert_eq!(endings.verdict(key), None);
-    assert_eq!(endings.broke(NOW, (key, address()), &run(), Break::Closed, None), None);
-    assert_eq!(endings.verdict(key), None);
-    assert_eq!((endings.probed(key, Probe::Accepted), endings.verdict(key)), (None, Some(false)));
-    assert_eq!(endings.probed(key, Probe::Refused), None, "nothing is to be charged");
-    assert_eq!(endings.verdict(key), Some(true));
+    assert_eq!(endings.has_crashed(key), None);
+    assert_eq!(endings.record_disconnect(NOW, (key, address()), &run(), Disconnect::Closed, None), None);
+    assert_eq!(endings.has_crashed(key), None);
+    assert_eq!((endings.record_probe(key, ProbeResult::Accepted), endings.has_crashed(key)), (None, Some(false)));
+    assert_eq!(endings.record_probe(key, ProbeResult::Refused), None, "nothing is to be charged");
+    assert_eq!(endings.has_crashed(key), Some(true));
 }
 
 #[test]
 fn a_cause_is_looked_for_only_for_a_while_and_not_all_the_time() {
-    let (mut endings, key) = broken(Break::Closed);
-    assert!(endings.shall_probe(NOW, key) && !endings.shall_probe(NOW, key));
-    assert!(endings.shall_probe(NOW + Duration::from_millis(200), key));
-    endings.expire(NOW + CAUSE_MAX);
-    assert_eq!(endings.probed(key, Probe::Refused), None);
+    let (mut endings, key) = broken(Disconnect::Closed);
+    assert!(endings.start_probe(NOW, key) && !endings.start_probe(NOW, key));
+    assert!(endings.start_probe(NOW + Duration::from_millis(200), key));
+    endings.expire(NOW + CRASH_EVIDENCE_TIME_MAX);
+    assert_eq!(endings.record_probe(key, ProbeResult::Refused), None);
 }
--- a/crates/fernring-gateway/tests/testsuite/dispatch_round.rs
+++ b/crates/fernring-gateway/tests/testsuite/dispatch_round.rs
@@ -2,8 +2,8 @@
 
 use {
     fernring_gateway::{
-        batching::Makers,
-        dispatch_round::{LeftAlone, MakersByDomain},
+        batching::DomainWorkers,
+        dispatch_round::{UnservedCapacity, WorkersByDomain},
     },
     std::{cell::Cell, time::Duration},
 };
@@ -13,32 +13,32 @@
 #[test]
 fn the_makers_of_a_domain_are_counted_once_in_a_round() {
     let counted = Cell::new(0);
-    let mut known = MakersByDomain::default();
+    let mut known = WorkersByDomain::default();
     let count = || {
         counted.set(counted.get() + 1);
-        Some(Makers { count: 3, free_at: Duration::ZERO })
+        Some(DomainWorkers { count: 3, free_at: Duration::ZERO })
     };
     for _ in 0..1_000 {
         for domain in ["a", "b"] {
-            assert_eq!(known.get(domain, count).map(|makers| makers.count), Some(3));
+            assert_eq!(known.get_or_count(domain, count).map(|makers| makers.count), Some(3));
         }
-        assert_eq!(known.get("none", || None), None);
+        assert_eq!(known.get_or_count("none", || None), None);
     }
     assert_eq!(counted.get(), 2);
     // A call has begun there: another one may be the first that is free.
-    known.forget("a");
-    known.get("a", count);
-    known.get("b", count);
+    known.invalidate("a");
+    known.get_or_count("a", count);
+    known.get_or_count("b", count);
     assert_eq!(counted.get(), 3);
 }
 
 #[test]
 fn a_maker_like_one_that_got_nothing_is_left_alone_and_one_with_more_room_is_not() {
-    let mut left = LeftAlone::default();
-    assert!(!left.covers("a", 0));
-    left.nothing_for("a".into(), 500);
-    assert!(left.covers("a", 500) && left.covers("a", 20) && !left.covers("a", 501));
-    assert!(!left.covers("b", 20), "what waits may be left to that domain");
-    left.nothing_for("a".into(), 100);
-    assert!(left.covers("a", 500));
+    let mut left = UnservedCapacity::default();
+    assert!(!left.is_unserved("a", 0));
+    left.record_unserved("a".into(), 500);
+    assert!(left.is_unserved("a", 500) && left.is_unserved("a", 20) && !left.is_unserved("a", 501));
+    assert!(!left.is_unserved("b", 20), "what waits may be left to that domain");
+    left.record_unserved("a".into(), 100);
+    assert!(left.is_unserved("a", 500));
 }
--- a/crates/fernring-gateway/tests/testsuite/limits.rs
+++ b/crates/fernring-gateway/tests/testsuite/limits.rs
@@ -2,7 +2,7 @@
 
 use {
     fernring_gateway::{
-        limits::{LimitWord, Limits},
+        limits::{AnnouncedLimit, AnnouncedLimits},
         model::SaidLimit,
     },
     rand::{RngExt, SeedableRng, rngs::StdRng},
@@ -15,9 +15,9 @@
     Duration::from_millis(ms)
 }
 
-fn known(per_s: f64, at_ms: u64) -> Limits {
-    let mut limits = Limits::default();
-    limits.heard(ms(at_ms), RUN, ms(at_ms - 10), SaidLimit::PerSecond(per_s)).unwrap();
+fn known(per_s: f64, at_ms: u64) -> AnnouncedLimits {
+    let mut limits = AnnouncedLimits::default();
+    limits.record_answer(ms(at_ms), RUN, ms(at_ms - 10), SaidLimit::PerSecond(per_s)).unwrap();
     limits
 }
 
@@ -25,53 +25,53 @@
 fn an_answer_without_a_limit_lifts_it_if_its_request_left_later() {
     let mut limits = known(3.0, 1_000);
     // It overtook, or its head was written before.
-    assert_eq!(limits.heard(ms(1_500), RUN, ms(990), SaidLimit::None), None);
-    assert_eq!(limits.of(RUN), Some(3.0));
-    let change = limits.heard(ms(1_600), RUN, ms(1_001), SaidLimit::None).unwrap();
+    assert_eq!(limits.record_answer(ms(1_500), RUN, ms(990), SaidLimit::None), None);
+    assert_eq!(limits.limit_per_s(RUN), Some(3.0));
+    let change = limits.record_answer(ms(1_600), RUN, ms(1_001), SaidLimit::None).unwrap();
     assert_eq!((change.before, change.now), (Some(3.0), None));
-    assert_eq!(limits.of(RUN), None);
+    assert_eq!(limits.limit_per_s(RUN), None);
 }
 
 #[test]
 fn a_word_that_allows_less_counts_at_once_and_one_that_allows_more_if_it_is_newer() {
     let mut limits = known(3.0, 1_000);
-    limits.heard(ms(1_100), RUN, ms(500), SaidLimit::PerSecond(1.0)).unwrap();
-    assert_eq!(limits.of(RUN), Some(1.0));
-    assert_eq!(limits.heard(ms(1_200), RUN, ms(1_050), SaidLimit::PerSecond(3.0)), None);
-    assert_eq!(limits.of(RUN), Some(1.0));
-    limits.heard(ms(1_300), RUN, ms(1_101), SaidLimit::PerSecond(3.0)).unwrap();
-    assert_eq!(limits.of(RUN), Some(3.0));
+    limits.record_answer(ms(1_100), RUN, ms(500), SaidLimit::PerSecond(1.0)).unwrap();
+    assert_eq!(limits.limit_per_s(RUN), Some(1.0));
+    assert_eq!(limits.record_answer(ms(1_200), RUN, ms(1_050), SaidLimit::PerSecond(3.0)), None);
+    assert_eq!(limits.limit_per_s(RUN), Some(1.0));
+    limits.record_answer(ms(1_300), RUN, ms(1_101), SaidLimit::PerSecond(3.0)).unwrap();
+    assert_eq!(limits.limit_per_s(RUN), Some(3.0));
 }
 
 #[test]
 fn what_is_no_number_changes_nothing() {
     let mut limits = known(3.0, 1_000);
-    assert_eq!(limits.heard(ms(2_000), RUN, ms(1_900), SaidLimit::Unreadable), None);
-    assert_eq!(limits.of(RUN), Some(3.0));
-    let mut none = Limits::default();
-    assert_eq!(none.heard(ms(2_000), RUN, ms(1_900), SaidLimit::Unreadable), None);
+    assert_eq!(limits.record_answer(ms(2_000), RUN, ms(1_900), SaidLimit::Unreadable), None);
+    assert_eq!(limits.limit_per_s(RUN), Some(3.0));
+    let mut none = AnnouncedLimits::default();
+    assert_eq!(none.record_answer(ms(2_000), RUN, ms(1_900), SaidLimit::Unreadable), None);
     assert!(none.is_empty());
 }
 
 #[test]
 fn what_peers_tell_counts_if_it_is_newer() {
     let mut limits = known(3.0, 1_000);
-    assert_eq!(limits.told(RUN, LimitWord { per_s: Some(9.0), at: ms(900) }), None);
-    assert_eq!(limits.told(RUN, LimitWord { per_s: None, at: ms(1_000) }), None);
-    assert_eq!(limits.of(RUN), Some(3.0));
-    limits.told(RUN, LimitWord { per_s: None, at: ms(1_100) }).unwrap();
-    assert_eq!(limits.of(RUN), None);
+    assert_eq!(limits.record_peer_report(RUN, AnnouncedLimit { per_s: Some(9.0), at: ms(900) }), None);
+    assert_eq!(limits.record_peer_report(RUN, AnnouncedLimit { per_s: None, at: ms(1_000) }), None);
+    assert_eq!(limits.limit_per_s(RUN), Some(3.0));
+    limits.record_peer_report(RUN, AnnouncedLimit { per_s: None, at: ms(1_100) }).unwrap();
+    assert_eq!(limits.limit_per_s(RUN), None);
     // One that comes late doesn't bring back what is over.
-    assert_eq!(limits.told(RUN, LimitWord { per_s: Some(3.0), at: ms(1_050) }), None);
-    assert_eq!(limits.of(RUN), None);
+    assert_eq!(limits.record_peer_report(RUN, AnnouncedLimit { per_s: Some(3.0), at: ms(1_050) }), None);
+    assert_eq!(limits.limit_per_s(RUN), None);
 }
 
 #[test]
 fn a_new_start_takes_nothing_over() {
     let mut limits = known(3.0, 1_000);
-    assert_eq!(limits.of(RUN + 1), None);
+    assert_eq!(limits.limit_per_s(RUN + 1), None);
     limits.retain(ms(30_000), |run| run == RUN + 1);
-    assert_eq!(limits.of(RUN), Some(3.0), "its record may be on its way");
+    assert_eq!(limits.limit_per_s(RUN), Some(3.0), "its record may be on its way");
     limits.retain(ms(62_000), |run| run == RUN + 1);
     assert!(limits.is_empty());
 }
@@ -83,7 +83,7 @@
 fn nodes_agree_on_the_newest_word_whatever_overtakes() {
     for seed in 0..50 {
         let mut rng = StdRng::seed_from_u64(seed);
-        let mut nodes: Vec<Limits> = (0..5).map(|_| Limits::default()).collect();
+        let mut nodes: Vec<AnnouncedLimits> = (0..5).map(|_| AnnouncedLimits::default()).collect();
         let mut on_the_way: Vec<(Duration, usize, Duration, SaidLimit)> = Vec::new();
         let mut says = SaidLimit::PerSecond(2.0);
         for step in 0..600 {
@@ -103,12 +103,12 @@
             on_the_way = waiting;
             let arrived: Vec<(Duration, usize, Duration, SaidLimit)> = arrived;
             for (_, node, sent_at, said) in arrived {
-                nodes[node].heard(now, RUN, sent_at, said);
+                nodes[node].record_answer(now, RUN, sent_at, said);
             }
             let (from, to) = (rng.random_range(0..5), rng.random_range(0..5));
-            let told: Vec<_> = nodes[from].to_tell(now).collect();
+            let told: Vec<_> = nodes[from].to_publish(now).collect();
             for (run, word) in told {
-                nodes[to].told(run, word);
+                nodes[to].record_peer_report(run, word);
             }
         }
         let said = match says {
@@ -116,7 +116,7 @@
             _ => None,
         };
         for node in &nodes {
-            assert_eq!(node.of(RUN), said, "seed {seed}");
+            assert_eq!(node.limit_per_s(RUN), said, "seed {seed}");
         }
     }
 }
--- a/crates/fernring-gateway/tests/testsuite/permit_issuer.rs
+++ b/crates/fernring-gateway/tests/testsuite/permit_issuer.rs
@@ -7,9 +7,9 @@
 use {
     fernring_gateway::{
         backlog::RANKS,
-        cold::{Asker, Turns},
+        cold::{PermitScope, ColdPermits},
         model::ColdBounds,
-        permit_issuer::{Denied, Grants, drained_together, part_of},
+        permit_issuer::{PermitDenied, PermitIssuer, combined_drain_time, limit_share},
     },
     rand::{RngExt, SeedableRng, rngs::StdRng},
     std::{collections::VecDeque, time::Duration},
@@ -108,7 +108,7 @@
 /// Nodes that ask the node that counts, as [`fernring_gateway::upstreams`] does.
 fn counted(seed: u64, load: Load, view: View) -> Sent {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut grants = vec![Grants::new(Duration::ZERO, 1.0, 0.0)];
+    let mut grants = vec![PermitIssuer::new(Duration::ZERO, 1.0, 0.0)];
     let mut closed = vec![[Duration::ZERO; RANKS]; load.nodes];
     let mut is_cut = false;
     let mut moved = 0;
@@ -128,9 +128,9 @@
                     return false;
                 }
                 part =
-                    if now < at + CUT_NOTICED { 1.0 } else { part_of(parts[counter], load.nodes) };
+                    if now < at + CUT_NOTICED { 1.0 } else { limit_share(parts[counter], load.nodes) };
                 if !is_cut {
-                    let new = |size: &usize| Grants::new(at, part_of(*size, load.nodes), 0.5);
+                    let new = |size: &usize| PermitIssuer::new(at, limit_share(*size, load.nodes), 0.5);
                     grants.extend(parts[1..].iter().map(new));
                     is_cut = true;
                 }
@@ -140,7 +140,7 @@
                 let moves = (now.as_millis() / interval.as_millis()) as usize;
                 if moves > moved {
                     moved = moves;
-                    let new = Grants::new(now, 1.0, 0.0);
+                    let new = PermitIssuer::new(now, 1.0, 0.0);
                     grants.insert(0, new);
                     grants.truncate(2);
                 }
@@ -153,9 +153,9 @@
         }
         *questions += 1;
         let draw = rng.random_range(0.0..1.0);
-        match grants[counter].ask(now, load.limit_per_s, part, rank, draw) {
+        match grants[counter].request(now, load.limit_per_s, part, rank, draw) {
             Ok(()) => true,
-            Err(Denied { ask_again_after, .. }) => {
+            Err(PermitDenied { ask_again_after, .. }) => {
                 for until in &mut closed[node][rank..] {
                     *until = (*until).max(now + ask_again_after);
                 }
@@ -168,14 +168,14 @@
 /// Nodes that each draw by a hash in which seconds they may send, as at cold upstreams.
 fn drawn(seed: u64, load: Load) -> Sent {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut turns: Vec<_> = (0..load.nodes).map(|_| (rng.random(), Turns::default())).collect();
+    let mut turns: Vec<_> = (0..load.nodes).map(|_| (rng.random(), ColdPermits::default())).collect();
     let bounds = ColdBounds { per_s: load.limit_per_s, overage: 1.5, slack: 5.0 };
     play(&mut rng, load, |_, now, node, _, _| {
         let (node, turns) = &mut turns[node];
-        turns.take(
+        turns.try_acquire(
             now + SPAN * 5,
             &bounds,
-            Asker { node: *node, upstream: seed, nodes: load.nodes },
+            PermitScope { node: *node, upstream: seed, nodes: load.nodes },
         )
     })
 }
@@ -254,10 +254,10 @@
 #[test]
 fn a_limit_is_kept_when_a_crowd_comes_after_a_lull() {
     for limit_per_s in [0.0, 0.5, 1.0, 10.0, 30.0] {
-        let mut grants = Grants::new(Duration::ZERO, 1.0, 0.0);
+        let mut grants = PermitIssuer::new(Duration::ZERO, 1.0, 0.0);
         let load = Load { nodes: 1, limit_per_s, wanted_per_s: 0.0, urgent: 1.0 };
         let crowd = (0..4_000).map(|step| ms(60_000 + step));
-        let sent = crowd.filter(|now| grants.ask(*now, limit_per_s, 1.0, 0, 0.5).is_ok()).count();
+        let sent = crowd.filter(|now| grants.request(*now, limit_per_s, 1.0, 0, 0.5).is_ok()).count();
         assert!(sent as f64 <= load.allowed(), "{sent} of {}", load.allowed());
     }
 }
@@ -285,10 +285,10 @@
 
 #[test]
 fn who_is_denied_hears_when_what_is_asked_for_can_be_done() {
-    let mut grants = Grants::new(Duration::ZERO, 1.0, 0.0);
+    let mut grants = PermitIssuer::new(Duration::ZERO, 1.0, 0.0);
     let mut longest = Duration::ZERO;
     for step in 0..400 {
-        if let Err(denied) = grants.ask(ms(step * 10), 5.0, 1.0, 0, 0.5) {
+        if let Err(denied) = grants.request(ms(step * 10), 5.0, 1.0, 0, 0.5) {
             longest = longest.max(denied.drained_after);
             assert!(denied.ask_again_after <= Duration::from_secs(1));
         }
@@ -300,10 +300,10 @@
 /// Callers were told the time of the upstream that is done first, three times as long as three alike take together.
 #[test]
 fn upstreams_do_together_what_each_would_have_done_alone() {
-    let together = drained_together(&[ms(9_000), ms(9_000), ms(9_000)]).unwrap();
+    let together = combined_drain_time(&[ms(9_000), ms(9_000), ms(9_000)]).unwrap();
     assert!((ms(2_990)..=ms(3_010)).contains(&together), "{together:?}");
-    let unlike = drained_together(&[ms(1_000), ms(60_000)]).unwrap();
+    let unlike = combined_drain_time(&[ms(1_000), ms(60_000)]).unwrap();
     assert!((ms(950)..ms(1_000)).contains(&unlike), "{unlike:?}");
-    assert!(drained_together(&[Duration::ZERO]).unwrap() > Duration::ZERO);
-    assert_eq!(drained_together(&[]), None);
+    assert!(combined_drain_time(&[Duration::ZERO]).unwrap() > Duration::ZERO);
+    assert_eq!(combined_drain_time(&[]), None);
 }
--- a/crates/fernring-gateway/tests/testsuite/refusal.rs
+++ b/crates/fernring-gateway/tests/testsuite/refusal.rs
@@ -3,7 +3,7 @@
 use {
     fernring_core::code::ResultCode,
     fernring_gateway::{
-        attempts::{Attempts, SendEnd},
+        attempts::{Attempts, SendOutcome},
         model::Repeat,
         refusal::{RETRY_AFTER_NOT_READY, Refusal},
     },
@@ -16,7 +16,7 @@
     let not_run = attempts.not_run().expect("nothing was sent");
     let refusal = Refusal::not_run(not_run, ResultCode::NoUpstream, RETRY_AFTER_NOT_READY, "");
     assert_eq!(refusal.status(), StatusCode::SERVICE_UNAVAILABLE);
-    attempts.ended(SendEnd::Unknown);
+    attempts.record_failure(SendOutcome::Unknown);
     assert!(attempts.not_run().is_none());
     for code in [ResultCode::WindowEnded, ResultCode::StageFailed] {
         let status = Refusal::may_have_run(code, "").status();
--- a/crates/fernring-gateway/tests/testsuite/residency.rs
+++ b/crates/fernring-gateway/tests/testsuite/residency.rs
@@ -22,7 +22,7 @@
 fn both_bind() {
     for one in all() {
         for other in all() {
-            let both = one.and(&other);
+            let both = one.intersect(&other);
             for name in NAMES {
                 let region: Arc<str> = name.into();
                 let allowed = |residency: &Residency| residency.allows(Some(&region));
--- a/crates/fernring-gateway/tests/testsuite/retry_after.rs
+++ b/crates/fernring-gateway/tests/testsuite/retry_after.rs
@@ -1,16 +1,16 @@
 //! When callers that are turned away come back.
 
-use {fernring_gateway::retry_after::come_back, std::time::Duration};
+use {fernring_gateway::retry_after::retry_after, std::time::Duration};
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
 #[test]
 fn nobody_is_told_a_pause_that_callers_don_t_follow() {
     for (rank, draw) in [(0, 0.0), (3, 0.99), (100, 0.99)] {
-        let pause = come_back(None, MS(6_000), rank, draw);
+        let pause = retry_after(None, MS(6_000), rank, draw);
         assert!((MS(1_200)..=MS(2_000)).contains(&pause), "{pause:?}");
     }
-    assert_eq!(come_back(Some(MS(100)), Duration::ZERO, 0, 0.5), Duration::ZERO);
+    assert_eq!(retry_after(Some(MS(100)), Duration::ZERO, 0, 0.5), Duration::ZERO);
 }
 
 /// Replays a crowd that is turned away within a moment: 30 callers of three ranks.
@@ -18,7 +18,7 @@
 fn a_crowd_comes_back_spread_and_the_more_urgent_first() {
     let drained_after = Some(MS(1_000));
     let pause =
-        |rank, index: u32| come_back(drained_after, MS(6_000), rank, f64::from(index) / 10.0);
+        |rank, index: u32| retry_after(drained_after, MS(6_000), rank, f64::from(index) / 10.0);
     let of_rank = |rank| (0..10).map(move |index| pause(rank, index));
     assert!(of_rank(0).max() < of_rank(1).min() && of_rank(1).max() < of_rank(2).min());
     let mut all: Vec<_> = (0..3).flat_map(of_rank).collect();
--- a/crates/fernring-gateway/tests/testsuite/selection.rs
+++ b/crates/fernring-gateway/tests/testsuite/selection.rs
@@ -3,7 +3,7 @@
 use {
     fernring_gateway::{
         model::UpstreamKey,
-        selection::{Candidate, PromptNeed, choose, choose_model},
+        selection::{Candidate, PromptDemand, choose, choose_model},
     },
     slotmap::SlotMap,
     std::collections::BTreeSet,
@@ -16,25 +16,25 @@
         identity,
         load: 0.0,
         slots: 4,
-        is_near: false,
+        is_same_domain: false,
         is_avoided: false,
         is_cold: false,
-        is_ordered: false,
+        is_rollout_target: false,
     };
     (0..count).map(candidate).collect()
 }
 
-fn need(prefix: u64) -> PromptNeed {
-    PromptNeed {
+fn need(prefix: u64) -> PromptDemand {
+    PromptDemand {
         prefix,
-        own_tokens: 1_000.0,
-        all_tokens: 10_000.0,
-        patience_tokens: 20_000.0,
+        uncached_tokens: 1_000.0,
+        total_tokens: 10_000.0,
+        token_budget: 20_000.0,
         home: None,
     }
 }
 
-fn chosen(candidates: &[Candidate], need: PromptNeed) -> Option<UpstreamKey> {
+fn chosen(candidates: &[Candidate], need: PromptDemand) -> Option<UpstreamKey> {
     choose_model(candidates, need).map(|choice| choice.key)
 }
 
@@ -77,11 +77,11 @@
 fn the_home_goes_first_while_it_is_in_time() {
     let mut all = candidates(3);
     for home in 0..3 {
-        let wanted = PromptNeed { home: Some(all[home].key), ..need(7) };
+        let wanted = PromptDemand { home: Some(all[home].key), ..need(7) };
         assert_eq!(chosen(&all, wanted), wanted.home);
     }
     all[0].load = 50_000.0;
-    let wanted = PromptNeed { home: Some(all[0].key), ..need(7) };
+    let wanted = PromptDemand { home: Some(all[0].key), ..need(7) };
     assert_ne!(chosen(&all, wanted), wanted.home);
 }
 
@@ -105,7 +105,7 @@
     all[2].load = 3.0;
     assert_eq!(choose(&all, 1), Some(all[1].key));
     let mut equal = candidates(3);
-    equal[2].is_near = true;
+    equal[2].is_same_domain = true;
     assert_eq!(choose(&equal, 1), Some(equal[2].key));
 }
 
@@ -119,7 +119,7 @@
         candidate.load = 30_000.0;
     }
     all[home].load = 90_000.0;
-    let wanted = PromptNeed { home: Some(all[home].key), ..need(7) };
+    let wanted = PromptDemand { home: Some(all[home].key), ..need(7) };
     assert_eq!(chosen(&all, wanted), Some(usual));
 }
 
--- a/crates/fernring-gateway/tests/testsuite/stage_plan.rs
+++ b/crates/fernring-gateway/tests/testsuite/stage_plan.rs
@@ -26,8 +26,8 @@
     assert!(plan.start_ready(1).is_empty());
     plan.finish(1, handles(&["b"]));
     assert_eq!(plan.start_ready(1), [2]);
-    assert_eq!(plan.inputs(2), Some(handles(&["a", "b"])));
-    assert_eq!(plan.inputs(0), None, "it works on the request's key");
+    assert_eq!(plan.input_handles(2), Some(handles(&["a", "b"])));
+    assert_eq!(plan.input_handles(0), None, "it works on the request's key");
 }
 
 #[test]
@@ -72,15 +72,15 @@
 fn results_are_given_up_once_and_as_soon_as_nothing_needs_them() {
     let mut plan = StagePlan::new(&beside_a_chain(), &[1, 1, 1, 1]);
     plan.finish(1, handles(&["b"]));
-    assert!(plan.take_spent().is_empty(), "the next stage reads it");
+    assert!(plan.take_consumed().is_empty(), "the next stage reads it");
     plan.finish(2, handles(&["c"]));
-    assert_eq!(plan.take_spent(), [(1, handles(&["b"]))]);
-    assert!(plan.take_spent().is_empty());
+    assert_eq!(plan.take_consumed(), [(1, handles(&["b"]))]);
+    assert!(plan.take_consumed().is_empty());
     plan.finish(3, handles(&["d"]));
     plan.finish(0, handles(&["a"]));
-    assert_eq!(plan.take_spent(), [(2, handles(&["c"]))]);
-    assert_eq!(plan.take_all(), [(0, handles(&["a"])), (3, handles(&["d"]))]);
-    assert!(plan.is_released() && plan.take_all().is_empty());
+    assert_eq!(plan.take_consumed(), [(2, handles(&["c"]))]);
+    assert_eq!(plan.take_remaining(), [(0, handles(&["a"])), (3, handles(&["d"]))]);
+    assert!(plan.has_released_results() && plan.take_remaining().is_empty());
 }
 
 #[test]
--- a/crates/fernring-gateway/tests/testsuite/worker_pools.rs
+++ b/crates/fernring-gateway/tests/testsuite/worker_pools.rs
@@ -4,7 +4,7 @@
 //! Its calls waited at the link, and on a calm day 0.17 of the worth was earned. These tests replay that load.
 
 use {
-    fernring_gateway::worker_pools::{Carried, MakerPool, Splits, draw_domain, shall_split},
+    fernring_gateway::worker_pools::{CallTraffic, WorkerPool, ShardedServices, draw_domain, should_shard},
     std::{collections::BTreeMap, sync::Arc, time::Duration},
 };
 
@@ -18,12 +18,12 @@
 
 /// Counts calls of 96 pieces at a pace of `pieces_per_s`; returns when the service is first to be split, if ever.
 fn split_at(pieces_per_s: f64, link: f64, parts: Option<usize>) -> Option<Duration> {
-    let mut carried = Carried::default();
+    let mut carried = CallTraffic::default();
     let pause = Duration::from_secs_f64(96.0 / pieces_per_s);
     let calls = (0..).map(|call| pause * call).take_while(|now| *now < ms(10_000));
     for now in calls {
         carried.add(now, 96 * PIECE_BYTES);
-        if shall_split(carried.per_s(now), link, parts) {
+        if should_shard(carried.per_s(now), link, parts) {
             return Some(now);
         }
     }
@@ -50,7 +50,7 @@
 
 #[test]
 fn what_was_carried_fades() {
-    let mut carried = Carried::default();
+    let mut carried = CallTraffic::default();
     carried.add(ms(0), 1_000_000);
     assert!(carried.per_s(ms(100)) > 900_000.0);
     assert!(carried.per_s(ms(3_000)) < 60_000.0);
@@ -58,14 +58,14 @@
 
 #[test]
 fn a_service_is_split_for_as_long_as_owners_say_so_and_some_time() {
-    let mut splits = Splits::default();
-    let hash = MakerPool::whole("letters".into()).hash();
-    assert!(!splits.is_split(ms(0), "letters"));
-    assert!(splits.said(ms(0), hash), "news");
-    assert!(!splits.said(ms(5_000), hash), "said again");
-    assert!(splits.is_split(ms(14_000), "letters") && !splits.is_split(ms(14_000), "others"));
-    assert!(!splits.is_split(ms(16_000), "letters"), "nobody has said so for ten seconds");
-    assert!(splits.said(ms(20_000), hash));
+    let mut splits = ShardedServices::default();
+    let hash = WorkerPool::unsharded("letters".into()).hash();
+    assert!(!splits.is_sharded(ms(0), "letters"));
+    assert!(splits.record_shard_report(ms(0), hash), "news");
+    assert!(!splits.record_shard_report(ms(5_000), hash), "said again");
+    assert!(splits.is_sharded(ms(14_000), "letters") && !splits.is_sharded(ms(14_000), "others"));
+    assert!(!splits.is_sharded(ms(16_000), "letters"), "nobody has said so for ten seconds");
+    assert!(splits.record_shard_report(ms(20_000), hash));
 }
 
 #[test]
@@ -87,10 +87,10 @@
 
 #[test]
 fn pools_of_one_service_are_told_apart() {
-    let whole = MakerPool::whole("letters".into());
-    let of_a = MakerPool { failure_domain: Some("a".into()), ..whole.clone() };
-    let of_b = MakerPool { failure_domain: Some("b".into()), ..whole.clone() };
-    assert!(whole.covers("a") && whole.covers("b") && of_a.covers("a") && !of_a.covers("b"));
+    let whole = WorkerPool::unsharded("letters".into());
+    let of_a = WorkerPool { failure_domain: Some("a".into()), ..whole.clone() };
+    let of_b = WorkerPool { failure_domain: Some("b".into()), ..whole.clone() };
+    assert!(whole.covers_domain("a") && whole.covers_domain("b") && of_a.covers_domain("a") && !of_a.covers_domain("b"));
     let hashes = [whole.hash(), of_a.hash(), of_b.hash()];
     assert!(hashes[0] != hashes[1] && hashes[1] != hashes[2] && hashes[0] != hashes[2]);
     assert_eq!(whole.to_string(), "letters", "the owner of the whole is the one of before");
