--- a/crates/fernring-gateway/src/decide/admission.rs
+++ b/crates/fernring-gateway/src/decide/admission.rs
@@ -1,90 +1,95 @@
-//! Whether a request is taken on, decided when it arrives. No I/O.
+//! Admission of requests, decided at arrival. No I/O.
 //!
-//! The load that this answers: for some seconds more requests come than the stage services can
-//! make pieces for. Whoever queues them all serves each too late, and what was made for those that
-//! are given up in the end is lost. So the whole path is forecast at arrival, and a request is
-//! turned away at once unless its answer will come while it is of use. One that is taken on is
-//! kept.
+//! Handles bursts in which, for some seconds, more requests arrive than the stage services can
+//! process. Queueing all of them would serve each one too late, and the results produced for
+//! requests that are abandoned in the end would be lost. The whole path is therefore forecast at
+//! arrival, and a request is refused at once unless its answer will come while it is still of use.
+//! An admitted request is not refused later.
 //!
-//! What is known of the queues is up to a heartbeat old, and is carried on by what came and went until then. The limits are the
-//! caller's own: the objective for those that can be in time, its patience for the others. There is no limit on
-//! a queue's length, since a queue that can be served in time is as long as it may be.
+//! The state of the queues is up to one heartbeat old; the arrival and completion rates extrapolate
+//! it to the present. The limits are the caller's own: the objective for requests that can be in
+//! time, the caller's patience for the others. Queue length itself is not limited, since a queue
+//! that can be served in time may have any length.
 
 use {crate::backlog::Backlog, std::time::Duration};
 
-/// One stage of a request, as its forecast needs it.
+/// One stage of a request, as the forecast needs it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StageDemand {
-    /// Indexes of the stages whose results it needs. Invariant: all below its own.
+    /// Indexes of the stages whose results it needs. Invariant: all are below its own index.
     pub after: Vec<usize>,
-    /// Its pieces; none if the request leaves it out.
+    /// Number of pieces; 0 if the request leaves the stage out.
     pub pieces: u32,
-    /// What waits for its service; `None` if nothing is known.
+    /// Backlog of its service; `None` if unknown.
     pub backlog: Option<Backlog>,
-    /// Time of a call that holds this request's pieces and whatever else waits, up to a full one.
+    /// Duration of a call that holds this request's pieces and other queued pieces, up to a full
+    /// call.
     pub call_time: Duration,
 }
 
-/// A request that asks to be taken on.
+/// A request to be admitted or refused.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RequestDemand {
-    /// Its rank, as an index.
+    /// Rank of the request, as an index.
     pub rank: usize,
-    /// Its stages.
+    /// Stages of the request.
     pub stages: Vec<StageDemand>,
-    /// Time from the results of the last stage to the first event.
+    /// Time from the results of the last stage to the first event of the answer.
     pub prefill_time: Duration,
-    /// Time left until its answer is worth less.
+    /// Time left until the answer loses value.
     pub objective_left: Duration,
-    /// Time left until its answer is worth nothing.
+    /// Time left until the answer is worthless.
     pub time_left: Duration,
 }
 
-/// What becomes of a request that asks.
+/// The decision about a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// It is taken on and should be answered in time, after the time said.
+    /// Admitted; the answer is expected in time, after the given duration.
     InTime(Duration),
-    /// It is taken on though its answer will come late, after the time said.
+    /// Admitted, though the answer will come late, after the given duration.
     Late(Duration),
-    /// It can't be served. A repeat has a better chance after the time said, if any has.
+    /// Refused. A retry has a better chance after the given duration, if one is known.
     Refused(Option<Duration>),
 }
 
-/// Decides on a request.
-pub fn decide(need: &RequestDemand) -> AdmissionDecision {
-    let in_time = path_time(need, |backlog| backlog.wait_for_rank(need.rank));
-    if let Some(time) = in_time.filter(|time| *time <= need.objective_left) {
+/// Decides whether a request is admitted.
+pub fn decide(demand: &RequestDemand) -> AdmissionDecision {
+    let in_time = path_time(demand, |backlog| backlog.wait_for_rank(demand.rank));
+    if let Some(time) = in_time.filter(|time| *time <= demand.objective_left) {
         return AdmissionDecision::InTime(time);
     }
-    let late = path_time(need, Backlog::wait_for_late);
+    let late = path_time(demand, Backlog::wait_for_late);
     match late {
-        Some(time) if time <= need.time_left => AdmissionDecision::Late(time),
-        _ => AdmissionDecision::Refused(drained_after(need)),
+        Some(time) if time <= demand.time_left => AdmissionDecision::Late(time),
+        _ => AdmissionDecision::Refused(drained_after(demand)),
     }
 }
 
-/// Returns the time until the first event, where `wait_of` tells how long a piece waits for its
-/// turn; `None` if it never comes.
-fn path_time(need: &RequestDemand, wait_of: impl Fn(&Backlog) -> Option<Duration>) -> Option<Duration> {
-    let mut ends: Vec<Duration> = Vec::with_capacity(need.stages.len());
-    for stage in &need.stages {
-        let ready_at = stage.after.iter().map(|s| ends[*s]).max().unwrap_or_default();
-        let end = match (stage.pieces, &stage.backlog) {
+/// Returns the time until the first event, where `wait_of` estimates how long a piece waits before
+/// it enters a call; `None` if the event would never come.
+fn path_time(
+    demand: &RequestDemand,
+    wait_of: impl Fn(&Backlog) -> Option<Duration>,
+) -> Option<Duration> {
+    let mut completed_at: Vec<Duration> = Vec::with_capacity(demand.stages.len());
+    for stage in &demand.stages {
+        let ready_at = stage.after.iter().map(|s| completed_at[*s]).max().unwrap_or_default();
+        let completes_at = match (stage.pieces, &stage.backlog) {
             (0, _) => ready_at,
             (_, None) => ready_at + stage.call_time,
-            // What is ahead goes on while the stages before are made.
+            // The queue ahead shrinks while earlier stages run.
             (_, Some(backlog)) => ready_at.max(wait_of(backlog)?) + stage.call_time,
         };
-        ends.push(end);
+        completed_at.push(completes_at);
     }
-    let staged = ends.into_iter().max().unwrap_or_default();
-    Some(staged + need.prefill_time)
+    let stages_done_at = completed_at.into_iter().max().unwrap_or_default();
+    Some(stages_done_at + demand.prefill_time)
 }
 
-/// Returns the time until what waits now is done at all services.
-fn drained_after(need: &RequestDemand) -> Option<Duration> {
-    let used = need.stages.iter().filter(|stage| stage.pieces > 0);
+/// Returns the time until the present backlogs of all services are processed.
+fn drained_after(demand: &RequestDemand) -> Option<Duration> {
+    let used = demand.stages.iter().filter(|stage| stage.pieces > 0);
     let waits = used.filter_map(|stage| stage.backlog.as_ref()).map(Backlog::wait_for_late);
     waits.collect::<Option<Vec<_>>>()?.into_iter().max()
 }
--- a/crates/fernring-gateway/src/decide/attempts.rs
+++ b/crates/fernring-gateway/src/decide/attempts.rs
@@ -1,33 +1,33 @@
-//! How often a request may be sent, and what may be said when it wasn't served.
+//! How often a request may be sent, and what may be claimed about one that wasn't served.
 //!
-//! A request that may not be repeated is sent again only with a [`NotRun`] in hand, and only
-//! this module makes one: from an upstream's own statement, or from a send of which no byte left.
+//! A request that must not be repeated is sent again only with a [`NotRun`]. Only this module
+//! creates one: from an upstream's own statement, or from a send of which no byte left this node.
 
 use crate::model::Repeat;
 
-/// Proof that nothing of a request has run.
+/// Proof that no part of a request has run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NotRun(());
 
 impl NotRun {
-    /// Returns the proof for a request that is refused before any account of sends exists for it.
+    /// Returns the proof for a request that is refused before its [`Attempts`] exist.
     pub(crate) fn never_sent() -> Self {
         Self(())
     }
 }
 
-/// How one send to an upstream ended without an answer to pass on.
+/// How a send to an upstream ended without a response to pass on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendOutcome {
-    /// No byte of it left this node.
+    /// No byte left this node.
     NotSent,
-    /// The upstream may get nothing new; no byte left this node.
+    /// The upstream was ineligible for new requests; no byte left this node.
     Ineligible,
-    /// The upstream states that it has not run it.
+    /// The upstream states that it has not run the request.
     Refused,
-    /// The instance that was meant is not at that address any more; it has not run there.
+    /// The intended instance is no longer at that address; the request has not run there.
     WrongInstance,
-    /// Anything else: it may have run.
+    /// Any other outcome: the request may have run.
     Unknown,
 }
 
@@ -44,25 +44,25 @@
     }
 }
 
-/// The sends of one request.
+/// Sends of one request.
 #[derive(Debug, Clone)]
 pub struct Attempts {
     repeat: Repeat,
     sends_max: u32,
-    /// Upstreams that it was sent to, but for those that were not the instance meant.
+    /// Sends so far, without those that reached a different instance than intended.
     sends: u32,
     may_have_run: bool,
 }
 
 impl Attempts {
-    /// Starts the account of a request.
+    /// Creates the state of a request that was not sent yet.
     pub fn new(repeat: Repeat, sends_max: u32) -> Self {
         Self { repeat, sends_max: sends_max.max(1), sends: 0, may_have_run: false }
     }
 
-    /// Takes in how a send ended.
-    pub fn record_failure(&mut self, end: SendOutcome) {
-        match end {
+    /// Records a send that ended without a response to pass on.
+    pub fn record_failure(&mut self, outcome: SendOutcome) {
+        match outcome {
             SendOutcome::NotSent | SendOutcome::Ineligible | SendOutcome::WrongInstance => {}
             SendOutcome::Refused => self.sends += 1,
             SendOutcome::Unknown => {
@@ -72,18 +72,18 @@
         }
     }
 
-    /// Tells whether it may be sent to another upstream.
+    /// Returns whether the request may be sent to another upstream.
     pub fn may_send(&self) -> bool {
         let repeatable = self.repeat != Repeat::Never;
         self.sends < self.sends_max && (repeatable || !self.may_have_run)
     }
 
-    /// Tells whether the next send would be one more than the first.
+    /// Returns whether the next send would be beyond the first one.
     pub fn next_is_extra(&self) -> bool {
         self.sends > 0
     }
 
-    /// Returns the proof that nothing has run, if that is so.
+    /// Returns the proof that nothing has run, if nothing has.
     pub fn not_run(&self) -> Option<NotRun> {
         (!self.may_have_run).then_some(NotRun(()))
     }
--- a/crates/fernring-gateway/src/decide/backlog.rs
+++ b/crates/fernring-gateway/src/decide/backlog.rs
@@ -1,34 +1,36 @@
-//! What waits for the makers of a stage service, and how fast it goes: what the owner of the
-//! service tells all nodes, so that each can forecast at arrival. No I/O.
+//! Backlog of a stage service and its processing rate. The owner of the service publishes it to all
+//! nodes, so that each node can forecast at arrival. No I/O.
 
 use std::time::Duration;
 
-/// Ranks that are told apart; all below are alike.
+/// Number of distinct ranks; all less urgent ones share the last.
 pub const RANKS: usize = 8;
 
-/// Returns a request's rank as an index.
+/// Returns the index of a request's rank.
 pub fn rank_index(priority: u32) -> usize {
     (priority as usize).min(RANKS - 1)
 }
 
-/// Pieces by the rank of their requests.
+/// Number of pieces by the rank of their requests.
 pub type PiecesByRank = [u32; RANKS];
 
-/// What waits for the makers of a service, at one moment.
+/// Backlog of a service's workers at one moment.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Backlog {
-    /// Pieces a second that all makers finish together while more wait than they can take.
+    /// Pieces per second that all workers complete together while more are queued than they can
+    /// take.
     pub rate_per_s: f64,
-    /// Pieces a second that came of late, by rank; those that were late already are left out.
+    /// Recent arrivals in pieces per second, by rank, without pieces that were already late when
+    /// they arrived.
     pub arrivals_per_s: [f64; RANKS],
-    /// Pieces that wait and can still be in time.
+    /// Queued pieces that can still be in time.
     pub waiting: PiecesByRank,
-    /// Pieces that wait and can't be in time any more; they go last.
+    /// Queued pieces that can no longer be in time; they go last.
     pub late: u32,
 }
 
 impl Backlog {
-    /// Returns the backlog as it should be `age` later, if pieces go on to come and go as they did.
+    /// Returns the backlog expected after `age`, if pieces arrive and complete at the same rates.
     pub fn extrapolate(mut self, age: Duration) -> Self {
         let arrivals = self.arrivals_per_s.iter().sum::<f64>();
         let change = (arrivals - self.rate_per_s) * age.as_secs_f64();
@@ -43,25 +45,25 @@
         self
     }
 
-    /// Adds pieces that are promised and haven't come yet.
-    pub fn add_reserved(&mut self, promised: &PiecesByRank) {
-        for (waiting, promised) in self.waiting.iter_mut().zip(promised) {
-            *waiting += promised;
+    /// Adds pieces that are reserved but not queued yet.
+    pub fn add_reserved(&mut self, reserved: &PiecesByRank) {
+        for (waiting, reserved) in self.waiting.iter_mut().zip(reserved) {
+            *waiting += reserved;
         }
     }
 
-    /// Returns the time until a piece of a rank has its turn that can still be in time; `None` if as many
-    /// more urgent ones come as can be made.
+    /// Returns the time until a piece of a rank that can still be in time enters a call; `None` if
+    /// more urgent pieces arrive as fast as pieces are completed.
     pub fn wait_for_rank(&self, rank: usize) -> Option<Duration> {
         let ahead = self.waiting[..=rank].iter().sum::<u32>() + self.late;
         match ahead {
             0 => (self.rate_per_s > 0.0).then_some(Duration::ZERO),
-            _ => time_for(f64::from(ahead), self.rate_left(rank)),
+            _ => processing_time(f64::from(ahead), self.remaining_rate(rank)),
         }
     }
 
-    /// Returns the time until a late piece has its turn, which is when all others are done; `None` if
-    /// more come than can be made.
+    /// Returns the time until a late piece enters a call, which is after all others; `None` if
+    /// pieces arrive faster than they are completed.
     pub fn wait_for_late(&self) -> Option<Duration> {
         let ahead = self.waiting.iter().sum::<u32>() + self.late;
         match ahead {
@@ -70,18 +72,18 @@
         }
     }
 
-    /// Returns the time until a number of pieces is made while those that come go first; `None` if as
-    /// many come as can be made.
+    /// Returns the time until `pieces` late pieces are completed while new arrivals go first;
+    /// `None` if pieces arrive as fast as they are completed.
     pub fn time_to_process(&self, pieces: u32) -> Option<Duration> {
-        time_for(f64::from(pieces), self.rate_left(RANKS))
+        processing_time(f64::from(pieces), self.remaining_rate(RANKS))
     }
 
-    /// Returns the pieces a second that are left by those that come of more urgent ranks.
-    fn rate_left(&self, rank: usize) -> f64 {
+    /// Returns the rate, in pieces per second, that arrivals of more urgent ranks leave over.
+    fn remaining_rate(&self, rank: usize) -> f64 {
         self.rate_per_s - self.arrivals_per_s[..rank].iter().sum::<f64>()
     }
 }
 
-fn time_for(pieces: f64, rate_per_s: f64) -> Option<Duration> {
+fn processing_time(pieces: f64, rate_per_s: f64) -> Option<Duration> {
     (rate_per_s > 0.0).then(|| Duration::from_secs_f64((pieces / rate_per_s).min(3_600.0)))
 }
--- a/crates/fernring-gateway/src/decide/backlogs.rs
+++ b/crates/fernring-gateway/src/decide/backlogs.rs
@@ -1,5 +1,6 @@
-//! What a node knows of the backlogs of all stage services: what their owners say in heartbeats, and
-//! what the nodes have promised to requests that haven't come to a stage yet. No I/O.
+//! The backlogs of all stage services as one node knows them: those that the owners report in
+//! heartbeats, and the pieces that nodes have reserved for requests that haven't reached a stage
+//! yet. No I/O.
 
 use {
     crate::{
@@ -16,41 +17,42 @@
     },
 };
 
-/// Age from which on what an owner said is of no use: more than two heartbeats were lost, and it may
-/// be the owner no longer.
-const SAID_AGE_MAX: Duration = Duration::from_millis(700);
+/// Age beyond which an owner's report is ignored: more than two heartbeats were lost, and the peer
+/// may no longer be the owner.
+const REPORT_AGE_MAX: Duration = Duration::from_millis(700);
 
 #[derive(Debug, Default)]
 struct Peer {
-    said_at: Duration,
-    /// Of the services that it owns.
+    reported_at: Duration,
+    /// Backlogs of the services that it owns.
     backlogs: HashMap<u32, Backlog>,
-    promised_at: Duration,
-    /// What it promised, or its whole failure domain.
-    promised: HashMap<u32, PiecesByRank>,
-    /// Whether `promised` is that of its domain.
+    reserved_at: Duration,
+    /// Pieces reserved by the peer, or by its whole failure domain.
+    reserved: HashMap<u32, PiecesByRank>,
+    /// Whether `reserved` is the sum of its domain.
     is_sum: bool,
 }
 
 impl Peer {
-    fn promised(&self, now: Duration) -> impl Iterator<Item = (&u32, &PiecesByRank)> {
-        let is_fresh = now <= self.promised_at + SAID_AGE_MAX;
-        self.promised.iter().filter(move |_| is_fresh)
+    fn reserved(&self, now: Duration) -> impl Iterator<Item = (&u32, &PiecesByRank)> {
+        let is_fresh = now <= self.reserved_at + REPORT_AGE_MAX;
+        self.reserved.iter().filter(move |_| is_fresh)
     }
 }
 
-/// The backlogs as one node knows them.
+/// All backlogs known to one node.
 #[derive(Debug, Default)]
 pub struct Backlogs {
     peers: RefCell<HashMap<SocketAddr, Peer>>,
-    /// Invariant: some rank of each entry has pieces.
-    promised: RefCell<BTreeMap<WorkerPool, PiecesByRank>>,
-    /// What this node told its domain's delegates last, which the sums that they tell contain.
-    told: RefCell<HashMap<u32, PiecesByRank>>,
+    /// Invariant: each entry has a nonzero count.
+    reserved: RefCell<BTreeMap<WorkerPool, PiecesByRank>>,
+    /// The reservations last sent to this domain's delegates, which the sums published by the
+    /// delegates contain.
+    sent: RefCell<HashMap<u32, PiecesByRank>>,
 }
 
-/// Pieces of a stage that were promised to a request and haven't been asked for yet; given back
-/// when dropped.
+/// Pieces of a stage that are reserved for a request and not requested yet; dropping it releases
+/// them.
 #[derive(Debug)]
 pub struct Reservation {
     backlogs: Rc<Backlogs>,
@@ -61,10 +63,10 @@
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        let mut all = self.backlogs.promised.borrow_mut();
-        if let Some(promised) = all.get_mut(&self.pool) {
-            promised[self.rank] -= self.pieces;
-            if *promised == PiecesByRank::default() {
+        let mut all = self.backlogs.reserved.borrow_mut();
+        if let Some(reserved) = all.get_mut(&self.pool) {
+            reserved[self.rank] -= self.pieces;
+            if *reserved == PiecesByRank::default() {
                 all.remove(&self.pool);
             }
         }
@@ -72,39 +74,44 @@
 }
 
 impl Backlogs {
-    /// Promises pieces of a stage to a request of a rank.
+    /// Reserves pieces of a stage for a request of a rank.
     pub fn reserve(self: &Rc<Self>, pool: &WorkerPool, rank: usize, pieces: u32) -> Reservation {
-        let mut all = self.promised.borrow_mut();
+        let mut all = self.reserved.borrow_mut();
         all.entry(pool.clone()).or_default()[rank] += pieces;
         drop(all);
         Reservation { backlogs: self.clone(), pool: pool.clone(), rank, pieces }
     }
 
-    /// Returns what is ahead at some makers: what its owner has, or said last, and what all nodes have
-    /// promised. `own` is set if this node owns it.
-    pub fn estimate(&self, now: Duration, pool: &WorkerPool, own: Option<Backlog>) -> Option<Backlog> {
+    /// Returns the backlog of a pool of workers: the one that its owner has or last reported, plus
+    /// the reservations of all nodes. `own` is the backlog if this node is the owner.
+    pub fn estimate(
+        &self,
+        now: Duration,
+        pool: &WorkerPool,
+        own: Option<Backlog>,
+    ) -> Option<Backlog> {
         let hash = pool.hash();
         let peers = self.peers.borrow();
-        let fresh = peers.values().filter(|peer| now <= peer.said_at + SAID_AGE_MAX);
-        let said = || {
+        let fresh = peers.values().filter(|peer| now <= peer.reported_at + REPORT_AGE_MAX);
+        let reported = || {
             let newest = fresh.clone().filter(|peer| peer.backlogs.contains_key(&hash));
-            let newest = newest.max_by_key(|peer| peer.said_at)?;
-            Some(newest.backlogs[&hash].extrapolate(now.saturating_sub(newest.said_at)))
+            let newest = newest.max_by_key(|peer| peer.reported_at)?;
+            Some(newest.backlogs[&hash].extrapolate(now.saturating_sub(newest.reported_at)))
         };
-        let mut backlog = own.or_else(said)?;
-        for (_, promised) in
-            peers.values().flat_map(|peer| peer.promised(now)).filter(|(s, _)| **s == hash)
+        let mut backlog = own.or_else(reported)?;
+        for (_, reserved) in
+            peers.values().flat_map(|peer| peer.reserved(now)).filter(|(s, _)| **s == hash)
         {
-            backlog.add_reserved(promised);
+            backlog.add_reserved(reserved);
         }
-        if let Some(promised) = self.promised.borrow().get(pool) {
-            backlog.add_reserved(promised);
+        if let Some(reserved) = self.reserved.borrow().get(pool) {
+            backlog.add_reserved(reserved);
         }
         Some(backlog)
     }
 
-    /// Returns what is to be said in heartbeats: the backlogs of own services and what was promised, by this node or
-    /// by its failure domain.
+    /// Returns the loads to publish in heartbeats: the backlogs of own services, and the
+    /// reservations of this node or of its failure domain.
     pub fn stage_loads(
         &self,
         now: Duration,
@@ -120,24 +127,24 @@
             load.waiting = backlog.waiting.to_vec();
             load.late = backlog.late;
         }
-        for (service, promised) in self.promised_by(now, loads_of) {
-            loads.entry(service).or_default().promised = promised.to_vec();
+        for (service, reserved) in self.reservations_of(now, loads_of) {
+            loads.entry(service).or_default().promised = reserved.to_vec();
         }
         loads.into_iter().map(|(service, load)| StageLoad { service, ..load }).collect()
     }
 
-    fn promised_by(&self, now: Duration, loads_of: LoadsOf) -> HashMap<u32, PiecesByRank> {
-        let own = self.promised.borrow();
+    fn reservations_of(&self, now: Duration, loads_of: LoadsOf) -> HashMap<u32, PiecesByRank> {
+        let own = self.reserved.borrow();
         let mut sums: HashMap<_, _> =
-            own.iter().map(|(pool, promised)| (pool.hash(), *promised)).collect();
+            own.iter().map(|(pool, reserved)| (pool.hash(), *reserved)).collect();
         match loads_of {
-            LoadsOf::Sender => *self.told.borrow_mut() = sums.clone(),
+            LoadsOf::Sender => *self.sent.borrow_mut() = sums.clone(),
             LoadsOf::Domain => {
                 let peers = self.peers.borrow();
                 let near = peers.values().filter(|peer| !peer.is_sum);
-                for (service, promised) in near.flat_map(|peer| peer.promised(now)) {
+                for (service, reserved) in near.flat_map(|peer| peer.reserved(now)) {
                     let sum = sums.entry(*service).or_default();
-                    sum.iter_mut().zip(promised).for_each(|(sum, more)| *sum += more);
+                    sum.iter_mut().zip(reserved).for_each(|(sum, more)| *sum += more);
                 }
             }
             LoadsOf::Nobody => sums.clear(),
@@ -145,7 +152,8 @@
         sums
     }
 
-    /// Takes in what a peer says. `contains_own` tells whether the sums of its domain contain what this node promised.
+    /// Handles the loads that a peer reports. `contains_own` states whether the sums of the peer's
+    /// domain contain this node's reservations.
     pub fn handle_loads(
         &self,
         now: Duration,
@@ -155,25 +163,26 @@
         contains_own: bool,
     ) {
         let mut peers = self.peers.borrow_mut();
-        let said = peers.entry(peer).or_default();
+        let report = peers.entry(peer).or_default();
         let owned = loads.iter().filter(|load| load.is_owner);
-        said.said_at = now;
-        said.backlogs = owned.map(|load| (load.service, backlog_of(load))).collect();
+        report.reported_at = now;
+        report.backlogs = owned.map(|load| (load.service, backlog_of(load))).collect();
         if loads_of == LoadsOf::Nobody {
             return;
         }
-        said.promised_at = now;
-        said.is_sum = loads_of == LoadsOf::Domain;
-        said.promised = loads.iter().map(|load| (load.service, by_rank(&load.promised))).collect();
+        report.reserved_at = now;
+        report.is_sum = loads_of == LoadsOf::Domain;
+        report.reserved =
+            loads.iter().map(|load| (load.service, by_rank(&load.promised))).collect();
         if contains_own {
-            for (service, own) in &*self.told.borrow() {
-                let sum = said.promised.entry(*service).or_default();
+            for (service, own) in &*self.sent.borrow() {
+                let sum = report.reserved.entry(*service).or_default();
                 sum.iter_mut().zip(own).for_each(|(sum, own)| *sum = sum.saturating_sub(*own));
             }
         }
     }
 
-    /// Forgets what a lost peer said.
+    /// Removes the reports of a lost peer.
     pub fn remove_peer(&self, peer: SocketAddr) {
         self.peers.borrow_mut().remove(&peer);
     }
@@ -188,9 +197,9 @@
     }
 }
 
-/// Returns what was said by rank; what wasn't is nothing.
-fn by_rank<T: Copy + Default>(said: &[T]) -> [T; RANKS] {
+/// Returns the values by rank; missing ones are the default.
+fn by_rank<T: Copy + Default>(values: &[T]) -> [T; RANKS] {
     let mut ranks = [T::default(); RANKS];
-    ranks.iter_mut().zip(said).for_each(|(rank, said)| *rank = *said);
+    ranks.iter_mut().zip(values).for_each(|(rank, value)| *rank = *value);
     ranks
 }
--- a/crates/fernring-gateway/src/decide/batching.rs
+++ b/crates/fernring-gateway/src/decide/batching.rs
@@ -1,16 +1,18 @@
-//! Which pieces go into the next call to an upstream of a stage service, and which are given up. No I/O.
+//! Selects the pieces of the next call to an upstream of a stage service, and drops expired ones.
+//! No I/O.
 //!
-//! The load that this answers: more pieces wait than the next calls hold. A call costs its fixed time whatever it
-//! holds, results take room until they are read, and a piece that is made too late is made for little.
+//! Handles the load in which more pieces are queued than the next calls hold. A call costs its
+//! fixed time however few pieces it holds, results take space until they are read, and a piece that
+//! is completed too late is of little value.
 
 use {
     crate::{
         backlog::{Backlog, PiecesByRank, RANKS, rank_index},
         content::ContentKey,
-        workers::expected_call_time,
         model::{BatchShape, Piece},
         residency::Residency,
         settings::DecideSettings,
+        workers::expected_call_time,
     },
     std::{
         collections::{HashMap, HashSet},
@@ -20,65 +22,68 @@
     },
 };
 
-/// Most calls that a piece is put into before its stage fails.
+/// Maximum number of calls that a piece is put into before its stage fails.
 pub const CALLS_PER_PIECE_MAX: u32 = 3;
 
-/// Head start of each rank over the next, in full calls: more than a wait that can be made good by
-/// another maker, less than one that a whole rank would starve in. Measured against 1 and 7.
-const RANK_CALLS: f64 = 2.0;
-/// Calls' worth of waiting pieces from which on every maker takes whatever waits. Lateness costs
-/// most of a request's worth, what crosses between domains a few hundredths. Measured against 1 and 3, with five makers.
-const CROWDED_CALLS: f64 = 2.0;
-/// The same for each maker, where there are more: with 41, two calls' worth wait in calm, and all large results were
-/// made far from their readers (35 of 36 GB).
-const CROWDED_CALLS_A_MAKER: f64 = CROWDED_CALLS / 5.0;
-/// Head start of pieces whose results are read in the maker's own domain, in full calls: what another maker
-/// would have to be waited for.
-const FAR_CALLS: f64 = 1.0;
-/// A work isn't split over calls if that leaves no more than one of so many places empty.
-const LEFT_PLACES: usize = 5;
+/// Head start of each rank over the next, in full calls: longer than a wait that another worker can
+/// make up for, shorter than one that starves a whole rank. The measured alternatives were 1 and 7.
+const RANK_HEAD_START_CALLS: f64 = 2.0;
+/// Number of calls' worth of queued pieces beyond which every worker takes any queued piece.
+/// Lateness costs most of a request's value, traffic between failure domains a few hundredths. The
+/// measured alternatives were 1 and 3, with five workers.
+const OVERLOAD_CALLS: f64 = 2.0;
+/// The same per worker, for larger services: with 41 workers, two calls' worth are queued even at
+/// low load, and all large results were produced far from their consumers (35 of 36 GB).
+const OVERLOAD_CALLS_PER_WORKER: f64 = OVERLOAD_CALLS / 5.0;
+/// Head start of pieces whose results are read in the worker's own domain, in full calls: the time
+/// to wait for another worker.
+const LOCAL_HEAD_START_CALLS: f64 = 1.0;
+/// A work isn't split over calls if keeping it together leaves at most one in this many slots
+/// empty.
+const EMPTY_SLOT_DIVISOR: usize = 5;
 
-/// A piece that waits for its call.
+/// A piece that is queued for a call.
 #[derive(Debug, Clone, PartialEq)]
 pub struct QueuedPiece {
-    /// The work that it belongs to.
+    /// The work that the piece belongs to.
     pub work: u64,
-    /// What its request asks.
+    /// Fingerprint of its request.
     pub fingerprint: ContentKey,
-    /// Whether a maker ended under a call that it was in with pieces of other requests: it goes into calls of its own, so that
-    /// the request shows that ends makers, and the others go on.
+    /// Whether a worker crashed under a call that held this piece and pieces of other requests. Its
+    /// request then gets calls of its own, so that the request that crashes workers is found and
+    /// the others go on.
     pub is_isolated: bool,
-    /// The piece. Its `remaining` is set when its call is sent.
+    /// The piece. Its `remaining` is set when the call is sent.
     pub piece: Piece,
-    /// When its result is due for its request to be on time.
+    /// Time at which its result is due for the request to be on time.
     pub due_at: Duration,
     /// Failure domain in which its result will be read; `None` if that doesn't matter.
     pub consumer_domain: Option<Arc<str>>,
-    /// When its result is of no more use.
+    /// Time from which its result is useless.
     pub deadline_at: Duration,
     /// Rank of its request; 0 goes first.
     pub priority: u32,
-    /// Size of its result, in bytes.
+    /// Size of its result in bytes.
     pub result_bytes: u64,
-    /// Where its request may be served.
+    /// Regions in which its request may be served.
     pub residency: Residency,
-    /// The node that asked for it.
+    /// The node that requested it.
     pub requester: SocketAddr,
-    /// Calls that it was put into.
+    /// Number of calls that it was put into.
     pub calls: u32,
 }
 
-/// The makers of a service in one failure domain.
+/// The workers of a service in one failure domain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DomainWorkers {
-    /// Their number.
+    /// Number of workers.
     pub count: usize,
-    /// When the first of them will be free.
+    /// Time at which the first of them will be free.
     pub free_at: Duration,
 }
 
 impl DomainWorkers {
-    /// Estimates when the last of `pieces` is made that they work on in order.
+    /// Estimates when the last of `pieces` is completed if the workers process them in order.
     fn done_at(&self, now: Duration, pieces: usize, shape: &BatchShape) -> Duration {
         let full_call = expected_call_time(shape, shape.pieces_max);
         let usual_call = expected_call_time(shape, shape.pieces_max / 2);
@@ -87,29 +92,29 @@
     }
 }
 
-/// The maker that a call is filled for.
+/// The worker that a call is filled for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TargetWorker<'a> {
     /// Its failure domain.
     pub failure_domain: &'a str,
-    /// Bytes of results that it has room for.
+    /// Free bytes for results.
     pub free_bytes: u64,
-    /// Makers of its service that take work, itself included.
+    /// Number of active workers of its service, including itself.
     pub workers: usize,
 }
 
-/// What ended the filling of a call.
+/// What limited the pieces of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BatchLimit {
-    /// Nothing waits any more.
+    /// No more pieces were queued.
     Empty,
-    /// The call holds as many pieces as it may.
+    /// The call holds the maximum number of pieces.
     Slots,
-    /// The maker has no room for the results of what waits.
+    /// The worker has too few free bytes for the results of the queued pieces.
     FreeBytes,
-    /// What waits is left to makers in the failure domain that reads its results.
+    /// The queued pieces are left to workers in the failure domain that reads their results.
     ConsumerDomain,
-    /// A request's pieces go into a call of their own.
+    /// The pieces of one request go into a call of their own.
     Isolation,
 }
 
@@ -131,187 +136,207 @@
 pub struct Batch {
     /// The pieces.
     pub pieces: Vec<QueuedPiece>,
-    /// Why there are no more: the first that kept one out, or that all places are taken.
+    /// Why there are no more pieces: the first limit that kept one out, or that all slots are
+    /// taken.
     pub limit: BatchLimit,
 }
 
-/// The pieces that wait for one service.
+/// The queued pieces of one service.
 #[derive(Debug, Default)]
 pub struct BatchQueue {
-    tasks: Vec<QueuedPiece>,
-    /// Works of which some pieces were taken. The others go first: until they are made, the
-    /// results of the first ones take room for nothing.
-    begun: HashSet<u64>,
+    pieces: Vec<QueuedPiece>,
+    /// Works of which some pieces were taken. Their other pieces go first: until these are
+    /// completed, the results of the first ones take space without use.
+    started: HashSet<u64>,
 }
 
 impl BatchQueue {
     /// Adds a piece.
-    pub fn push(&mut self, task: QueuedPiece) {
-        self.tasks.push(task);
+    pub fn push(&mut self, piece: QueuedPiece) {
+        self.pieces.push(piece);
     }
 
-    /// Tells whether nothing waits.
+    /// Returns whether the queue is empty.
     pub fn is_empty(&self) -> bool {
-        self.tasks.is_empty()
+        self.pieces.is_empty()
     }
 
-    /// Returns the number of pieces that wait.
+    /// Returns the number of queued pieces.
     pub fn len(&self) -> usize {
-        self.tasks.len()
+        self.pieces.len()
     }
 
-    /// Lists the works of which pieces wait.
+    /// Lists the works that have queued pieces.
     pub fn works(&self) -> HashSet<u64> {
-        self.tasks.iter().map(|task| task.work).collect()
+        self.pieces.iter().map(|piece| piece.work).collect()
     }
 
-    /// Counts the pieces that wait: those that can be in time, by rank, and the others.
+    /// Counts the queued pieces: those that can be in time, by rank, and the late ones.
     pub fn count_waiting(&self, now: Duration, shape: &BatchShape) -> (PiecesByRank, u32) {
         let mut in_time = [0; RANKS];
         let mut late = 0;
-        for task in &self.tasks {
-            match misses(task, now, shape) {
+        for piece in &self.pieces {
+            match is_late(piece, now, shape) {
                 true => late += 1,
-                false => in_time[rank_index(task.priority)] += 1,
+                false => in_time[rank_index(piece.priority)] += 1,
             }
         }
         (in_time, late)
     }
 
-    /// Drops the pieces of a work that nobody waits for any more.
+    /// Removes the pieces of a cancelled work.
     pub fn cancel(&mut self, work: u64) {
-        self.tasks.retain(|task| task.work != work);
-        self.begun.remove(&work);
+        self.pieces.retain(|piece| piece.work != work);
+        self.started.remove(&work);
     }
 
-    /// Drops a piece that was made meanwhile.
+    /// Removes a piece that was completed elsewhere.
     pub fn remove_piece(&mut self, work: u64, number: u32) {
-        self.tasks.retain(|task| task.work != work || task.piece.number != number);
+        self.pieces.retain(|piece| piece.work != work || piece.piece.number != number);
     }
 
-    /// Takes out the pieces whose time would be over before a call could end.
+    /// Takes out the pieces whose deadline would pass before a call could end.
     ///
-    /// Those that can't be in time any more have their turn once `backlog` is done; where that would be too late
-    /// they are taken out now, not when their time is over.
+    /// Late pieces enter calls only after `backlog` is processed. Those for which that would be too
+    /// late are taken out now rather than at their deadline.
     pub fn take_expired(
         &mut self,
         now: Duration,
         shape: &BatchShape,
         backlog: &Backlog,
-        rules: &DecideSettings,
+        decide_settings: &DecideSettings,
     ) -> Vec<QueuedPiece> {
-        let begun = &self.begun;
+        let started = &self.started;
         let in_time = backlog.waiting.iter().sum::<u32>();
         let mut late = 0;
-        if rules.give_up && backlog.late > 0 {
-            // Late ones are numbered in their order.
-            self.tasks.sort_by_cached_key(|task| (urgency(task, shape, rules), task.work));
+        if decide_settings.give_up && backlog.late > 0 {
+            // Late pieces are counted in their order.
+            self.pieces
+                .sort_by_cached_key(|piece| (urgency(piece, shape, decide_settings), piece.work));
         }
-        let expired = |task: &mut QueuedPiece| {
-            if !rules.give_up || begun.contains(&task.work) || !misses(task, now, shape) {
-                return task.deadline_at <= now + shape.call_time;
+        let expired = |piece: &mut QueuedPiece| {
+            if !decide_settings.give_up
+                || started.contains(&piece.work)
+                || !is_late(piece, now, shape)
+            {
+                return piece.deadline_at <= now + shape.call_time;
             }
             late += 1;
             let wait = backlog.time_to_process(in_time + late);
-            wait.is_none_or(|wait| task.deadline_at <= now + wait + shape.call_time)
+            wait.is_none_or(|wait| piece.deadline_at <= now + wait + shape.call_time)
         };
-        self.tasks.extract_if(.., expired).collect()
+        self.pieces.extract_if(.., expired).collect()
     }
 
-    /// Takes out the pieces of the next call of a maker: the most urgent that
-    /// fit into a call and into its room. Those that can still be in time go before those that
-    /// can't, and the rest of what was begun before all. A result that will be read in another
-    /// domain is left to the makers there if they can make it in time; `makers_in` tells of them.
+    /// Takes out the pieces of a worker's next call: the most urgent ones that fit into the call
+    /// and into the worker's free bytes. The rest of started works goes before all others, and
+    /// pieces that can still be in time go before late ones. A piece whose result will be read in
+    /// another domain is left to the workers there if they can complete it in time; `workers_in`
+    /// returns them.
     pub fn take_batch(
         &mut self,
         now: Duration,
         shape: &BatchShape,
         worker: TargetWorker<'_>,
-        rules: &DecideSettings,
+        decide_settings: &DecideSettings,
         workers_in: impl Fn(&str) -> Option<DomainWorkers>,
     ) -> Batch {
         let TargetWorker { failure_domain, mut free_bytes, workers } = worker;
         let full_call = expected_call_time(shape, shape.pieces_max);
-        let begun = &self.begun;
-        let far = |task: &QueuedPiece| task.consumer_domain.as_ref().is_some_and(|near| **near != *failure_domain);
-        let order = |task: &QueuedPiece| {
-            let behind = if far(task) { full_call.mul_f64(FAR_CALLS) } else { Duration::ZERO };
-            let turn = urgency(task, shape, rules) + behind;
-            (!begun.contains(&task.work), misses(task, now, shape), turn, task.work)
+        let started = &self.started;
+        let is_remote = |piece: &QueuedPiece| {
+            piece
+                .consumer_domain
+                .as_ref()
+                .is_some_and(|consumer_domain| **consumer_domain != *failure_domain)
         };
-        self.tasks.sort_by_cached_key(order);
-        let crowded_calls = CROWDED_CALLS.max(CROWDED_CALLS_A_MAKER * workers as f64);
-        let is_crowded = self.tasks.len() as f64 > crowded_calls * shape.pieces_max as f64;
-        // Pieces that will be read in each domain, among those looked at so far.
+        let order = |piece: &QueuedPiece| {
+            let delay = if is_remote(piece) {
+                full_call.mul_f64(LOCAL_HEAD_START_CALLS)
+            } else {
+                Duration::ZERO
+            };
+            let priority = urgency(piece, shape, decide_settings) + delay;
+            (!started.contains(&piece.work), is_late(piece, now, shape), priority, piece.work)
+        };
+        self.pieces.sort_by_cached_key(order);
+        let overload_calls = OVERLOAD_CALLS.max(OVERLOAD_CALLS_PER_WORKER * workers as f64);
+        let is_overloaded = self.pieces.len() as f64 > overload_calls * shape.pieces_max as f64;
+        // Pieces whose results are read in each domain, among those examined so far.
         let mut ahead: HashMap<Arc<str>, usize> = HashMap::new();
         let mut sizes: HashMap<u64, usize> = HashMap::new();
-        for task in &self.tasks {
-            *sizes.entry(task.work).or_default() += 1;
+        for piece in &self.pieces {
+            *sizes.entry(piece.work).or_default() += 1;
         }
-        // The work that was looked at last, and whether it is left whole to another call.
-        let mut looked_at = None;
-        // The first piece's request, and whether it keeps others out.
-        let mut company: Option<(ContentKey, bool)> = None;
-        let mut is_left_whole = false;
-        let mut taken = 0;
-        let mut bound = BatchLimit::Empty;
-        let fits = |task: &mut QueuedPiece| {
-            let left_to_others = task.consumer_domain.as_ref().is_some_and(|near| {
-                let ahead = ahead.entry(near.clone()).or_default();
+        // The work examined last, and whether all of it is left to another call.
+        let mut examined = None;
+        // The request of the first piece, and whether it excludes others.
+        let mut first: Option<(ContentKey, bool)> = None;
+        let mut is_left_together = false;
+        let mut count = 0;
+        let mut limit = BatchLimit::Empty;
+        let fits = |piece: &mut QueuedPiece| {
+            let left_to_others = piece.consumer_domain.as_ref().is_some_and(|consumer_domain| {
+                let ahead = ahead.entry(consumer_domain.clone()).or_default();
                 *ahead += 1;
-                !is_crowded
-                    && **near != *failure_domain
-                    && !begun.contains(&task.work)
-                    && workers_in(near)
-                        .is_some_and(|there| there.done_at(now, *ahead, shape) <= task.due_at)
+                !is_overloaded
+                    && **consumer_domain != *failure_domain
+                    && !started.contains(&piece.work)
+                    && workers_in(consumer_domain)
+                        .is_some_and(|workers| workers.done_at(now, *ahead, shape) <= piece.due_at)
             });
-            if looked_at != Some(task.work) {
-                let pieces = sizes[&task.work];
-                let by_room = (free_bytes / task.result_bytes.max(1)) as usize;
-                let places = by_room.min(shape.pieces_max - taken);
-                looked_at = Some(task.work);
-                is_left_whole = rules.whole_works
-                    && pieces > places
-                    && places * LEFT_PLACES <= taken + places
-                    && !begun.contains(&task.work);
+            if examined != Some(piece.work) {
+                let pieces = sizes[&piece.work];
+                let by_bytes = (free_bytes / piece.result_bytes.max(1)) as usize;
+                let slots = by_bytes.min(shape.pieces_max - count);
+                examined = Some(piece.work);
+                is_left_together = decide_settings.whole_works
+                    && pieces > slots
+                    && slots * EMPTY_SLOT_DIVISOR <= count + slots
+                    && !started.contains(&piece.work);
             }
-            let is_kept_apart = company.is_some_and(|(content, is_apart)| {
-                content != task.fingerprint && (is_apart || task.is_isolated)
+            let is_isolated = first.is_some_and(|(fingerprint, is_isolated)| {
+                fingerprint != piece.fingerprint && (is_isolated || piece.is_isolated)
             });
-            let kept_out = match () {
-                () if is_kept_apart => BatchLimit::Isolation,
-                () if taken == shape.pieces_max => BatchLimit::Slots,
+            let exclusion = match () {
+                () if is_isolated => BatchLimit::Isolation,
+                () if count == shape.pieces_max => BatchLimit::Slots,
                 () if left_to_others => BatchLimit::ConsumerDomain,
-                () if task.result_bytes > free_bytes => BatchLimit::FreeBytes,
-                () if is_left_whole => BatchLimit::Slots,
+                () if piece.result_bytes > free_bytes => BatchLimit::FreeBytes,
+                () if is_left_together => BatchLimit::Slots,
                 () => {
-                    company.get_or_insert((task.fingerprint, task.is_isolated));
-                    taken += 1;
-                    free_bytes -= task.result_bytes;
+                    first.get_or_insert((piece.fingerprint, piece.is_isolated));
+                    count += 1;
+                    free_bytes -= piece.result_bytes;
                     return true;
                 }
             };
-            if bound == BatchLimit::Empty || kept_out == BatchLimit::Slots {
-                bound = kept_out;
+            if limit == BatchLimit::Empty || exclusion == BatchLimit::Slots {
+                limit = exclusion;
             }
             false
         };
-        let taken: Vec<_> = self.tasks.extract_if(.., fits).collect();
-        self.begun.extend(taken.iter().map(|task| task.work));
-        let open: HashSet<_> = self.tasks.iter().map(|task| task.work).collect();
-        self.begun.retain(|work| open.contains(work));
-        Batch { pieces: taken, limit: bound }
+        let taken: Vec<_> = self.pieces.extract_if(.., fits).collect();
+        self.started.extend(taken.iter().map(|piece| piece.work));
+        let remaining: HashSet<_> = self.pieces.iter().map(|piece| piece.work).collect();
+        self.started.retain(|work| remaining.contains(work));
+        Batch { pieces: taken, limit }
     }
 }
 
-/// Tells whether a piece can't be in time any more.
-fn misses(task: &QueuedPiece, now: Duration, shape: &BatchShape) -> bool {
-    task.due_at < now + expected_call_time(shape, shape.pieces_max)
+/// Returns whether a piece can no longer be in time.
+fn is_late(piece: &QueuedPiece, now: Duration, shape: &BatchShape) -> bool {
+    piece.due_at < now + expected_call_time(shape, shape.pieces_max)
 }
 
-/// The order among pieces that are in time, or among those that are not: by due time, with a head
+/// Sort key among the pieces that are in time, or among the late ones: by due time, with a head
 /// start for requests of higher rank.
-fn urgency(task: &QueuedPiece, shape: &BatchShape, rules: &DecideSettings) -> Duration {
-    let step = expected_call_time(shape, shape.pieces_max).mul_f64(RANK_CALLS);
-    task.due_at + if rules.ranks { step * rank_index(task.priority) as u32 } else { Duration::ZERO }
+fn urgency(piece: &QueuedPiece, shape: &BatchShape, decide_settings: &DecideSettings) -> Duration {
+    let step = expected_call_time(shape, shape.pieces_max).mul_f64(RANK_HEAD_START_CALLS);
+    piece.due_at
+        + if decide_settings.ranks {
+            step * rank_index(piece.priority) as u32
+        } else {
+            Duration::ZERO
+        }
 }
--- a/crates/fernring-gateway/src/decide/budget.rs
+++ b/crates/fernring-gateway/src/decide/budget.rs
@@ -1,5 +1,5 @@
-//! The budget of sends beyond the first, which all nodes share without talking about it: each
-//! spends its part of the allowance, measured by what it took in itself.
+//! The budget of sends beyond the first. All nodes share it without communicating: each spends its
+//! part of the allowance, in proportion to the requests that it received itself.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -7,33 +7,33 @@
     time::Duration,
 };
 
-/// Part of the allowed ratio that a node spends. Below 1, since windows of nodes don't line up
-/// and a request counted late in one window may be repeated in the next.
-const RATIO_PART: f64 = 0.7;
-/// Part of the allowed slack that the nodes spend together. Below 1, since nodes that join or
-/// return briefly count fewer peers than there are.
-const SLACK_PART: f64 = 0.6;
+/// Part of the allowed ratio that a node spends. It is below 1 because the windows of the nodes are
+/// not aligned: a request counted late in one window may be repeated in the next.
+const RATIO_SHARE: f64 = 0.7;
+/// Part of the allowed slack that all nodes spend together. It is below 1 because nodes that join
+/// or return briefly count fewer peers than there are.
+const SLACK_SHARE: f64 = 0.6;
 
-/// What all nodes together may spend.
+/// Extra sends allowed to all nodes together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Allowance {
-    /// Extra sends for each request to a service.
+    /// Extra sends per request to a service.
     pub ratio: f64,
-    /// Extra sends a window besides.
+    /// Extra sends per window in addition.
     pub slack: f64,
-    /// The window.
+    /// Length of the window.
     pub window: Duration,
 }
 
 #[derive(Debug, Default)]
 struct Spending {
     requests: VecDeque<Duration>,
-    extras: VecDeque<Duration>,
+    extra_sends: VecDeque<Duration>,
 }
 
 impl Spending {
-    fn forget(&mut self, before: Duration) {
-        for list in [&mut self.requests, &mut self.extras] {
+    fn drop_before(&mut self, before: Duration) {
+        for list in [&mut self.requests, &mut self.extra_sends] {
             while list.front().is_some_and(|at| *at < before) {
                 list.pop_front();
             }
@@ -41,7 +41,7 @@
     }
 }
 
-/// What a node has spent, by service.
+/// The extra sends of one node, by service.
 #[derive(Debug)]
 pub struct RetryBudget {
     allowance: Allowance,
@@ -49,7 +49,7 @@
 }
 
 impl RetryBudget {
-    /// Creates a budget of which nothing is spent.
+    /// Creates an unspent budget.
     pub fn new(allowance: Allowance) -> Self {
         Self { allowance, services: HashMap::new() }
     }
@@ -59,24 +59,30 @@
         self.allowance = allowance;
     }
 
-    /// Counts requests for a service.
+    /// Records requests to a service.
     pub fn record_requests(&mut self, now: Duration, service: &Arc<str>, count: usize) {
         let spending = self.services.entry(service.clone()).or_default();
         spending.requests.extend(std::iter::repeat_n(now, count));
-        spending.forget(now.saturating_sub(self.allowance.window));
+        spending.drop_before(now.saturating_sub(self.allowance.window));
     }
 
-    /// Takes `count` extra sends to a service, or none; tells whether it did. `nodes` is the
+    /// Spends `count` extra sends to a service, or none; returns whether it did. `nodes` is the
     /// number of nodes that share the slack.
-    pub fn try_spend(&mut self, now: Duration, service: &Arc<str>, count: usize, nodes: usize) -> bool {
+    pub fn try_spend(
+        &mut self,
+        now: Duration,
+        service: &Arc<str>,
+        count: usize,
+        nodes: usize,
+    ) -> bool {
         let spending = self.services.entry(service.clone()).or_default();
-        spending.forget(now.saturating_sub(self.allowance.window));
-        let by_ratio = spending.requests.len() as f64 * self.allowance.ratio * RATIO_PART;
-        let by_slack = self.allowance.slack * SLACK_PART / nodes.max(1) as f64;
-        if (spending.extras.len() + count) as f64 > by_ratio + by_slack {
+        spending.drop_before(now.saturating_sub(self.allowance.window));
+        let by_ratio = spending.requests.len() as f64 * self.allowance.ratio * RATIO_SHARE;
+        let by_slack = self.allowance.slack * SLACK_SHARE / nodes.max(1) as f64;
+        if (spending.extra_sends.len() + count) as f64 > by_ratio + by_slack {
             return false;
         }
-        spending.extras.extend(std::iter::repeat_n(now, count));
+        spending.extra_sends.extend(std::iter::repeat_n(now, count));
         true
     }
 }
--- a/crates/fernring-gateway/src/decide/cold.rs
+++ b/crates/fernring-gateway/src/decide/cold.rs
@@ -1,13 +1,17 @@
-//! How much a cold upstream is sent: one that has just started, or lost its warmth. No I/O.
+//! Limits what is sent to a cold upstream: one that has just started, or lost its warm caches. No
+//! I/O.
 //!
-//! The load that this answers: a failure domain comes back with all its upstreams cold, while a popular prompt has its home
-//! on one of them. A cold upstream bears a few requests a second from all nodes together, and ends under more. Nodes can't
-//! agree on each send, so two things keep the sum: cold upstreams are left out while others can do the work, and where they
-//! can't, each node has a *turn* at a cold upstream in some seconds only, drawn by a hash, so that the nodes' turns add up
-//! to a sixth of the bound. In the worst second, in which all use a turn that they had saved and then the next one, a third
-//! is expected. Under virtual time, with all nodes trying each 10 ms after a lull, the most in any second were 14 of 18.65
-//! over 9 and over 89 nodes and 11 over 300 (`tests/testsuite/cold.rs`). A node that counts too few others would take too many turns:
-//! the most that were known of in the last ten minutes count, and a node that has just started takes none.
+//! Handles the return of a failure domain with all its upstreams cold, while one of them is the
+//! home of a popular prompt. A cold upstream bears a few requests per second from all nodes
+//! together and crashes under more. Nodes can't coordinate each send, so two rules bound the sum.
+//! Cold upstreams are left out while others can do the work. Where they can't, each node gets a
+//! *permit* for a cold upstream only in some seconds, drawn by a hash, so that the permits of all
+//! nodes add up to a sixth of the bound. In the worst second, in which every node uses a saved
+//! permit and then the next one, a third is expected. In simulations under virtual time, with all
+//! nodes trying every 10 ms after an idle period, the highest counts in any second were 14 of 18.65
+//! over 9 and over 89 nodes and 11 over 300 (`tests/testsuite/cold.rs`). A node that underestimates
+//! the number of nodes would use too many permits: therefore the largest number known in the last
+//! ten minutes counts, and a node that has just started gets none.
 
 use {
     crate::{model::ColdBounds, position::Position},
@@ -15,120 +19,122 @@
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-/// Part of the bound that the turns of all nodes add up to, as one of so many.
-const TURN_PARTS: f64 = 6.0;
-/// The time for which turns are drawn, in which the bound counts.
+/// The permits of all nodes add up to the bound divided by this.
+const PERMIT_DIVISOR: f64 = 6.0;
+/// The window for which permits are drawn, and for which the bound holds.
 const WINDOW: Duration = Duration::from_secs(1);
-/// Time after its start in which a node takes no turn: it doesn't know yet how many others there are.
+/// Time after its start in which a node gets no permit, because it doesn't know the number of nodes
+/// yet.
 pub const STARTUP_TIME: Duration = Duration::from_secs(3);
-/// How long the largest number of nodes is remembered. Nodes behind a cut are not heard, and send all the same.
+/// How long the largest number of nodes is remembered. Nodes beyond a network partition are
+/// unreachable, but still send.
 const NODES_REMEMBERED: Duration = Duration::from_secs(600);
-/// Time after a refused connection in which the record of a process that has started again should have come: three of
-/// its heartbeats and what the reading takes.
-const RECORD_TIME: Duration = Duration::from_secs(4);
+/// Time after a refused connection within which the record of a restarted process should arrive:
+/// three of its heartbeats plus the time to read the record.
+const RECORD_DELAY_MAX: Duration = Duration::from_secs(4);
 
-/// The most nodes that were known of, of late.
+/// The largest number of nodes known within [`NODES_REMEMBERED`].
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PeakNodeCount {
-    most: usize,
+    peak: usize,
     seen_at: Duration,
 }
 
 impl PeakNodeCount {
-    /// Takes in how many nodes are known of now, this one included.
+    /// Records the number of nodes known now, including this one.
     pub fn record(&mut self, now: Duration, nodes: usize) {
-        if nodes >= self.most || now > self.seen_at + NODES_REMEMBERED {
-            *self = Self { most: nodes, seen_at: now };
+        if nodes >= self.peak || now > self.seen_at + NODES_REMEMBERED {
+            *self = Self { peak: nodes, seen_at: now };
         }
     }
 
-    /// Returns the number that counts.
+    /// Returns the largest recent number, at least 1.
     pub fn peak(&self) -> usize {
-        self.most.max(1)
+        self.peak.max(1)
     }
 }
 
-/// The turns of one node at one cold upstream.
+/// Permits of one node for one cold upstream.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ColdPermits {
-    /// The window that `used` belongs to.
+    /// Window in which `used` permits were used.
     window: u64,
     used: u32,
 }
 
-/// Who asks for a turn, and where.
+/// The node that needs a permit, and the upstream.
 #[derive(Debug, Clone, Copy)]
 pub struct PermitScope {
     /// Identity of the node.
     pub node: u64,
-    /// Identity of the start of the upstream.
+    /// Identity of the upstream's incarnation.
     pub upstream: u64,
-    /// Nodes that share the upstream.
+    /// Number of nodes that share the upstream.
     pub nodes: usize,
 }
 
 impl ColdPermits {
-    /// Tells whether a turn is left.
-    pub fn has_permit(&self, now: Duration, bounds: &ColdBounds, asker: PermitScope) -> bool {
-        let window = window(now, asker);
+    /// Returns whether a permit is left.
+    pub fn has_permit(&self, now: Duration, bounds: &ColdBounds, scope: PermitScope) -> bool {
+        let window = window(now, scope);
         let used = if window == self.window { self.used } else { 0 };
-        used < allowed(window, bounds, asker)
+        used < permits_in(window, bounds, scope)
     }
 
-    /// Takes a turn; tells whether one was left.
-    pub fn try_acquire(&mut self, now: Duration, bounds: &ColdBounds, asker: PermitScope) -> bool {
-        if !self.has_permit(now, bounds, asker) {
+    /// Uses a permit; returns whether one was left.
+    pub fn try_acquire(&mut self, now: Duration, bounds: &ColdBounds, scope: PermitScope) -> bool {
+        if !self.has_permit(now, bounds, scope) {
             return false;
         }
-        let window = window(now, asker);
+        let window = window(now, scope);
         let used = if window == self.window { self.used } else { 0 };
         *self = Self { window, used: used + 1 };
         true
     }
 }
 
-/// Returns the window of a moment. The nodes' windows begin at different moments.
-fn window(now: Duration, asker: PermitScope) -> u64 {
-    let shift_ms = asker.node % WINDOW.as_millis() as u64;
+/// Returns the window of a moment. The windows of the nodes start at different moments.
+fn window(now: Duration, scope: PermitScope) -> u64 {
+    let shift_ms = scope.node % WINDOW.as_millis() as u64;
     (now.as_millis() as u64 + shift_ms) / WINDOW.as_millis() as u64
 }
 
-/// Returns the turns of a node in a window.
-fn allowed(window: u64, bounds: &ColdBounds, asker: PermitScope) -> u32 {
-    let share = bounds.per_window(WINDOW) / TURN_PARTS / asker.nodes.max(1) as f64;
+/// Returns the permits of a node in a window.
+fn permits_in(window: u64, bounds: &ColdBounds, scope: PermitScope) -> u32 {
+    let share = bounds.per_window(WINDOW) / PERMIT_DIVISOR / scope.nodes.max(1) as f64;
     let draw =
-        xxh3_64_with_seed(&window.to_le_bytes(), asker.node ^ asker.upstream.rotate_left(32));
+        xxh3_64_with_seed(&window.to_le_bytes(), scope.node ^ scope.upstream.rotate_left(32));
     let draw = (draw >> 11) as f64 / (1u64 << 53) as f64;
     share as u32 + u32::from(draw < share.fract())
 }
 
-/// That nobody listened at an upstream's address: what listens there next has just started, though its record may not
-/// say so yet.
+/// A refused connection to an upstream's address: the next process that listens there has just
+/// started, though its record may not show it yet.
 #[derive(Debug, Clone, Copy)]
 pub struct RefusedConnection {
     at: Duration,
-    /// Position of the upstream's record then.
+    /// Position of the upstream's record at that time.
     record_at: Position,
-    accepted_at: Option<Duration>,
+    responded_at: Option<Duration>,
 }
 
 impl RefusedConnection {
-    /// Takes in that a connection was refused.
+    /// Records that a connection was refused.
     pub fn new(now: Duration, record_at: Position) -> Self {
-        Self { at: now, record_at, accepted_at: None }
+        Self { at: now, record_at, responded_at: None }
     }
 
-    /// Takes in that the upstream has answered.
+    /// Records that the upstream has responded.
     pub fn record_answer(&mut self, now: Duration) {
-        self.accepted_at.get_or_insert(now);
+        self.responded_at.get_or_insert(now);
     }
 
-    /// Tells whether the upstream has to be taken for cold, whose newest record lies at `record_at`: until a newer record
-    /// says what is so, or for the time of a cold start after it has answered again.
+    /// Returns whether the upstream, whose newest record is at `record_at`, counts as cold: until a
+    /// newer record shows its state, or for the time of a cold start after its first response.
     pub fn is_cold(&self, now: Duration, record_at: Position, cold_start: Duration) -> bool {
-        let until = match self.accepted_at {
-            Some(accepted_at) => accepted_at + cold_start,
-            None => self.at + RECORD_TIME + cold_start,
+        let until = match self.responded_at {
+            Some(responded_at) => responded_at + cold_start,
+            None => self.at + RECORD_DELAY_MAX + cold_start,
         };
         record_at <= self.record_at && now < until
     }
--- a/crates/fernring-gateway/src/decide/crash_detection.rs
+++ b/crates/fernring-gateway/src/decide/crash_detection.rs
@@ -1,8 +1,9 @@
-//! Whether an upstream's process has ended under what it had in hand. No I/O.
+//! Detects that an upstream's process has crashed while it had requests in flight. No I/O.
 //!
-//! A connection that breaks says little: it may have been reset, an answer broken off by an upstream that lives on, or
-//! the way cut. What tells them apart comes before or after: the address takes no connection any more, a later start is
-//! known, or the record goes. An upstream that was leaving ends as it said it would.
+//! A broken connection alone proves little: it may have been reset, a live upstream may have cut
+//! off a response, or the network may be partitioned. Evidence that comes before or after it
+//! decides: the address refuses connections, a later start is known, or the upstream's record
+//! disappears. An upstream that had announced that it was leaving has not crashed.
 //!
 //! ```
 //! use {
@@ -29,20 +30,21 @@
     std::{collections::HashMap, fmt, net::SocketAddr, sync::Arc, time::Duration},
 };
 
-/// How long after a break its cause may still be found out. A record goes three heartbeats of an upstream after its
-/// end (3.6 s where these come every 1.2 s), and a start again takes some seconds.
+/// How long after a disconnect its cause may still be found. A record disappears three heartbeats
+/// after the upstream's crash (3.6 s at a heartbeat of 1.2 s), and a restart takes some seconds.
 pub const CRASH_EVIDENCE_TIME_MAX: Duration = Duration::from_secs(10);
-/// How long it is kept that an upstream went, and how: longer than a request lasts that it served on with.
-const FATE_MAX: Duration = Duration::from_secs(120);
-/// Pause between two looks whether the same upstream takes connections.
+/// How long a departure is remembered: longer than the requests that a departing upstream still
+/// serves.
+const DEPARTURE_LIFETIME: Duration = Duration::from_secs(120);
+/// Pause between two probes of the same upstream.
 const PROBE_PAUSE: Duration = Duration::from_millis(200);
 
-/// One start of an upstream's process.
+/// One incarnation of an upstream's process.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Incarnation {
-    /// Its identity, which a process that starts again may keep.
+    /// Identity of the instance, which a restarted process may keep.
     pub instance: Arc<str>,
-    /// When it started, in Unix milliseconds, if that is known.
+    /// Start time in Unix milliseconds, if known.
     pub started_ms: Option<u64>,
 }
 
@@ -55,23 +57,23 @@
     }
 }
 
-/// How a send broke off.
+/// How the connection of a send broke.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Disconnect {
-    /// The other side closed or reset the connection.
+    /// The upstream closed or reset the connection.
     Closed,
-    /// Nothing came any more.
+    /// The upstream sent nothing more.
     Silent,
 }
 
-/// What a look at an upstream's address found.
+/// Result of a probe of an upstream's address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbeResult {
-    /// Nothing listens there.
+    /// The connection was refused.
     Refused,
-    /// Somebody takes connections.
+    /// The connection was accepted.
     Accepted,
-    /// No answer.
+    /// The probe timed out.
     Silent,
 }
 
@@ -86,45 +88,45 @@
     }
 }
 
-/// A start that has ended, with what it had in hand.
+/// A crashed incarnation, with the requests that it had in flight.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Crash {
-    /// The start.
+    /// The incarnation.
     pub incarnation: Incarnation,
-    /// What ran or waited there, each once.
+    /// Fingerprints of the requests that ran or waited there, without duplicates.
     pub fingerprints: Vec<ContentKey>,
 }
 
-/// What became of an upstream's record.
+/// What happened to an upstream's record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Fate {
-    /// It said that it leaves.
+enum Departure {
+    /// The upstream announced that it is leaving.
     Leaving,
-    /// Its record is gone.
+    /// The record was removed.
     Removed,
-    /// Its process has started again, or another has taken its address.
+    /// The process has restarted, or another one has taken its address.
     Restarted,
 }
 
-/// An upstream at which sends broke off.
+/// An upstream with broken sends.
 #[derive(Debug)]
-struct Broken {
-    run: Incarnation,
+struct BrokenUpstream {
+    incarnation: Incarnation,
     address: SocketAddr,
-    last_at: Duration,
-    /// Whether any of the sends was closed by the other side.
+    last_broken_at: Duration,
+    /// Whether the upstream closed the connection of any of the sends.
     was_closed: bool,
     probe: Option<ProbeResult>,
     probed_at: Option<Duration>,
-    fate: Option<Fate>,
-    /// Those whose upstream isn't known to have ended.
-    contents: Vec<ContentKey>,
+    departure: Option<Departure>,
+    /// Requests whose upstream isn't known to have crashed.
+    fingerprints: Vec<ContentKey>,
 }
 
-impl Broken {
-    fn has_ended(&self) -> bool {
-        let is_restarted = self.fate == Some(Fate::Restarted);
-        let is_removed = self.fate == Some(Fate::Removed);
+impl BrokenUpstream {
+    fn has_crashed(&self) -> bool {
+        let is_restarted = self.departure == Some(Departure::Restarted);
+        let is_removed = self.departure == Some(Departure::Removed);
         match self.probe {
             Some(ProbeResult::Refused) => true,
             Some(ProbeResult::Accepted) => is_restarted,
@@ -133,133 +135,148 @@
         }
     }
 
-    fn lives_on(&self) -> bool {
-        self.probe == Some(ProbeResult::Accepted) && self.fate != Some(Fate::Restarted)
+    fn is_alive(&self) -> bool {
+        self.probe == Some(ProbeResult::Accepted) && self.departure != Some(Departure::Restarted)
     }
 
-    fn take_ended(&mut self) -> Option<Crash> {
-        if self.contents.is_empty() || !self.has_ended() {
+    fn take_crash(&mut self) -> Option<Crash> {
+        if self.fingerprints.is_empty() || !self.has_crashed() {
             return None;
         }
-        let contents = std::mem::take(&mut self.contents);
-        Some(Crash { incarnation: self.run.clone(), fingerprints: contents })
+        let fingerprints = std::mem::take(&mut self.fingerprints);
+        Some(Crash { incarnation: self.incarnation.clone(), fingerprints })
     }
 }
 
-/// The upstreams at which sends broke off of late.
+/// Recently broken upstreams.
 #[derive(Debug, Default)]
 pub struct CrashDetector {
-    broken: HashMap<UpstreamKey, Broken>,
-    /// Upstreams that went of late, and how.
-    fates: HashMap<UpstreamKey, (Duration, Fate)>,
+    broken: HashMap<UpstreamKey, BrokenUpstream>,
+    /// Recent departures of upstreams.
+    departures: HashMap<UpstreamKey, (Duration, Departure)>,
 }
 
 impl CrashDetector {
-    /// Takes in that a send broke off; returns what is known to have ended with it. `content` is what is to be charged if
-    /// the upstream has ended, if anything is.
+    /// Records that the connection of a send broke; returns a crash if one is known now. `content`
+    /// is the fingerprint to attribute a crash to, if any.
     pub fn record_disconnect(
         &mut self,
         now: Duration,
         (key, address): (UpstreamKey, SocketAddr),
-        run: &Incarnation,
-        how: Disconnect,
-        content: Option<ContentKey>,
+        incarnation: &Incarnation,
+        disconnect: Disconnect,
+        fingerprint: Option<ContentKey>,
     ) -> Option<Crash> {
-        let fate = self.fates.get(&key).map(|(_, fate)| *fate);
-        match fate {
-            Some(Fate::Leaving) => return None,
-            // Its record went while it served on: it left without saying so before.
-            Some(Fate::Removed) if !self.broken.contains_key(&key) => return None,
+        let departure = self.departures.get(&key).map(|(_, departure)| *departure);
+        match departure {
+            Some(Departure::Leaving) => return None,
+            // Its record was removed while it still served: it left without announcing it.
+            Some(Departure::Removed) if !self.broken.contains_key(&key) => return None,
             _ => {}
         }
-        let broken = self.broken.entry(key).or_insert_with(|| Broken {
-            run: run.clone(),
+        let broken = self.broken.entry(key).or_insert_with(|| BrokenUpstream {
+            incarnation: incarnation.clone(),
             address,
-            last_at: now,
+            last_broken_at: now,
             was_closed: false,
             probe: None,
             probed_at: None,
-            fate,
-            contents: Vec::new(),
+            departure,
+            fingerprints: Vec::new(),
         });
-        broken.last_at = now;
-        broken.was_closed |= how == Disconnect::Closed;
-        if let Some(content) = content
-            && !broken.contents.contains(&content)
+        broken.last_broken_at = now;
+        broken.was_closed |= disconnect == Disconnect::Closed;
+        if let Some(fingerprint) = fingerprint
+            && !broken.fingerprints.contains(&fingerprint)
         {
-            broken.contents.push(content);
+            broken.fingerprints.push(fingerprint);
         }
-        broken.take_ended()
+        broken.take_crash()
     }
 
-    /// Tells whether to look now whether an upstream takes connections; if so, it is taken as being looked at.
+    /// Returns whether to probe an upstream now; if so, the probe counts as started.
     pub fn start_probe(&mut self, now: Duration, key: UpstreamKey) -> bool {
         let Some(broken) = self.broken.get_mut(&key) else {
             return false;
         };
         let is_due = broken.probed_at.is_none_or(|at| now >= at + PROBE_PAUSE);
-        let is_in_doubt = broken.was_closed || broken.fate == Some(Fate::Removed);
-        let shall = is_in_doubt && is_due && !broken.has_ended();
-        if shall {
+        let is_unclear = broken.was_closed || broken.departure == Some(Departure::Removed);
+        let should_probe = is_unclear && is_due && !broken.has_crashed();
+        if should_probe {
             broken.probed_at = Some(now);
         }
-        shall
+        should_probe
     }
 
-    /// Takes in what a look at an upstream's address found.
+    /// Records the result of a probe.
     pub fn record_probe(&mut self, key: UpstreamKey, found: ProbeResult) -> Option<Crash> {
         let broken = self.broken.get_mut(&key)?;
         broken.probe = Some(found);
-        broken.take_ended()
+        broken.take_crash()
     }
 
-    /// Tells whether an upstream at which a send broke off has ended; `None` if that isn't known yet.
+    /// Returns whether an upstream with a broken send has crashed; `None` if that isn't known yet.
     pub fn has_crashed(&self, key: UpstreamKey) -> Option<bool> {
         let broken = self.broken.get(&key)?;
-        match broken.has_ended() {
+        match broken.has_crashed() {
             true => Some(true),
-            false => broken.lives_on().then_some(false),
+            false => broken.is_alive().then_some(false),
         }
     }
 
-    /// Takes in that an upstream has said that it leaves.
+    /// Records that an upstream announced that it is leaving.
     pub fn record_leaving(&mut self, now: Duration, key: UpstreamKey) {
-        self.fates.insert(key, (now, Fate::Leaving));
+        self.departures.insert(key, (now, Departure::Leaving));
     }
 
-    /// Takes in that an upstream's record is gone.
+    /// Records that an upstream's record was removed.
     pub fn record_removal(&mut self, now: Duration, key: UpstreamKey) -> Option<Crash> {
-        self.went(now, key, Fate::Removed)
+        self.record_departure(now, key, Departure::Removed)
     }
 
-    /// Takes in that another upstream has appeared at an address: whoever had it before has ended, though it takes
-    /// connections there.
-    pub fn record_new_upstream(&mut self, now: Duration, key: UpstreamKey, address: SocketAddr) -> Vec<Crash> {
-        let others = self.broken.iter().filter(|(other, broken)| {
-            **other != key && broken.address == address && broken.fate != Some(Fate::Leaving)
+    /// Records that another upstream has appeared at an address: the previous one there has
+    /// crashed, even though the address accepts connections.
+    pub fn record_new_upstream(
+        &mut self,
+        now: Duration,
+        key: UpstreamKey,
+        address: SocketAddr,
+    ) -> Vec<Crash> {
+        let previous = self.broken.iter().filter(|(previous_key, broken)| {
+            **previous_key != key
+                && broken.address == address
+                && broken.departure != Some(Departure::Leaving)
         });
-        let others: Vec<_> = others.map(|(other, _)| *other).collect();
-        others.into_iter().filter_map(|other| self.record_restart(now, other)).collect()
+        let previous: Vec<_> = previous.map(|(previous_key, _)| *previous_key).collect();
+        previous
+            .into_iter()
+            .filter_map(|previous_key| self.record_restart(now, previous_key))
+            .collect()
     }
 
-    /// Takes in that an upstream's process has started again.
+    /// Records that an upstream's process has restarted.
     pub fn record_restart(&mut self, now: Duration, key: UpstreamKey) -> Option<Crash> {
-        self.went(now, key, Fate::Restarted)
+        self.record_departure(now, key, Departure::Restarted)
     }
 
-    fn went(&mut self, now: Duration, key: UpstreamKey, fate: Fate) -> Option<Crash> {
-        let before = self.fates.get(&key).map(|(_, fate)| *fate);
-        if before != Some(Fate::Leaving) {
-            self.fates.insert(key, (now, fate));
+    fn record_departure(
+        &mut self,
+        now: Duration,
+        key: UpstreamKey,
+        departure: Departure,
+    ) -> Option<Crash> {
+        let before = self.departures.get(&key).map(|(_, departure)| *departure);
+        if before != Some(Departure::Leaving) {
+            self.departures.insert(key, (now, departure));
         }
         let broken = self.broken.get_mut(&key)?;
-        broken.fate = Some(fate);
-        broken.take_ended()
+        broken.departure = Some(departure);
+        broken.take_crash()
     }
 
-    /// Forgets what is too old for its cause to be found out.
+    /// Removes disconnects and departures that are too old to matter.
     pub fn expire(&mut self, now: Duration) {
-        self.broken.retain(|_, broken| now < broken.last_at + CRASH_EVIDENCE_TIME_MAX);
-        self.fates.retain(|_, (at, _)| now < *at + FATE_MAX);
+        self.broken.retain(|_, broken| now < broken.last_broken_at + CRASH_EVIDENCE_TIME_MAX);
+        self.departures.retain(|_, (at, _)| now < *at + DEPARTURE_LIFETIME);
     }
 }
--- a/crates/fernring-gateway/src/decide/dispatch_round.rs
+++ b/crates/fernring-gateway/src/decide/dispatch_round.rs
@@ -16,7 +16,11 @@
 
 impl WorkersByDomain {
     /// Returns the makers of a domain; `count` counts them if that wasn't done.
-    pub fn get_or_count(&self, domain: &str, count: impl FnOnce() -> Option<DomainWorkers>) -> Option<DomainWorkers> {
+    pub fn get_or_count(
+        &self,
+        domain: &str,
+        count: impl FnOnce() -> Option<DomainWorkers>,
+    ) -> Option<DomainWorkers> {
         let mut known = self.known.borrow_mut();
         if let Some(makers) = known.get(domain) {
             return *makers;
--- a/crates/fernring-gateway/src/decide/eligibility.rs
+++ b/crates/fernring-gateway/src/decide/eligibility.rs
@@ -1,16 +1,17 @@
-//! The one question before anything new goes to an upstream: may it be sent to now? No I/O.
+//! The single check before anything new is sent to an upstream: is it eligible now? No I/O.
 //!
-//! It is asked twice: when upstreams are listed to choose from, and again at the moment at which the first byte would
-//! leave. First sends, retries, streams that go on elsewhere, calls on pieces and their second makers ask it in the same
-//! place, [`crate::upstreams::Upstreams::send`]. Giving results up is no work and doesn't ask.
+//! The check is made twice: when the upstreams to choose from are listed, and again right before
+//! the first byte leaves. First sends, retries, streams that continue elsewhere, calls on pieces
+//! and their second workers all make it in the same place, [`crate::upstreams::Upstreams::send`].
+//! Releasing results is not new work and is not checked.
 
-/// Why an upstream may get nothing new now.
+/// Why an upstream may get nothing new at present.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Ineligible {
-    /// It is not known any more.
+    /// It is no longer known.
     #[error("the upstream is gone")]
     Gone,
-    /// It has said that it leaves.
+    /// It has announced that it is leaving.
     #[error("the upstream is leaving")]
     Leaving,
     /// Its failure domain is evacuated.
@@ -22,10 +23,10 @@
     /// It lies outside the regions in which the request may be served: see [`crate::residency`].
     #[error("the upstream lies outside the request's regions")]
     OutsideRegions,
-    /// It is cold, and this node has no turn at it now: see [`crate::cold`].
+    /// It is cold, and this node has no permit for it now: see [`crate::cold`].
     #[error("the upstream is cold")]
     Cold,
-    /// It names a limit, and what that allows from all nodes is used up: see [`crate::limits`].
+    /// It announces a limit, and the permits of all nodes are used up: see [`crate::limits`].
     #[error("the upstream takes no more now")]
     Limited,
 }
--- a/crates/fernring-gateway/src/decide/limits.rs
+++ b/crates/fernring-gateway/src/decide/limits.rs
@@ -1,119 +1,138 @@
-//! What upstreams say of how much they take from all nodes together, and which of their words is the newest. No I/O.
+//! Limits that upstreams announce on the requests that they take from all nodes together, and which
+//! announcement is the newest. No I/O.
 //!
-//! The load that this answers: an upstream in need names a limit in its answers for as long as it holds. Each answer reaches
-//! one node, answers overtake each other, and nodes tell each other what they have read with its age. A word that allows
-//! more than the one that is known counts only if it surely is newer: its request had left after that one came. A word
-//! that allows less counts at once: at worst an old one holds until the next answer.
+//! Handles overloaded upstreams, which name a limit in each response for as long as it holds. A
+//! response reaches only one node, responses overtake each other, and nodes publish the limits that
+//! they have read, with their ages. An announcement that allows more than the known one counts only
+//! if it is certainly newer: its request was sent after the known one arrived. An announcement that
+//! allows less counts at once: at worst, an outdated one holds until the next response.
 
 use {
     crate::model::SaidLimit,
     std::{collections::HashMap, time::Duration},
 };
 
-/// How long nodes tell each other that a limit is over. Whoever hears of it later learns it by an answer of its own.
-const LIFTED_TOLD_FOR: Duration = Duration::from_secs(10);
-/// How long a word is kept of a start that no record names: the record may be on its way.
-const UNRECORDED_KEPT: Duration = Duration::from_secs(60);
+/// How long nodes publish that a limit was lifted. A node that misses this learns it from a
+/// response of its own.
+const LIFTED_PUBLISH_TIME: Duration = Duration::from_secs(10);
+/// How long an announcement is kept for an incarnation without a record: the record may not have
+/// arrived yet.
+const UNRECORDED_RETENTION: Duration = Duration::from_secs(60);
 
-/// The newest word of one start of an upstream.
+/// The newest announcement of one incarnation of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AnnouncedLimit {
-    /// The requests a second that it takes from all nodes together; `None` if it names no limit any more.
+    /// Requests per second that the upstream takes from all nodes together; `None` if it no longer
+    /// names a limit.
     pub per_s: Option<f64>,
-    /// When it was said, as far as is known.
+    /// Time of the announcement, as far as is known.
     pub at: Duration,
 }
 
-/// That what is known of an upstream's limit has changed.
+/// A change of an upstream's known limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitChange {
-    /// The limit before.
+    /// The previous limit.
     pub before: Option<f64>,
-    /// The limit now.
+    /// The present limit.
     pub now: Option<f64>,
 }
 
-/// The newest words of all upstreams, by their starts ([`crate::model::UpstreamRecord::run_id`]).
+/// The newest announcements of all upstreams, by incarnation
+/// ([`crate::model::UpstreamRecord::run_id`]).
 #[derive(Debug, Default)]
 pub struct AnnouncedLimits {
-    words: HashMap<u64, AnnouncedLimit>,
+    announcements: HashMap<u64, AnnouncedLimit>,
 }
 
 impl AnnouncedLimits {
-    /// Takes in what an answer says whose request left at `sent_at`; returns what that changes.
+    /// Records the announcement in a response whose request was sent at `sent_at`; returns the
+    /// change, if any.
     pub fn record_answer(
         &mut self,
         now: Duration,
-        run: u64,
+        incarnation: u64,
         sent_at: Duration,
-        said: SaidLimit,
+        announced: SaidLimit,
     ) -> Option<LimitChange> {
-        let per_s = match said {
+        let per_s = match announced {
             SaidLimit::None => None,
             SaidLimit::PerSecond(per_s) => Some(per_s),
             SaidLimit::Unreadable => return None,
         };
-        let held = self.words.get(&run).copied();
-        if held.is_none() && per_s.is_none() {
+        let known = self.announcements.get(&incarnation).copied();
+        if known.is_none() && per_s.is_none() {
             return None;
         }
-        let before = held.and_then(|held| held.per_s);
+        let before = known.and_then(|known| known.per_s);
         let allows_more = match (before, per_s) {
             (Some(_), None) => true,
             (Some(before), Some(per_s)) => per_s > before,
             (None, _) => false,
         };
-        if allows_more && held.is_some_and(|held| sent_at <= held.at) {
+        if allows_more && known.is_some_and(|known| sent_at <= known.at) {
             return None;
         }
         let at = if allows_more || per_s.is_none() { sent_at } else { now };
-        let at = held.map_or(at, |held| at.max(held.at));
-        self.put(run, AnnouncedLimit { per_s, at })
+        let at = known.map_or(at, |known| at.max(known.at));
+        self.put(incarnation, AnnouncedLimit { per_s, at })
     }
 
-    /// Takes in what a peer has told; returns what that changes.
-    pub fn record_peer_report(&mut self, run: u64, word: AnnouncedLimit) -> Option<LimitChange> {
-        match self.words.get(&run) {
-            Some(held) if held.at >= word.at => None,
-            None if word.per_s.is_none() => None,
-            _ => self.put(run, word),
+    /// Records an announcement reported by a peer; returns the change, if any.
+    pub fn record_peer_report(
+        &mut self,
+        incarnation: u64,
+        announcement: AnnouncedLimit,
+    ) -> Option<LimitChange> {
+        match self.announcements.get(&incarnation) {
+            Some(known) if known.at >= announcement.at => None,
+            None if announcement.per_s.is_none() => None,
+            _ => self.put(incarnation, announcement),
         }
     }
 
-    fn put(&mut self, run: u64, word: AnnouncedLimit) -> Option<LimitChange> {
-        let before = self.words.insert(run, word).and_then(|before| before.per_s);
-        (before != word.per_s).then_some(LimitChange { before, now: word.per_s })
+    fn put(&mut self, incarnation: u64, announcement: AnnouncedLimit) -> Option<LimitChange> {
+        let before =
+            self.announcements.insert(incarnation, announcement).and_then(|before| before.per_s);
+        (before != announcement.per_s).then_some(LimitChange { before, now: announcement.per_s })
     }
 
     /// Returns the limit of an upstream, if it names one.
-    pub fn limit_per_s(&self, run: u64) -> Option<f64> {
-        self.words.get(&run)?.per_s
+    pub fn limit_per_s(&self, incarnation: u64) -> Option<f64> {
+        self.announcements.get(&incarnation)?.per_s
     }
 
-    /// Returns the newest word of an upstream.
-    pub fn announcement(&self, run: u64) -> Option<AnnouncedLimit> {
-        self.words.get(&run).copied()
+    /// Returns the newest announcement of an upstream.
+    pub fn announcement(&self, incarnation: u64) -> Option<AnnouncedLimit> {
+        self.announcements.get(&incarnation).copied()
     }
 
-    /// Lists the words that peers are to be told.
+    /// Lists the announcements to publish to peers.
     pub fn to_publish(&self, now: Duration) -> impl Iterator<Item = (u64, AnnouncedLimit)> {
-        let is_told =
-            move |word: &AnnouncedLimit| word.per_s.is_some() || now < word.at + LIFTED_TOLD_FOR;
-        self.words.iter().filter(move |(_, word)| is_told(word)).map(|(run, word)| (*run, *word))
+        let is_published = move |announcement: &AnnouncedLimit| {
+            announcement.per_s.is_some() || now < announcement.at + LIFTED_PUBLISH_TIME
+        };
+        self.announcements
+            .iter()
+            .filter(move |(_, announcement)| is_published(announcement))
+            .map(|(incarnation, announcement)| (*incarnation, *announcement))
     }
 
-    /// Tells whether no word is known.
+    /// Returns whether no announcement is known.
     pub fn is_empty(&self) -> bool {
-        self.words.is_empty()
+        self.announcements.is_empty()
     }
 
     /// Returns the number of upstreams that name a limit.
     pub fn active_count(&self) -> usize {
-        self.words.values().filter(|word| word.per_s.is_some()).count()
+        self.announcements.values().filter(|announcement| announcement.per_s.is_some()).count()
     }
 
-    /// Forgets starts that are over: a new start takes nothing over from the one before.
+    /// Removes incarnations that are over: a new incarnation inherits nothing from the previous
+    /// one.
     pub fn retain(&mut self, now: Duration, is_recorded: impl Fn(u64) -> bool) {
-        self.words.retain(|run, word| is_recorded(*run) || now < word.at + UNRECORDED_KEPT);
+        self.announcements.retain(|incarnation, announcement| {
+            is_recorded(*incarnation) || now < announcement.at + UNRECORDED_RETENTION
+        });
     }
 }
--- a/crates/fernring-gateway/src/decide/mod.rs
+++ b/crates/fernring-gateway/src/decide/mod.rs
@@ -1,32 +1,33 @@
-//! What a node decides, each in a module without I/O: the clock, randomness and what is known are passed in.
+//! Decisions of a node. Each module is free of I/O: the clock, randomness and the known state are
+//! passed in.
 //!
 //! | question | decided in |
 //! |---|---|
-//! | is a request taken on? | [`admission`], from [`backlog`] and [`backlogs`] (what waits where) and [`throughput`] (how fast it goes) |
-//! | may it be sent again, and when may its caller come back? | [`attempts`], [`budget`], [`retry_after`] |
-//! | may an upstream be sent to now, and which one is? | [`eligibility`], [`cold`], [`limits`] (what upstreams take) and [`permit_issuer`], [`selection`], [`prefill_speed`] |
+//! | is a request admitted? | [`admission`], from [`backlog`] and [`backlogs`] (queued pieces) and [`throughput`] (processing rate) |
+//! | may it be sent again, and when may its caller retry? | [`attempts`], [`budget`], [`retry_after`] |
+//! | which upstreams are eligible now, and which one is chosen? | [`eligibility`], [`cold`], [`limits`] (limits that upstreams announce) and [`permit_issuer`], [`selection`], [`prefill_speed`] |
 //! | in which regions may it be served? | [`residency`] |
-//! | which pieces go into which call, by whose hand? | [`batching`], [`workers`], [`worker_pools`], [`dispatch_round`], [`stage_plan`] |
-//! | has an upstream ended, and under which request? | [`crash_detection`], [`quarantine`] |
+//! | which pieces go into which call, and which node sends it? | [`batching`], [`workers`], [`worker_pools`], [`dispatch_round`], [`stage_plan`] |
+//! | has an upstream crashed, and under which request? | [`crash_detection`], [`quarantine`] |
 
 pub mod admission;
 pub mod attempts;
 pub mod backlog;
 pub mod backlogs;
-pub mod eligibility;
 pub mod batching;
 pub mod budget;
 pub mod cold;
-pub mod retry_after;
 pub mod crash_detection;
-pub mod throughput;
+pub mod dispatch_round;
+pub mod eligibility;
 pub mod limits;
-pub mod workers;
-pub mod worker_pools;
+pub mod permit_issuer;
 pub mod prefill_speed;
+pub mod quarantine;
 pub mod residency;
-pub mod dispatch_round;
+pub mod retry_after;
 pub mod selection;
 pub mod stage_plan;
-pub mod quarantine;
-pub mod permit_issuer;
+pub mod throughput;
+pub mod worker_pools;
+pub mod workers;
--- a/crates/fernring-gateway/src/decide/quarantine.rs
+++ b/crates/fernring-gateway/src/decide/quarantine.rs
@@ -265,7 +265,8 @@
         let mut ends: HashMap<&Incarnation, CrashRecord> = HashMap::new();
         for (content, account) in &accounts {
             for (at, run) in &account.ends {
-                let new = || CrashRecord { incarnation: run.clone(), at: *at, fingerprints: Vec::new() };
+                let new =
+                    || CrashRecord { incarnation: run.clone(), at: *at, fingerprints: Vec::new() };
                 ends.entry(run).or_insert_with(new).fingerprints.push(**content);
             }
         }
--- a/crates/fernring-gateway/src/decide/throughput.rs
+++ b/crates/fernring-gateway/src/decide/throughput.rs
@@ -1,55 +1,58 @@
-//! How the pieces of a stage service come and go, as its owner sees it. No I/O.
+//! Arrival and completion rates of the pieces of a stage service, as its owner measures them. No
+//! I/O.
 //!
-//! The load that this answers: makers turn slow, are lost or added, or have little room, and what the
-//! configuration says of full calls is then far from what they do.
+//! Handles workers that become slow, are lost or added, or have little free space, so that their
+//! real rate is far from the configured one for full calls.
 
 use {
     crate::{
         backlog::{Backlog, RANKS},
         batching::BatchQueue,
-        workers::expected_call_time,
         model::BatchShape,
+        workers::expected_call_time,
     },
     std::time::Duration,
 };
 
-/// Time over which arrivals are counted: long enough for a few calls of a maker, short enough to
-/// see a burst that lasts for seconds.
+/// Time over which arrivals are counted: long enough for a few calls of a worker, short enough to
+/// notice a burst that lasts for seconds.
 const ARRIVALS_WINDOW: Duration = Duration::from_secs(1);
-/// Weight of one call in what was learned of a maker's pace: about ten calls count, a second of a few
-/// makers.
-const PACE_WEIGHT: f64 = 0.1;
+/// Weight of one call in a worker's learned throughput: about ten calls count, which is a second of
+/// a few workers.
+const THROUGHPUT_WEIGHT: f64 = 0.1;
 
-/// How the pieces of one service come and go.
+/// Arrival and completion rates of one service.
 #[derive(Debug, Default)]
 pub struct ServiceThroughput {
     /// By rank.
     arrivals: [ArrivalRate; RANKS],
-    pace: WorkerThroughput,
+    throughput: WorkerThroughput,
 }
 
 impl ServiceThroughput {
-    /// Takes in that pieces of a rank came that can be in time.
+    /// Records arrivals of pieces of a rank that can be in time.
     pub fn record_arrivals(&mut self, now: Duration, rank: usize, pieces: u32) {
         self.arrivals[rank].add(now, pieces);
     }
 
-    /// Takes in a call that left pieces behind for want of places or room.
+    /// Records a call that left pieces queued for lack of slots or free bytes.
     pub fn record_saturated_call(&mut self, shape: &BatchShape, pieces: usize, took: Duration) {
-        self.pace.record_saturated_call(pieces, took, said_pace(shape));
+        self.throughput.record_saturated_call(pieces, took, configured_throughput(shape));
     }
 
-    /// Returns the backlog of the service, of which a number of whole makers take work.
+    /// Returns the backlog of the service; `workers` is the number of active workers, which may be
+    /// fractional for shared ones.
     pub fn backlog(
         &self,
         now: Duration,
         shape: &BatchShape,
-        makers: f64,
+        workers: f64,
         queue: Option<&BatchQueue>,
     ) -> Backlog {
-        let (waiting, late) = queue.map(|queue| queue.count_waiting(now, shape)).unwrap_or_default();
+        let (waiting, late) =
+            queue.map(|queue| queue.count_waiting(now, shape)).unwrap_or_default();
         Backlog {
-            rate_per_s: self.pace.per_s(said_pace(shape)) * makers,
+            rate_per_s: self.throughput.per_s(configured_throughput(shape)) * workers,
             arrivals_per_s: self.arrivals.each_ref().map(|arrivals| arrivals.per_s(now)),
             waiting,
             late,
@@ -57,12 +60,12 @@
     }
 }
 
-/// Pieces a second of one maker in full calls, by what is said of it.
-fn said_pace(shape: &BatchShape) -> f64 {
+/// Returns the configured throughput of one worker in full calls, in pieces per second.
+fn configured_throughput(shape: &BatchShape) -> f64 {
     shape.pieces_max as f64 / expected_call_time(shape, shape.pieces_max).as_secs_f64()
 }
 
-/// Counts arrivals with a memory that fades.
+/// Arrival rate over an exponentially decaying window.
 #[derive(Debug, Default)]
 pub struct ArrivalRate {
     count: f64,
@@ -70,39 +73,40 @@
 }
 
 impl ArrivalRate {
-    /// Counts pieces that came.
+    /// Counts arrived pieces.
     pub fn add(&mut self, now: Duration, pieces: u32) {
-        self.count = self.fading(now) + f64::from(pieces);
+        self.count = self.decayed(now) + f64::from(pieces);
         self.counted_at = now;
     }
 
-    /// Returns the pieces that came in a second, of late.
+    /// Returns the recent arrivals in pieces per second.
     pub fn per_s(&self, now: Duration) -> f64 {
-        self.fading(now) / ARRIVALS_WINDOW.as_secs_f64()
+        self.decayed(now) / ARRIVALS_WINDOW.as_secs_f64()
     }
 
-    fn fading(&self, now: Duration) -> f64 {
+    fn decayed(&self, now: Duration) -> f64 {
         let age = now.saturating_sub(self.counted_at).as_secs_f64();
         self.count * (-age / ARRIVALS_WINDOW.as_secs_f64()).exp()
     }
 }
 
-/// Pieces a second of one maker while more wait than it can take, as learned from its service's calls.
+/// Throughput of one worker while more pieces are queued than it can take, in pieces per second,
+/// learned from the calls of its service.
 #[derive(Debug, Default)]
 pub struct WorkerThroughput {
     learned: Option<f64>,
 }
 
 impl WorkerThroughput {
-    /// Takes in a call that left pieces behind for want of places or room.
-    pub fn record_saturated_call(&mut self, pieces: usize, took: Duration, said: f64) {
-        let seen = pieces as f64 / took.as_secs_f64().max(0.001);
-        let before = self.learned.unwrap_or(said);
-        self.learned = Some(before + PACE_WEIGHT * (seen - before));
+    /// Records a call that left pieces queued for lack of slots or free bytes.
+    pub fn record_saturated_call(&mut self, pieces: usize, took: Duration, configured: f64) {
+        let observed = pieces as f64 / took.as_secs_f64().max(0.001);
+        let before = self.learned.unwrap_or(configured);
+        self.learned = Some(before + THROUGHPUT_WEIGHT * (observed - before));
     }
 
-    /// Returns the pace; `said` is what the configuration says of full calls.
-    pub fn per_s(&self, said: f64) -> f64 {
-        self.learned.unwrap_or(said)
+    /// Returns the throughput; `configured` is the configured one for full calls.
+    pub fn per_s(&self, configured: f64) -> f64 {
+        self.learned.unwrap_or(configured)
     }
 }
