--- a/crates/fernring-gateway/src/decide/permit_issuer.rs
+++ b/crates/fernring-gateway/src/decide/permit_issuer.rs
@@ -1,96 +1,106 @@
-//! Who may send to an upstream that names a limit: one node counts for all, and is asked before each send. No I/O.
+//! Issues permits to send to an upstream that announces a limit. One node issues them for all nodes
+//! and is asked before each send. No I/O.
 //!
-//! The load that this answers: an upstream in need takes a few requests a second from all nodes together, while tens or
-//! hundreds of nodes want to send there. Shares of each node leave the limit unused where few of them have requests, and break
-//! it where each is at least one. A node that counts grants what the limit allows, in the order of the questions. Cuts make
-//! several nodes count; so each grants by the part of the nodes that it hears, and together no more than [`OVERSIZE`] of the limit.
+//! Handles an overloaded upstream that takes a few requests per second from all nodes together,
+//! while tens or hundreds of nodes want to send there. A fixed share per node leaves the limit
+//! unused where only a few nodes have requests, and exceeds it where each share is at least one. A
+//! single issuer grants permits up to the limit in the order of the requests. A network partition
+//! leads to several issuers; each therefore issues permits for the part of the nodes that it can
+//! reach, and together they issue no more than [`OVERCOMMIT_FACTOR`] times the limit.
 
 use {crate::throughput::ArrivalRate, std::time::Duration};
 
-/// What the parts of a fleet that don't hear each other may grant together, as a multiple of the limit. Half of the limit is
-/// allowed besides; the rest of it is for what was granted before a cut was noticed, and for requests held up on the way.
-const OVERSIZE: f64 = 1.25;
-/// Grants that may be saved up whatever the limit is.
-const SAVED_MIN: f64 = 2.0;
-/// Grants that may be saved up besides, as the time in which the limit allows so many.
-const SAVED_TIME: Duration = Duration::from_millis(250);
-/// Ranks for which saved grants are kept: what is less urgent leaves more of them to what is more urgent.
-const RANKS_APART: usize = 3;
-/// Grants a second of an upstream that takes less, or nothing: whether that still holds is only heard in an answer.
-const ASK_ABOUT_PER_S: f64 = 0.1;
-/// Longest time after a denial until the next question.
+/// Permits that the partitions of a fleet may issue together, as a multiple of the limit. Half of
+/// the limit is allowed in addition; the rest of it covers permits issued before a partition was
+/// noticed, and requests delayed on the way.
+const OVERCOMMIT_FACTOR: f64 = 1.25;
+/// Burst of permits that may accumulate at any limit.
+const BURST_MIN: f64 = 2.0;
+/// Additional burst, as the time in which the limit allows that many permits.
+const BURST_TIME: Duration = Duration::from_millis(250);
+/// Number of ranks for which accumulated permits are reserved: a less urgent request leaves more of
+/// them to more urgent ones.
+const RESERVED_RANKS: usize = 3;
+/// Permits per second for an upstream that takes fewer, or none: only a response shows whether its
+/// limit still holds.
+const PROBE_PERMITS_PER_S: f64 = 0.1;
+/// Longest time after a denial until the next permit request.
 const ASK_AGAIN_MAX: Duration = Duration::from_secs(1);
-/// Shortest such time.
+/// Shortest time after a denial until the next permit request.
 const ASK_AGAIN_MIN: Duration = Duration::from_millis(10);
-/// Shortest time in which an upstream can do what is asked for.
+/// Shortest time in which an upstream can process its demand.
 const DRAINED_MIN: Duration = Duration::from_millis(10);
-/// Longest time that is told until what is asked for now can be done.
+/// Longest time that is reported until the present demand can be processed.
 const DRAINED_MAX: Duration = Duration::from_secs(60);
 
-/// That a send may not go now.
+/// A denial: the send may not go now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PermitDenied {
-    /// When the same node may ask again for a request of this rank.
+    /// Time after which the same node may ask again for a request of this rank.
     pub ask_again_after: Duration,
-    /// When as many requests should be done as are asked for in a second now.
+    /// Time after which as many requests should be done as are asked for per second at present.
     pub drained_after: Duration,
 }
 
-/// Returns the part of a limit that a node grants which hears `heard` of `most` nodes, itself included.
-pub fn limit_share(heard: usize, most: usize) -> f64 {
-    let part = heard.max(1) as f64 / most.max(1) as f64;
-    (part * OVERSIZE).min(1.0)
+/// Returns the part of a limit for which a node issues permits; the node can reach `reachable` of
+/// `total` nodes, both including itself.
+pub fn limit_share(reachable: usize, total: usize) -> f64 {
+    let share = reachable.max(1) as f64 / total.max(1) as f64;
+    (share * OVERCOMMIT_FACTOR).min(1.0)
 }
 
-/// Returns when several upstreams together should have done what is asked for that each would have done alone after some time:
-/// nearly every request was asked for at each of them. `None` if there are none.
+/// Returns the time in which several upstreams together should process a demand that each alone
+/// would process in the given time: nearly every request was asked for at each of them. `None` if
+/// there are no upstreams.
 pub fn combined_drain_time(alone: &[Duration]) -> Option<Duration> {
     let per_s = |time: &Duration| 1.0 / (*time).max(DRAINED_MIN).as_secs_f64();
     (!alone.is_empty()).then(|| seconds(1.0 / alone.iter().map(per_s).sum::<f64>()))
 }
 
-/// What a node has granted at one upstream.
+/// Permits issued by a node for one upstream, as a token bucket.
 #[derive(Debug)]
 pub struct PermitIssuer {
-    saved: f64,
+    available: f64,
     counted_at: Duration,
-    asked: ArrivalRate,
+    demand: ArrivalRate,
 }
 
 impl PermitIssuer {
-    /// Starts to count with nothing saved up: whoever counted before may have granted everything just now. A part of a
-    /// fleet waits for up to a grant more, by `draw` between 0 and 1, so that many small parts don't begin at once.
-    pub fn new(now: Duration, part: f64, draw: f64) -> Self {
-        Self { saved: -draw * (1.0 - part), counted_at: now, asked: ArrivalRate::default() }
+    /// Creates an issuer without accumulated permits, since the previous issuer may have used them
+    /// all just now. The issuer of a partition waits for up to one more permit, by `draw` between 0
+    /// and 1, so that many small partitions don't start at the same time.
+    pub fn new(now: Duration, share: f64, draw: f64) -> Self {
+        Self { available: -draw * (1.0 - share), counted_at: now, demand: ArrivalRate::default() }
     }
 
-    /// Grants a send to an upstream that takes `limit_per_s`, or not; `draw` between 0 and 1 spreads the next questions.
+    /// Issues a permit for a send to an upstream that takes `limit_per_s`, or denies it; `draw`
+    /// between 0 and 1 spreads the next requests for permits.
     ///
     /// # Errors
-    /// If it may not go now.
+    /// If the send may not go now.
     pub fn request(
         &mut self,
         now: Duration,
         limit_per_s: f64,
-        part: f64,
+        share: f64,
         rank: usize,
         draw: f64,
     ) -> Result<(), PermitDenied> {
-        let rate = limit_per_s.max(ASK_ABOUT_PER_S) * part;
-        let most = SAVED_MIN + rate * SAVED_TIME.as_secs_f64();
+        let rate_per_s = limit_per_s.max(PROBE_PERMITS_PER_S) * share;
+        let capacity = BURST_MIN + rate_per_s * BURST_TIME.as_secs_f64();
         let passed = now.saturating_sub(self.counted_at).as_secs_f64();
-        self.saved = (self.saved + rate * passed).min(most);
+        self.available = (self.available + rate_per_s * passed).min(capacity);
         self.counted_at = now;
-        self.asked.add(now, 1);
-        let kept_for_others = (most - 1.0) * rank.min(RANKS_APART) as f64 / RANKS_APART as f64;
-        // A hair less, so that rounding doesn't keep the last rank from a full store.
-        let missing = 1.0 + kept_for_others - self.saved - 1e-6;
+        self.demand.add(now, 1);
+        let reserved = (capacity - 1.0) * rank.min(RESERVED_RANKS) as f64 / RESERVED_RANKS as f64;
+        // A tiny reduction, so that rounding doesn't keep the last rank from using a full bucket.
+        let missing = 1.0 + reserved - self.available - 1e-6;
         if missing <= 0.0 {
-            self.saved -= 1.0;
+            self.available -= 1.0;
             return Ok(());
         }
-        let wait = missing / rate;
-        let drained = (self.asked.per_s(now) / rate).max(wait);
+        let wait = missing / rate_per_s;
+        let drained = (self.demand.per_s(now) / rate_per_s).max(wait);
         Err(PermitDenied {
             ask_again_after: seconds(wait * (1.0 + draw)).clamp(ASK_AGAIN_MIN, ASK_AGAIN_MAX),
             drained_after: seconds(drained).min(DRAINED_MAX),
--- a/crates/fernring-gateway/src/decide/quarantine.rs
+++ b/crates/fernring-gateway/src/decide/quarantine.rs
@@ -1,16 +1,20 @@
-//! Which requests upstreams end under, and who is turned away for it. No I/O.
+//! Finds the requests under which upstreams crash, and quarantines them. No I/O.
 //!
-//! Load it answers: one request, sent again and again under new ids and at any node, that ends each upstream that begins to
-//! run it, and with it whatever else runs there; and days on which upstreams end by themselves under requests that are not at
-//! fault. A request is known by its content. Whatever was in hand at an upstream when it ended is charged with that end; with the
-//! third it is turned away. Two things keep the innocent out: a whole answer, since what ends its upstreams never gets one, and
-//! ends that are explained by a request that is turned away, which are taken off all others' accounts. Two requests that were in hand
-//! at the same three ends are in doubt for a moment: neither is sent, and repeats wait whether an answer clears one. An answer covers the ends of
-//! before it and those of the next minute: a content that is asked many times a second is in hand at nearly every end, and three
-//! of these may come before its next answer.
+//! Handles two loads: a request that crashes each upstream that starts to run it, with everything
+//! else that runs there, and is sent again and again under new ids and at any node; and days on
+//! which upstreams crash by themselves under harmless requests. A request is identified by its
+//! fingerprint. A crash is attributed to all requests that were in flight at the upstream; a
+//! request with three crashes is quarantined. Two rules protect harmless requests. A complete
+//! answer clears a request, since one that crashes its upstreams never gets one. And crashes that
+//! are explained by a quarantined request are no longer attributed to others. Two requests that
+//! share the same three crashes are ambiguous for a moment: neither is sent, and retries wait for
+//! an answer that clears one of them. An answer covers the crashes before it and those of the next
+//! minute: a fingerprint that is requested many times per second is in flight at nearly every
+//! crash, and three of these may come before its next answer.
 //!
-//! Inputs: ends and whole answers that this node saw, or that peers tell of, with their ages. They may come in any order and
-//! more than once: the start that ended tells ends apart, and a clearing covers what ended before it.
+//! Inputs: crashes and complete answers that this node observed or that peers reported, with their
+//! ages. They may come in any order and more than once: a crash is identified by its incarnation,
+//! and a clearance covers the crashes before it.
 //!
 //! ```
 //! use {
@@ -35,280 +39,332 @@
     },
 };
 
-/// How long after its last end a request is in doubt that shares all its ends with another one: a whole answer to one of
-/// them that was being given when the last upstream ended comes within about this time.
-const DOUBT_TIME: Duration = Duration::from_millis(600);
-/// Ends under a request with which it is turned away: what the users allow one request to end.
+/// How long after its last crash a request is ambiguous that shares all its crashes with another
+/// one: a complete answer to one of them that was in progress at the last crash arrives within
+/// about this time.
+const AMBIGUITY_TIME: Duration = Duration::from_millis(600);
+/// Number of crashes at which a request is quarantined: the number that users allow one request to
+/// cause.
 pub const CRASHES_MAX: usize = 3;
-/// How long an end counts, and so how long a request is turned away after its last one. A caller who repeats comes back within
-/// seconds or minutes; what may run again after a release of the upstreams waits a quarter of an hour at most, and what still ends
-/// them costs twelve ends an hour.
+/// How long a crash counts, and therefore how long a request is quarantined after its last crash. A
+/// caller who retries comes back within seconds or minutes. A request that has become harmless
+/// through a new release of the upstreams waits at most a quarter of an hour, and one that still
+/// crashes them causes twelve crashes per hour.
 pub const ATTRIBUTION_LIFETIME: Duration = Duration::from_secs(15 * 60);
-/// How long after a whole answer an end isn't charged. What made a harmless request deadly, a release of the upstreams, takes
-/// longer to reach the third of them.
-const COVERED_TIME: Duration = Duration::from_secs(60);
-/// Whole answers that are remembered, some 200 KB; when there are more, the older half goes. Who is asked more rarely than
-/// once in so many answers of a node isn't in hand at three ends in a row by chance.
+/// How long after a complete answer crashes aren't attributed. The cause that makes a harmless
+/// request dangerous, a new release of the upstreams, takes longer to reach the third of them.
+const ANSWER_COVERAGE_TIME: Duration = Duration::from_secs(60);
+/// Number of complete answers that are remembered, some 200 KB; beyond it, the older half is
+/// dropped. A request that is sent less often than once in this many answers of a node isn't in
+/// flight at three crashes in a row by chance.
 const ANSWERS_MAX: usize = 4_096;
-/// Most accounts that are kept, some 600 KB. When there are more, those with the fewest ends go first, and of these the
-/// oldest: to push out an account with two ends takes thousands of requests that ended two upstreams each.
-const ACCOUNTS_MAX: usize = 4_096;
+/// Maximum number of attributions, some 600 KB. Beyond it, those with the fewest crashes are
+/// dropped first, and of these the oldest: pushing out an attribution with two crashes takes
+/// thousands of requests that crashed two upstreams each.
+const ATTRIBUTIONS_MAX: usize = 4_096;
 
-/// An end of an upstream's start, as it is told.
+/// A crash of an upstream's incarnation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CrashRecord {
-    /// The start.
+    /// The incarnation.
     pub incarnation: Incarnation,
-    /// When it ended.
+    /// Time of the crash.
     pub at: Duration,
-    /// What was in hand there and is charged with it.
+    /// Fingerprints of the requests in flight there, to which the crash is attributed.
     pub fingerprints: Vec<ContentKey>,
 }
 
-/// That a request got a whole answer.
+/// A complete answer to a request, which clears it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClearanceRecord {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: ContentKey,
-    /// When.
+    /// Time of the answer.
     pub at: Duration,
 }
 
-/// What taking something in has changed.
+/// The change made by a record.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct QuarantineChange {
     /// Whether anything was new.
     pub is_new: bool,
-    /// Requests that are turned away from now on.
+    /// Requests that are quarantined from now on.
     pub newly_quarantined: Vec<ContentKey>,
 }
 
-/// The ends that one request is charged with.
+/// The crashes attributed to one request.
 #[derive(Debug, Clone, Default)]
-struct Account {
-    /// Each start once, in the order in which they ended; [`ENDS_MAX`] at most.
-    ends: Vec<(Duration, Incarnation)>,
-    /// The last whole answer since the first end.
+struct Attribution {
+    /// Each incarnation once, in the order of the crashes; at most [`CRASHES_MAX`].
+    crashes: Vec<(Duration, Incarnation)>,
+    /// Time of the last complete answer since the first crash.
     cleared_at: Option<Duration>,
 }
 
-impl Account {
-    fn is_turned_away(&self) -> bool {
-        self.ends.len() >= CRASHES_MAX
+impl Attribution {
+    fn is_quarantined(&self) -> bool {
+        self.crashes.len() >= CRASHES_MAX
     }
 
     fn last_at(&self) -> Duration {
-        let ended_at = self.ends.last().map(|(at, _)| *at);
-        ended_at.max(self.cleared_at).unwrap_or_default()
+        let crashed_at = self.crashes.last().map(|(at, _)| *at);
+        crashed_at.max(self.cleared_at).unwrap_or_default()
     }
 
-    /// Charges an end; tells whether it is new.
-    fn charge(&mut self, run: &Incarnation, at: Duration) -> bool {
-        let is_known = self.ends.iter().any(|(_, known)| known == run);
-        let is_covered = self.cleared_at.is_some_and(|cleared| at <= cleared + COVERED_TIME);
-        if is_known || self.is_turned_away() || is_covered {
+    /// Attributes a crash; returns whether it is new.
+    fn attribute(&mut self, incarnation: &Incarnation, at: Duration) -> bool {
+        let is_known =
+            self.crashes.iter().any(|(_, known_incarnation)| known_incarnation == incarnation);
+        let is_covered =
+            self.cleared_at.is_some_and(|cleared_at| at <= cleared_at + ANSWER_COVERAGE_TIME);
+        if is_known || self.is_quarantined() || is_covered {
             return false;
         }
-        let place = self.ends.partition_point(|(known_at, _)| *known_at <= at);
-        self.ends.insert(place, (at, run.clone()));
+        let index = self.crashes.partition_point(|(known_at, _)| *known_at <= at);
+        self.crashes.insert(index, (at, incarnation.clone()));
         true
     }
 
-    /// Takes off what a whole answer covers; tells whether that changed anything.
+    /// Removes the crashes that a complete answer covers; returns whether that changed anything.
     fn clear(&mut self, at: Duration) -> bool {
-        if self.cleared_at.is_some_and(|cleared| at <= cleared) {
+        if self.cleared_at.is_some_and(|cleared_at| at <= cleared_at) {
             return false;
         }
         self.cleared_at = Some(at);
-        self.ends.retain(|(ended_at, _)| *ended_at > at + COVERED_TIME);
+        self.crashes.retain(|(crashed_at, _)| *crashed_at > at + ANSWER_COVERAGE_TIME);
         true
     }
 }
 
-/// The accounts of requests that upstreams ended under.
+/// The attributions of all suspect requests.
 #[derive(Debug, Default)]
 pub struct Quarantine {
-    accounts: HashMap<ContentKey, Account>,
-    /// Starts that ended under a request that is turned away, and when: nobody else is charged with them.
+    attributions: HashMap<ContentKey, Attribution>,
+    /// Incarnations that crashed under a quarantined request, with the time of the crash: these are
+    /// attributed to no other request.
     explained: HashMap<Incarnation, Duration>,
-    /// When requests last got whole answers here.
+    /// Time of the last complete answer to each request here.
     answers: HashMap<ContentKey, Duration>,
 }
 
 impl Quarantine {
-    /// Tells whether a request is charged with any end.
-    pub fn is_suspect(&self, content: ContentKey) -> bool {
-        self.accounts.get(&content).is_some_and(|account| !account.ends.is_empty())
+    /// Returns whether any crash is attributed to a request.
+    pub fn is_suspect(&self, fingerprint: ContentKey) -> bool {
+        self.attributions
+            .get(&fingerprint)
+            .is_some_and(|attribution| !attribution.crashes.is_empty())
     }
 
-    /// Tells whether a request is turned away.
-    pub fn is_quarantined(&self, content: ContentKey) -> bool {
-        self.accounts.get(&content).is_some_and(Account::is_turned_away)
+    /// Returns whether a request is quarantined.
+    pub fn is_quarantined(&self, fingerprint: ContentKey) -> bool {
+        self.attributions.get(&fingerprint).is_some_and(Attribution::is_quarantined)
     }
 
-    /// Tells whether a request is turned away though another one was in hand at the same ends, all of them just now: one
-    /// of the two may be harmless. Neither is sent meanwhile, so this costs no upstream.
-    pub fn is_ambiguous(&self, now: Duration, content: ContentKey) -> bool {
-        let Some(account) = self.accounts.get(&content).filter(|a| a.is_turned_away()) else {
+    /// Returns whether a request is quarantined though another one was in flight at the same
+    /// crashes, the last of them just now: one of the two may be harmless. Neither is sent
+    /// meanwhile, so the wait costs no upstream.
+    pub fn is_ambiguous(&self, now: Duration, fingerprint: ContentKey) -> bool {
+        let Some(attribution) = self.attributions.get(&fingerprint).filter(|a| a.is_quarantined())
+        else {
             return false;
         };
-        let shares = |other: &Account| {
-            account.ends.iter().all(|(_, run)| other.ends.iter().any(|(_, theirs)| theirs == run))
+        let shares_crashes = |other: &Attribution| {
+            attribution.crashes.iter().all(|(_, incarnation)| {
+                other.crashes.iter().any(|(_, other_incarnation)| other_incarnation == incarnation)
+            })
         };
-        let mut others = self.accounts.iter().filter(|(other, _)| **other != content);
-        now < account.last_at() + DOUBT_TIME && others.any(|(_, other)| shares(other))
+        let mut others = self
+            .attributions
+            .iter()
+            .filter(|(other_fingerprint, _)| **other_fingerprint != fingerprint);
+        now < attribution.last_at() + AMBIGUITY_TIME
+            && others.any(|(_, other)| shares_crashes(other))
     }
 
-    /// Lists the starts that ended under a request.
-    pub fn crashes_of(&self, content: ContentKey) -> Vec<Incarnation> {
-        let ends = self.accounts.get(&content).into_iter().flat_map(|account| &account.ends);
-        ends.map(|(_, run)| run.clone()).collect()
+    /// Lists the incarnations that crashed under a request.
+    pub fn crashes_of(&self, fingerprint: ContentKey) -> Vec<Incarnation> {
+        let crashes = self
+            .attributions
+            .get(&fingerprint)
+            .into_iter()
+            .flat_map(|attribution| &attribution.crashes);
+        crashes.map(|(_, incarnation)| incarnation.clone()).collect()
     }
 
-    /// Lists the requests that are turned away, with their last ends.
+    /// Lists the quarantined requests, with the times of their last crashes.
     pub fn quarantined(&self) -> impl Iterator<Item = (ContentKey, Duration)> {
-        let accounts = self.accounts.iter().filter(|(_, account)| account.is_turned_away());
-        accounts.map(|(content, account)| (*content, account.last_at()))
+        let attributions =
+            self.attributions.iter().filter(|(_, attribution)| attribution.is_quarantined());
+        attributions.map(|(fingerprint, attribution)| (*fingerprint, attribution.last_at()))
     }
 
-    /// Takes in that a start ended at some time with requests in hand.
+    /// Records that an incarnation crashed at a time with requests in flight.
     pub fn record_crash(
         &mut self,
         now: Duration,
-        run: &Incarnation,
+        incarnation: &Incarnation,
         at: Duration,
-        contents: &[ContentKey],
+        fingerprints: &[ContentKey],
     ) -> QuarantineChange {
         if now >= at + ATTRIBUTION_LIFETIME {
             return QuarantineChange::default();
         }
-        let culprits: Vec<_> =
-            contents.iter().copied().filter(|content| self.is_quarantined(*content)).collect();
-        let mut news = QuarantineChange::default();
+        let culprits: Vec<_> = fingerprints
+            .iter()
+            .copied()
+            .filter(|fingerprint| self.is_quarantined(*fingerprint))
+            .collect();
+        let mut change = QuarantineChange::default();
         if !culprits.is_empty() {
-            news.is_new = self.explain(run, at, &culprits);
+            change.is_new = self.explain(incarnation, at, &culprits);
         }
-        if self.explained.contains_key(run) {
-            return news;
+        if self.explained.contains_key(incarnation) {
+            return change;
         }
-        for content in contents {
-            if self.covering_answer(*content, at).is_some() {
+        for fingerprint in fingerprints {
+            if self.covering_answer(*fingerprint, at).is_some() {
                 continue;
             }
-            let account = self.accounts.entry(*content).or_default();
-            if account.charge(run, at) {
-                news.is_new = true;
-                if account.is_turned_away() {
-                    news.newly_quarantined.push(*content);
+            let attribution = self.attributions.entry(*fingerprint).or_default();
+            if attribution.attribute(incarnation, at) {
+                change.is_new = true;
+                if attribution.is_quarantined() {
+                    change.newly_quarantined.push(*fingerprint);
                 }
             }
         }
-        for content in &news.newly_quarantined {
-            let ends = self.accounts[content].ends.clone();
-            for (at, run) in ends {
-                self.explain(&run, at, &news.newly_quarantined);
+        for fingerprint in &change.newly_quarantined {
+            let crashes = self.attributions[fingerprint].crashes.clone();
+            for (at, incarnation) in crashes {
+                self.explain(&incarnation, at, &change.newly_quarantined);
             }
         }
-        self.accounts.retain(|_, account| !account.ends.is_empty() || account.cleared_at.is_some());
-        self.drop_least();
-        news
+        self.attributions.retain(|_, attribution| {
+            !attribution.crashes.is_empty() || attribution.cleared_at.is_some()
+        });
+        self.evict_excess();
+        change
     }
 
-    /// Says that an end is explained by `culprits`: it is taken off the accounts of all others that aren't turned away.
-    /// Tells whether that is new.
-    fn explain(&mut self, run: &Incarnation, at: Duration, culprits: &[ContentKey]) -> bool {
-        if self.explained.insert(run.clone(), at).is_some() {
+    /// Marks a crash as explained by `culprits`: it is no longer attributed to other requests that
+    /// aren't quarantined. Returns whether that is new.
+    fn explain(
+        &mut self,
+        incarnation: &Incarnation,
+        at: Duration,
+        culprits: &[ContentKey],
+    ) -> bool {
+        if self.explained.insert(incarnation.clone(), at).is_some() {
             return false;
         }
-        for (content, account) in &mut self.accounts {
-            if !culprits.contains(content) && !account.is_turned_away() {
-                account.ends.retain(|(_, known)| known != run);
+        for (fingerprint, attribution) in &mut self.attributions {
+            if !culprits.contains(fingerprint) && !attribution.is_quarantined() {
+                attribution
+                    .crashes
+                    .retain(|(_, known_incarnation)| known_incarnation != incarnation);
             }
         }
         true
     }
 
-    /// Takes in that a request got a whole answer; tells whether it was charged with anything.
-    pub fn record_answer(&mut self, content: ContentKey, at: Duration) -> bool {
-        self.answers.insert(content, at);
-        self.drop_old_answers();
-        let Some(account) = self.accounts.get_mut(&content) else {
+    /// Records a complete answer to a request; returns whether it removed any crash.
+    pub fn record_answer(&mut self, fingerprint: ContentKey, at: Duration) -> bool {
+        self.answers.insert(fingerprint, at);
+        self.evict_old_answers();
+        let Some(attribution) = self.attributions.get_mut(&fingerprint) else {
             return false;
         };
-        !account.ends.is_empty() && account.clear(at)
+        !attribution.crashes.is_empty() && attribution.clear(at)
     }
 
-    /// Returns the whole answer seen here that covers an end at some time, if there is one.
-    pub fn covering_answer(&self, content: ContentKey, at: Duration) -> Option<ClearanceRecord> {
-        let answered_at = self.answers.get(&content).copied()?;
-        let is_covered = at <= answered_at + COVERED_TIME;
-        is_covered.then_some(ClearanceRecord { fingerprint: content, at: answered_at })
+    /// Returns the complete answer seen here that covers a crash at some time, if there is one.
+    pub fn covering_answer(
+        &self,
+        fingerprint: ContentKey,
+        at: Duration,
+    ) -> Option<ClearanceRecord> {
+        let answered_at = self.answers.get(&fingerprint).copied()?;
+        let is_covered = at <= answered_at + ANSWER_COVERAGE_TIME;
+        is_covered.then_some(ClearanceRecord { fingerprint, at: answered_at })
     }
 
-    /// Takes in that a peer saw a whole answer to a request; tells whether that was new.
-    pub fn record_clearance(&mut self, now: Duration, fact: ClearanceRecord) -> bool {
-        if now >= fact.at + ATTRIBUTION_LIFETIME {
+    /// Records a peer's report of a complete answer; returns whether it is new.
+    pub fn record_clearance(&mut self, now: Duration, clearance: ClearanceRecord) -> bool {
+        if now >= clearance.at + ATTRIBUTION_LIFETIME {
             return false;
         }
-        let is_new = self.accounts.entry(fact.fingerprint).or_default().clear(fact.at);
-        self.drop_least();
+        let is_new =
+            self.attributions.entry(clearance.fingerprint).or_default().clear(clearance.at);
+        self.evict_excess();
         is_new
     }
 
-    /// Lists what is known of the `most` accounts that matter most: those with the most ends, then the latest.
-    pub fn records(&self, most: usize) -> (Vec<CrashRecord>, Vec<ClearanceRecord>) {
-        let mut accounts: Vec<_> = self.accounts.iter().collect();
-        accounts.sort_unstable_by_key(|(content, account)| {
-            (std::cmp::Reverse((account.ends.len(), account.last_at())), **content)
+    /// Lists the records of the `count_max` most important attributions: those with the most crashes, then
+    /// the latest.
+    pub fn records(&self, count_max: usize) -> (Vec<CrashRecord>, Vec<ClearanceRecord>) {
+        let mut attributions: Vec<_> = self.attributions.iter().collect();
+        attributions.sort_unstable_by_key(|(fingerprint, attribution)| {
+            (std::cmp::Reverse((attribution.crashes.len(), attribution.last_at())), **fingerprint)
         });
-        accounts.truncate(most);
-        let mut ends: HashMap<&Incarnation, CrashRecord> = HashMap::new();
-        for (content, account) in &accounts {
-            for (at, run) in &account.ends {
-                let new =
-                    || CrashRecord { incarnation: run.clone(), at: *at, fingerprints: Vec::new() };
-                ends.entry(run).or_insert_with(new).fingerprints.push(**content);
+        attributions.truncate(count_max);
+        let mut crashes: HashMap<&Incarnation, CrashRecord> = HashMap::new();
+        for (fingerprint, attribution) in &attributions {
+            for (at, incarnation) in &attribution.crashes {
+                let new = || CrashRecord {
+                    incarnation: incarnation.clone(),
+                    at: *at,
+                    fingerprints: Vec::new(),
+                };
+                crashes.entry(incarnation).or_insert_with(new).fingerprints.push(**fingerprint);
             }
         }
-        let cleared = accounts.iter().filter_map(|(content, account)| {
-            Some(ClearanceRecord { fingerprint: **content, at: account.cleared_at? })
+        let clearances = attributions.iter().filter_map(|(fingerprint, attribution)| {
+            Some(ClearanceRecord { fingerprint: **fingerprint, at: attribution.cleared_at? })
         });
-        (ends.into_values().collect(), cleared.collect())
+        (crashes.into_values().collect(), clearances.collect())
     }
 
-    /// Forgets what is too old; returns the requests that are no longer turned away for it.
+    /// Removes outdated attributions; returns the requests that are therefore no longer
+    /// quarantined.
     pub fn expire(&mut self, now: Duration) -> Vec<ContentKey> {
         let is_old = |at: Duration| now >= at + ATTRIBUTION_LIFETIME;
-        let over = self.accounts.iter().filter(|(_, account)| is_old(account.last_at()));
-        let over: HashMap<_, _> =
-            over.map(|(content, account)| (*content, account.is_turned_away())).collect();
-        self.accounts.retain(|content, _| !over.contains_key(content));
+        let expired =
+            self.attributions.iter().filter(|(_, attribution)| is_old(attribution.last_at()));
+        let expired: HashMap<_, _> = expired
+            .map(|(fingerprint, attribution)| (*fingerprint, attribution.is_quarantined()))
+            .collect();
+        self.attributions.retain(|fingerprint, _| !expired.contains_key(fingerprint));
         self.explained.retain(|_, at| !is_old(*at));
-        over.into_iter().filter(|(_, was_turned_away)| *was_turned_away).map(|(c, _)| c).collect()
+        expired
+            .into_iter()
+            .filter(|(_, was_quarantined)| *was_quarantined)
+            .map(|(c, _)| c)
+            .collect()
     }
 
     /// Keeps the number of answers bounded.
-    fn drop_old_answers(&mut self) {
+    fn evict_old_answers(&mut self) {
         if self.answers.len() <= ANSWERS_MAX {
             return;
         }
         let mut times: Vec<_> = self.answers.values().copied().collect();
-        let (_, middle, _) = times.select_nth_unstable(ANSWERS_MAX / 2);
-        let middle = *middle;
-        self.answers.retain(|_, at| *at > middle);
+        let (_, median, _) = times.select_nth_unstable(ANSWERS_MAX / 2);
+        let median = *median;
+        self.answers.retain(|_, at| *at > median);
     }
 
-    /// Keeps the number of accounts bounded.
-    fn drop_least(&mut self) {
-        let over = self.accounts.len().saturating_sub(ACCOUNTS_MAX);
-        if over == 0 {
+    /// Keeps the number of attributions bounded.
+    fn evict_excess(&mut self) {
+        let expired = self.attributions.len().saturating_sub(ATTRIBUTIONS_MAX);
+        if expired == 0 {
             return;
         }
-        let mut order: Vec<_> = self.accounts.iter().collect();
-        order.sort_unstable_by_key(|(content, account)| {
-            (account.ends.len(), account.last_at(), **content)
+        let mut order: Vec<_> = self.attributions.iter().collect();
+        order.sort_unstable_by_key(|(fingerprint, attribution)| {
+            (attribution.crashes.len(), attribution.last_at(), **fingerprint)
         });
-        let least: HashSet<_> = order[..over].iter().map(|(content, _)| **content).collect();
-        self.accounts.retain(|content, _| !least.contains(content));
+        let evicted: HashSet<_> =
+            order[..expired].iter().map(|(fingerprint, _)| **fingerprint).collect();
+        self.attributions.retain(|fingerprint, _| !evicted.contains(fingerprint));
     }
 }
--- a/crates/fernring-gateway/src/decide/residency.rs
+++ b/crates/fernring-gateway/src/decide/residency.rs
@@ -1,7 +1,9 @@
-//! Data residency: the regions in which a request may be served, and to whose VMs its content may be sent. No I/O.
+//! Data residency: the regions in which a request may be served, and to whose VMs its content may
+//! be sent. No I/O.
 //!
-//! A failure domain belongs to a region, by the settings. A route and a workspace may each name regions; a request is bound by
-//! both. An upstream or VM whose region isn't known is outside of every restriction.
+//! The settings assign a failure domain to a region. A route and a workspace may each name regions;
+//! a request is bound by both. An upstream or VM whose region is unknown is outside every
+//! restriction.
 //!
 //! ```
 //! use fernring_gateway::residency::{Regions, Residency};
@@ -22,7 +24,7 @@
 }
 
 impl Regions {
-    /// Takes pairs of a failure domain and its region.
+    /// Creates the assignment from pairs of a failure domain and its region.
     pub fn new<D, R>(domains: impl IntoIterator<Item = (D, R)>) -> Self
     where
         D: Into<Arc<str>>,
@@ -32,26 +34,26 @@
         Self { by_domain: pairs.collect() }
     }
 
-    /// Returns the region of a failure domain, if it is known.
+    /// Returns the region of a failure domain, if known.
     pub fn region_of(&self, failure_domain: &str) -> Option<&Arc<str>> {
         self.by_domain.get(failure_domain)
     }
 
-    /// Tells whether some failure domain belongs to a region.
+    /// Returns whether any failure domain belongs to a region.
     pub fn contains(&self, region: &str) -> bool {
         self.by_domain.values().any(|known| **known == *region)
     }
 }
 
-/// Where a request may be served.
+/// The regions in which a request may be served.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Residency {
-    /// The regions; `None` if any will do. Invariant: sorted, without repeats.
+    /// The regions; `None` if any region is allowed. Invariant: sorted, without duplicates.
     regions: Option<Arc<[Arc<str>]>>,
 }
 
 impl Residency {
-    /// Restricts to some regions; to none if there are none.
+    /// Restricts to the given regions; an empty list allows none.
     pub fn within<R: Into<Arc<str>>>(regions: impl IntoIterator<Item = R>) -> Self {
         let mut regions: Vec<Arc<str>> = regions.into_iter().map(Into::into).collect();
         regions.sort();
@@ -59,7 +61,7 @@
         Self { regions: Some(regions.into()) }
     }
 
-    /// Returns what both allow.
+    /// Returns the restriction that allows only what both allow.
     pub fn intersect(&self, other: &Self) -> Self {
         match (&self.regions, &other.regions) {
             (None, _) => other.clone(),
@@ -70,12 +72,12 @@
         }
     }
 
-    /// Tells whether some regions are excluded.
+    /// Returns whether any regions are excluded.
     pub fn is_restricted(&self) -> bool {
         self.regions.is_some()
     }
 
-    /// Tells whether a request may be served in a region; `None` stands for one that isn't known.
+    /// Returns whether a request may be served in a region; `None` stands for an unknown region.
     pub fn allows(&self, region: Option<&Arc<str>>) -> bool {
         match &self.regions {
             None => true,
--- a/crates/fernring-gateway/src/decide/stage_plan.rs
+++ b/crates/fernring-gateway/src/decide/stage_plan.rs
@@ -1,4 +1,4 @@
-//! The order in which a request's stages run, and which results each needs.
+//! The order in which a request's stages run, and the results that each needs.
 
 use {
     crate::model::StageSpec,
@@ -21,8 +21,8 @@
 }
 
 impl StagePlan {
-    /// Plans the stages of a request that has `counts` pieces in each; a stage that `counts`
-    /// doesn't name has one. A stage without pieces is done at once.
+    /// Plans the stages of a request that has `counts` pieces in each; a stage without an entry in
+    /// `counts` has one piece. A stage without pieces is done at once.
     pub fn new(stages: &[StageSpec], counts: &[u32]) -> Self {
         let counts: Vec<_> =
             (0..stages.len()).map(|stage| counts.get(stage).copied().unwrap_or(1)).collect();
@@ -35,12 +35,12 @@
 
     /// Returns the stages that can start now, and marks them as running.
     ///
-    /// A stage that has more time than the longest chain of the others waits until that chain has
-    /// come within `lead` stages of it, so that its results don't take room while nothing reads them.
+    /// A stage with more time than the longest chain of the others waits until that chain has come
+    /// within `lead` stages of it, so that its results don't take space while nothing reads them.
     pub fn start_ready(&mut self, lead: usize) -> Vec<usize> {
         let done = |stage: &usize| matches!(self.progress[*stage], Progress::Done(_));
-        let open = (0..self.stages.len()).filter(|stage| !done(stage));
-        let longest = open.map(|stage| self.chain_length(stage)).max().unwrap_or(0);
+        let unfinished = (0..self.stages.len()).filter(|stage| !done(stage));
+        let longest = unfinished.map(|stage| self.chain_length(stage)).max().unwrap_or(0);
         let ready = |stage: &usize| {
             self.progress[*stage] == Progress::Waiting
                 && self.stages[*stage].after.iter().all(done)
@@ -53,49 +53,54 @@
         ready
     }
 
-    /// Returns the number of stages from one to the end of the longest chain that begins with it.
+    /// Returns the number of stages in the longest chain that begins with a stage, including that
+    /// stage.
     fn chain_length(&self, stage: usize) -> usize {
-        let followers = self.followers(stage);
-        1 + followers.map(|follower| self.chain_length(follower)).max().unwrap_or(0)
+        let dependents = self.dependents(stage);
+        1 + dependents.map(|dependent| self.chain_length(dependent)).max().unwrap_or(0)
     }
 
-    /// Returns the time from a stage's results to those of the last stage that needs them, where
-    /// `time_of` estimates a stage with a number of pieces.
+    /// Returns the time from a stage's results to those of the last stage that depends on them,
+    /// where `time_of` estimates the duration of a stage with a number of pieces.
     pub fn time_after(
         &self,
         stage: usize,
         time_of: &impl Fn(&StageSpec, u32) -> Duration,
     ) -> Duration {
-        let after = |follower: usize| {
-            time_of(&self.stages[follower], self.counts[follower])
-                + self.time_after(follower, time_of)
+        let after = |dependent: usize| {
+            time_of(&self.stages[dependent], self.counts[dependent])
+                + self.time_after(dependent, time_of)
         };
-        self.followers(stage).map(after).max().unwrap_or_default()
+        self.dependents(stage).map(after).max().unwrap_or_default()
     }
 
-    fn followers(&self, stage: usize) -> impl Iterator<Item = usize> {
+    fn dependents(&self, stage: usize) -> impl Iterator<Item = usize> {
         (0..self.stages.len()).filter(move |other| {
             self.counts[*other] > 0 && self.stages[*other].after.contains(&stage)
         })
     }
 
-    /// Takes in the handles of a stage's results.
+    /// Records the handles of a stage's results and marks the stage as done.
     pub fn finish(&mut self, stage: usize, handles: Vec<Arc<str>>) {
         self.progress[stage] = Progress::Done(handles);
     }
 
-    /// Tells whether results that were made have been given up.
+    /// Returns whether results that were produced have been released.
     pub fn has_released_results(&self) -> bool {
-        let made_none = |progress: &Progress| matches!(progress, Progress::Done(h) if h.is_empty());
-        self.counts.iter().zip(&self.progress).any(|(count, p)| *count > 0 && made_none(p))
+        let has_no_results =
+            |progress: &Progress| matches!(progress, Progress::Done(h) if h.is_empty());
+        self.counts
+            .iter()
+            .zip(&self.progress)
+            .any(|(count, progress)| *count > 0 && has_no_results(progress))
     }
 
-    /// Tells whether every stage is done.
+    /// Returns whether every stage is done.
     pub fn is_done(&self) -> bool {
         self.progress.iter().all(|progress| matches!(progress, Progress::Done(_)))
     }
 
-    /// Tells whether a stage makes results of `bytes` or more.
+    /// Returns whether any stage produces results of at least `bytes`.
     pub fn makes_large_results(&self, bytes: u64) -> bool {
         let large = |(spec, count): (&StageSpec, &u32)| *count > 0 && spec.result_bytes >= bytes;
         self.stages.iter().zip(&self.counts).any(large)
@@ -106,51 +111,52 @@
         self.counts[stage]
     }
 
-    /// Returns a stage.
+    /// Returns the specification of a stage.
     pub fn spec(&self, stage: usize) -> &StageSpec {
         &self.stages[stage]
     }
 
-    /// Returns the handles that a stage needs, or `None` for a stage that follows none.
+    /// Returns the handles that a stage needs, or `None` for a stage that depends on no other.
     pub fn input_handles(&self, stage: usize) -> Option<Vec<Arc<str>>> {
         let after = &self.stages[stage].after;
         (!after.is_empty()).then(|| after.iter().flat_map(|s| self.handles(*s)).cloned().collect())
     }
 
-    /// Returns the size of one result and the handles of each stage that a stage needs.
+    /// Returns, for each stage that a stage depends on, the size of one result and the handles.
     pub fn inputs_by_stage(&self, stage: usize) -> Vec<(u64, &[Arc<str>])> {
         let after = self.stages[stage].after.iter();
         after.map(|s| (self.stages[*s].result_bytes, self.handles(*s))).collect()
     }
 
-    /// Returns the handles that the request itself needs: those of all stages that no other
-    /// stage follows.
+    /// Returns the handles that the request itself needs: those of all stages that no other stage
+    /// depends on.
     pub fn final_handles(&self) -> Vec<Arc<str>> {
-        let last = (0..self.stages.len()).filter(|stage| !self.is_followed(*stage));
-        last.flat_map(|stage| self.handles(stage)).cloned().collect()
+        let final_stages = (0..self.stages.len()).filter(|stage| !self.has_dependents(*stage));
+        final_stages.flat_map(|stage| self.handles(stage)).cloned().collect()
     }
 
-    /// Returns the stages whose results nothing needs any more: those that a stage follows, once
-    /// all stages that follow it are done. Each is returned once.
+    /// Takes out the results that nothing needs any more: those of a stage on which others depend,
+    /// once all of these are done. Each result is returned once.
     pub fn take_consumed(&mut self) -> Vec<(usize, Vec<Arc<str>>)> {
-        let mut spent = Vec::new();
+        let mut consumed = Vec::new();
         for stage in 0..self.stages.len() {
-            let followers =
+            let dependents =
                 (0..self.stages.len()).filter(|s| self.stages[*s].after.contains(&stage));
-            let all_done = followers.clone().all(|s| matches!(self.progress[s], Progress::Done(_)));
-            if followers.count() == 0 || !all_done {
+            let all_done =
+                dependents.clone().all(|s| matches!(self.progress[s], Progress::Done(_)));
+            if dependents.count() == 0 || !all_done {
                 continue;
             }
             if let Progress::Done(handles) = &mut self.progress[stage]
                 && !handles.is_empty()
             {
-                spent.push((stage, std::mem::take(handles)));
+                consumed.push((stage, std::mem::take(handles)));
             }
         }
-        spent
+        consumed
     }
 
-    /// Returns all handles that were made and not yet given up, with their stages.
+    /// Takes out all handles that were produced and not yet released, with their stages.
     pub fn take_remaining(&mut self) -> Vec<(usize, Vec<Arc<str>>)> {
         let mut all = Vec::new();
         for (stage, progress) in self.progress.iter_mut().enumerate() {
@@ -163,7 +169,7 @@
         all
     }
 
-    fn is_followed(&self, stage: usize) -> bool {
+    fn has_dependents(&self, stage: usize) -> bool {
         self.stages.iter().any(|other| other.after.contains(&stage))
     }
 
--- a/crates/fernring-gateway/src/decide/throughput.rs
+++ b/crates/fernring-gateway/src/decide/throughput.rs
@@ -40,8 +40,8 @@
         self.throughput.record_saturated_call(pieces, took, configured_throughput(shape));
     }
 
-    /// Returns the backlog of the service; `workers` is the number of active workers, which may be
-    /// fractional for shared ones.
+    /// Returns the backlog of the service, for `workers` that accept work; the number may be
+    /// fractional.
     pub fn backlog(
         &self,
         now: Duration,
--- a/crates/fernring-gateway/src/decide/workers.rs
+++ b/crates/fernring-gateway/src/decide/workers.rs
@@ -1,4 +1,5 @@
-//! What the owner of a stage service knows of its makers: the upstreams that work on pieces. No I/O.
+//! State that the owner of a stage service keeps of its workers, the upstreams that work on pieces.
+//! No I/O.
 
 use {
     crate::model::{BatchShape, UpstreamKey},
@@ -6,170 +7,174 @@
     std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration},
 };
 
-/// Calls without pieces after which half of what something else takes of a maker's room is believed to be
-/// free again. After all nodes were lost, the results of before lie there for their whole lifetime; a maker
-/// that is filled up to its room again and again makes calls for a few pieces only.
-const UNKNOWN_CALLS: f64 = 1.25;
-/// Part of a maker's room below which what something else takes there is forgotten: one of so many.
-const UNKNOWN_PARTS: u64 = 16;
-/// Part of a call's usual time beyond which its pieces are given to another maker as well. Calls
-/// of sound makers take at most 1.15 times what is said of them, and twice that behind the call of
-/// another owner (as logged); at 1.6 such calls were made twice for nothing.
-const OVERDUE_PART: f64 = 2.2;
-/// Time that a call may take besides before it is overdue: connecting, and fetching inputs.
+/// Number of calls' time after which half of the bytes taken by unknown results are assumed to be
+/// free again. After the loss of all nodes, earlier results occupy a worker for their whole
+/// lifetime; a worker that is filled up again and again makes calls for only a few pieces.
+const UNKNOWN_HALF_LIFE_CALLS: f64 = 1.25;
+/// Unknown bytes below a worker's capacity divided by this are ignored.
+const UNKNOWN_DIVISOR: u64 = 16;
+/// Factor of a call's expected time beyond which its pieces are given to another worker as well.
+/// Calls of healthy workers take at most 1.15 times the configured time, and twice that when queued
+/// behind the call of another owner (as logged); at a factor of 1.6 such calls were repeated
+/// needlessly.
+const OVERDUE_FACTOR: f64 = 2.2;
+/// Additional time before a call is overdue: connecting, and fetching inputs.
 const OVERDUE_GRACE: Duration = Duration::from_millis(100);
-/// How many times what is said of it a call may take before it counts as slow.
-const SLOWNESS_MAX: f64 = 2.5;
-/// Calls in a row that are slow before a maker counts as slow: a single one may have waited for the
-/// call of another owner, or for inputs.
-const SLOW_CALLS: u32 = 2;
-/// How long a slow maker is left out before it is tried again.
+/// Factor of a call's expected time beyond which the call counts as slow.
+const SLOW_FACTOR: f64 = 2.5;
+/// Number of consecutive slow calls after which a worker counts as slow: a single slow call may
+/// have waited for the call of another owner, or for inputs.
+const SLOW_CALLS_MIN: u32 = 2;
+/// How long a slow worker is left out before it is tried again.
 const SLOW_TIME: Duration = Duration::from_millis(1_500);
-/// A result that lies at its maker.
+/// A result that is stored at its worker.
 #[derive(Debug)]
 pub struct StoredResult {
-    /// Its size.
+    /// Size in bytes.
     pub bytes: u64,
-    /// When it was made.
+    /// Time at which it was produced.
     pub made_at: Duration,
-    /// The node that asked for it.
+    /// The node that requested it.
     pub requester: SocketAddr,
 }
 
-/// One maker.
+/// One worker.
 #[derive(Debug, Default)]
 pub struct Worker {
-    /// When the call under way will have ended, about; `None` without one.
+    /// Estimated end of the call in flight; `None` without one.
     busy_until: Option<Duration>,
-    /// The results that lie there, by handle.
-    kept: HashMap<Arc<str>, StoredResult>,
-    /// Bytes of results that are being made.
-    making: u64,
-    /// Bytes that something else takes, as a refusal for want of room has shown, and until when
-    /// that is believed.
-    unknown: Option<(u64, Duration)>,
-    /// Slow calls in a row.
+    /// The results stored there, by handle.
+    results: HashMap<Arc<str>, StoredResult>,
+    /// Bytes of results that are being produced.
+    bytes_in_progress: u64,
+    /// Bytes taken by unknown results, as shown by a refusal for lack of space, and the time until
+    /// which this is assumed.
+    unknown_bytes: Option<(u64, Duration)>,
+    /// Number of consecutive slow calls.
     slow_calls: u32,
-    /// When the last of them ended.
-    slow_at: Duration,
+    /// Time at which the last call ended.
+    last_call_at: Duration,
 }
 
 impl Worker {
-    /// Returns when the call under way will have ended, about; `None` without one.
+    /// Returns the estimated end of the call in flight; `None` without one.
     pub fn busy_until(&self) -> Option<Duration> {
         self.busy_until
     }
 
-    /// Returns the bytes of its room that are taken.
+    /// Returns the bytes in use for results.
     pub fn used_bytes(&self) -> u64 {
-        let unknown = self.unknown.map_or(0, |(bytes, _)| bytes);
-        self.kept.values().map(|kept| kept.bytes).sum::<u64>() + self.making + unknown
+        let unknown_bytes = self.unknown_bytes.map_or(0, |(bytes, _)| bytes);
+        self.results.values().map(|result| result.bytes).sum::<u64>()
+            + self.bytes_in_progress
+            + unknown_bytes
     }
 
-    /// Lists the results that a node asked for.
-    pub fn results_requested_by(&self, asker: SocketAddr) -> impl Iterator<Item = &Arc<str>> {
-        let theirs = self.kept.iter().filter(move |(_, kept)| kept.requester == asker);
-        theirs.map(|(handle, _)| handle)
+    /// Lists the results that a node requested.
+    pub fn results_requested_by(&self, requester: SocketAddr) -> impl Iterator<Item = &Arc<str>> {
+        let requested =
+            self.results.iter().filter(move |(_, result)| result.requester == requester);
+        requested.map(|(handle, _)| handle)
     }
 
-    /// Takes in that a call began that should end at `ends_at` and makes `bytes`.
+    /// Records the start of a call that should end at `ends_at` and produce `bytes`.
     pub fn record_call_start(&mut self, ends_at: Duration, bytes: u64) {
         self.busy_until = Some(ends_at);
-        self.making += bytes;
+        self.bytes_in_progress += bytes;
     }
 
-    /// Takes in that the call has ended.
+    /// Records the end of the call.
     pub fn record_call_end(&mut self, bytes: u64) {
         self.busy_until = None;
-        self.making = self.making.saturating_sub(bytes);
+        self.bytes_in_progress = self.bytes_in_progress.saturating_sub(bytes);
     }
 
-    /// Takes in how long a call took that should have taken `usual`.
-    pub fn record_call_time(&mut self, now: Duration, time: Duration, usual: Duration) {
-        let is_slow = time > usual.mul_f64(SLOWNESS_MAX);
+    /// Records how long a call took that was expected to take `expected`.
+    pub fn record_call_time(&mut self, now: Duration, time: Duration, expected: Duration) {
+        let is_slow = time > expected.mul_f64(SLOW_FACTOR);
         self.slow_calls = if is_slow { self.slow_calls + 1 } else { 0 };
-        self.slow_at = now;
+        self.last_call_at = now;
     }
 
     fn is_slow(&self, now: Duration) -> bool {
-        self.slow_calls >= SLOW_CALLS && now < self.slow_at + SLOW_TIME
+        self.slow_calls >= SLOW_CALLS_MIN && now < self.last_call_at + SLOW_TIME
     }
 
-    /// Takes in a result that lies there.
-    pub fn add_result(&mut self, handle: Arc<str>, kept: StoredResult) {
-        self.kept.insert(handle, kept);
+    /// Records a result that is stored there.
+    pub fn add_result(&mut self, handle: Arc<str>, result: StoredResult) {
+        self.results.insert(handle, result);
     }
 
-    /// Takes in that a result was given up.
+    /// Removes a result that was released.
     pub fn remove_result(&mut self, handle: &str) {
-        self.kept.remove(handle);
+        self.results.remove(handle);
     }
 
-    /// Takes in that it refused a piece for want of room though there should be some; tells whether
-    /// that is news.
+    /// Records that the worker refused a piece for lack of space though some should be free;
+    /// returns whether that is new.
     pub fn record_capacity_refusal(&mut self, now: Duration, shape: &BatchShape) -> bool {
-        let before = self.unknown.map_or(0, |(bytes, _)| bytes);
+        let before = self.unknown_bytes.map_or(0, |(bytes, _)| bytes);
         let found = shape.result_room_bytes.saturating_sub(self.used_bytes());
-        self.unknown = Some((before + found, now + unknown_for(shape)));
+        self.unknown_bytes = Some((before + found, now + unknown_half_life(shape)));
         found > 0
     }
 
     fn expire(&mut self, now: Duration, shape: &BatchShape) {
-        self.kept.retain(|_, kept| now < kept.made_at + shape.result_lifetime);
-        self.unknown = match self.unknown {
+        self.results.retain(|_, result| now < result.made_at + shape.result_lifetime);
+        self.unknown_bytes = match self.unknown_bytes {
             Some((bytes, until)) if now >= until => {
-                let is_much = bytes > shape.result_room_bytes / UNKNOWN_PARTS;
-                is_much.then_some((bytes / 2, now + unknown_for(shape)))
+                let is_significant = bytes > shape.result_room_bytes / UNKNOWN_DIVISOR;
+                is_significant.then_some((bytes / 2, now + unknown_half_life(shape)))
             }
             other => other,
         };
     }
 }
 
-/// Returns how long room that something else takes is believed to be taken whole.
-fn unknown_for(shape: &BatchShape) -> Duration {
-    shape.call_time.mul_f64(UNKNOWN_CALLS)
+/// Returns how long bytes of unknown results are assumed to be in use before half are assumed free.
+fn unknown_half_life(shape: &BatchShape) -> Duration {
+    shape.call_time.mul_f64(UNKNOWN_HALF_LIFE_CALLS)
 }
 
-/// Returns the time that a call takes, by what is said of it.
+/// Returns the expected time of a call, by its configuration.
 pub fn expected_call_time(shape: &BatchShape, pieces: usize) -> Duration {
     shape.call_time + shape.piece_time * pieces as u32
 }
 
 /// Returns the time after which a call is overdue.
 pub fn overdue_after(shape: &BatchShape, pieces: usize) -> Duration {
-    expected_call_time(shape, pieces).mul_f64(OVERDUE_PART) + OVERDUE_GRACE
+    expected_call_time(shape, pieces).mul_f64(OVERDUE_FACTOR) + OVERDUE_GRACE
 }
 
-/// All makers that were given work.
+/// All workers that were given work.
 #[derive(Debug, Default)]
 pub struct WorkerSet {
-    makers: SecondaryMap<UpstreamKey, Worker>,
+    workers: SecondaryMap<UpstreamKey, Worker>,
 }
 
 impl WorkerSet {
-    /// Returns a maker, if it was given work before.
+    /// Returns a worker, if it was given work before.
     pub fn get(&self, key: UpstreamKey) -> Option<&Worker> {
-        self.makers.get(key)
+        self.workers.get(key)
     }
 
-    /// Returns a maker, if it was given work before.
+    /// Returns a worker, if it was given work before.
     pub fn get_mut(&mut self, key: UpstreamKey) -> Option<&mut Worker> {
-        self.makers.get_mut(key)
+        self.workers.get_mut(key)
     }
 
-    /// Returns a maker; `None` if its key is no longer in use.
+    /// Returns a worker, created if needed; `None` if its key is no longer in use.
     pub fn get_or_create(&mut self, key: UpstreamKey) -> Option<&mut Worker> {
-        Some(self.makers.entry(key)?.or_default())
+        Some(self.workers.entry(key)?.or_default())
     }
 
-    /// Lists all makers.
+    /// Lists all workers.
     pub fn iter(&self) -> impl Iterator<Item = (UpstreamKey, &Worker)> {
-        self.makers.iter()
+        self.workers.iter()
     }
 
-    /// Lists those of some makers that could start a call, in the order given, with the room that each
-    /// has for results. Slow makers are left out for a while, unless all are.
+    /// Lists the given workers that can start a call, in the given order, with the free bytes of
+    /// each. Slow workers are left out for a while, unless all are slow.
     pub fn free_workers(
         &mut self,
         now: Duration,
@@ -177,20 +182,21 @@
         shape: &BatchShape,
     ) -> Vec<(UpstreamKey, u64)> {
         for key in keys {
-            if let Some(maker) = self.makers.get_mut(*key) {
-                maker.expire(now, shape);
+            if let Some(worker) = self.workers.get_mut(*key) {
+                worker.expire(now, shape);
             }
         }
-        let is_slow = |key: &UpstreamKey| self.makers.get(*key).is_some_and(|m| m.is_slow(now));
+        let is_slow =
+            |key: &UpstreamKey| self.workers.get(*key).is_some_and(|worker| worker.is_slow(now));
         let any_fast = keys.iter().any(|key| !is_slow(key));
         let is_free = |key: &&UpstreamKey| {
-            let is_busy = self.makers.get(**key).is_some_and(|maker| maker.busy_until.is_some());
+            let is_busy = self.workers.get(**key).is_some_and(|worker| worker.busy_until.is_some());
             !is_busy && (!any_fast || !is_slow(key))
         };
-        let room = |key: &UpstreamKey| {
-            let kept = self.makers.get(*key).map_or(0, Worker::used_bytes);
-            (*key, shape.result_room_bytes.saturating_sub(kept))
+        let free_bytes = |key: &UpstreamKey| {
+            let used_bytes = self.workers.get(*key).map_or(0, Worker::used_bytes);
+            (*key, shape.result_room_bytes.saturating_sub(used_bytes))
         };
-        keys.iter().filter(is_free).map(room).collect()
+        keys.iter().filter(is_free).map(free_bytes).collect()
     }
 }
