--- a/crates/fernring-gateway/tests/testsuite/admission.rs
+++ b/crates/fernring-gateway/tests/testsuite/admission.rs
@@ -1,8 +1,8 @@
-//! Which requests are taken on at arrival.
+//! Admission of requests at arrival.
 
 use {
     fernring_gateway::{
-        admission::{RequestDemand, StageDemand, AdmissionDecision, decide},
+        admission::{AdmissionDecision, RequestDemand, StageDemand, decide},
         backlog::{Backlog, RANKS},
         throughput::{ArrivalRate, WorkerThroughput},
     },
@@ -11,15 +11,15 @@
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
-/// A service that makes 100 pieces a second.
-fn busy(waiting: u32) -> Backlog {
+/// A service that completes 100 pieces per second.
+fn backlog_of(waiting: u32) -> Backlog {
     let mut backlog = Backlog { rate_per_s: 100.0, ..Backlog::default() };
     backlog.waiting[1] = waiting;
     backlog
 }
 
-/// Pieces a second that come, all of rank 1.
-fn coming(per_s: f64) -> [f64; RANKS] {
+/// Arrivals in pieces per second, all of rank 1.
+fn rank_1_arrivals(per_s: f64) -> [f64; RANKS] {
     let mut ranks = [0.0; RANKS];
     ranks[1] = per_s;
     ranks
@@ -29,109 +29,129 @@
     StageDemand { after: after.to_vec(), pieces: 2, backlog: Some(backlog), call_time: MS(300) }
 }
 
-fn need(stages: Vec<StageDemand>) -> RequestDemand {
-    RequestDemand { rank: 1, stages, prefill_time: MS(100), objective_left: MS(1_500), time_left: MS(5_000) }
+fn demand(stages: Vec<StageDemand>) -> RequestDemand {
+    RequestDemand {
+        rank: 1,
+        stages,
+        prefill_time: MS(100),
+        objective_left: MS(1_500),
+        time_left: MS(5_000),
+    }
 }
 
 #[test]
-fn the_path_is_as_long_as_its_longest_chain_and_queues_go_on_meanwhile() {
-    let chain = vec![stage(&[], busy(0)), stage(&[0], busy(50)), stage(&[], busy(0))];
-    // 300 ms for the first; the 500 ms of the second's queue run beside it; 300 ms; the prompt.
-    assert_eq!(decide(&need(chain)), AdmissionDecision::InTime(MS(900)));
+fn path_time_is_longest_chain_with_shrinking_queues() {
+    let chain =
+        vec![stage(&[], backlog_of(0)), stage(&[0], backlog_of(50)), stage(&[], backlog_of(0))];
+    // 300 ms for the first stage, while the second's queue of 500 ms shrinks; 300 ms for the
+    // second; 100 ms of prefill.
+    assert_eq!(decide(&demand(chain)), AdmissionDecision::InTime(MS(900)));
 }
 
 #[test]
-fn the_less_urgent_are_refused_first() {
-    let crowd = Backlog { arrivals_per_s: coming(100.0), ..busy(130) };
-    let at_rank = |rank| decide(&RequestDemand { rank, ..need(vec![stage(&[], crowd)]) });
-    assert_eq!(at_rank(0), AdmissionDecision::InTime(MS(400)), "what waits there is behind it");
-    assert_eq!(at_rank(1), AdmissionDecision::Refused(None), "nothing says when it would have a chance");
+fn less_urgent_ranks_are_refused_first() {
+    let burst = Backlog { arrivals_per_s: rank_1_arrivals(100.0), ..backlog_of(130) };
+    let at_rank = |rank| decide(&RequestDemand { rank, ..demand(vec![stage(&[], burst)]) });
+    assert_eq!(at_rank(0), AdmissionDecision::InTime(MS(400)), "the queued pieces are less urgent");
+    assert_eq!(
+        at_rank(1),
+        AdmissionDecision::Refused(None),
+        "no time is known after which a retry could succeed"
+    );
     assert_eq!(at_rank(2), AdmissionDecision::Refused(None));
 }
 
-/// Replays a crowd of one rank: the ranks behind it are served by what it leaves.
+/// Replays a burst of one rank: the less urgent ranks are served by the remaining rate.
 #[test]
-fn a_less_urgent_rank_waits_for_those_of_the_more_urgent_that_are_still_to_come() {
-    let at = |rank, per_s| {
-        let crowd = Backlog { arrivals_per_s: coming(per_s), ..busy(50) };
-        crowd.wait_for_rank(rank)
+fn less_urgent_rank_waits_for_expected_urgent_arrivals() {
+    let at_rank_and_rate = |rank, per_s| {
+        let burst = Backlog { arrivals_per_s: rank_1_arrivals(per_s), ..backlog_of(50) };
+        burst.wait_for_rank(rank)
     };
-    assert_eq!(at(1, 80.0), Some(MS(500)), "who comes later is behind");
-    assert_eq!(at(2, 50.0), Some(MS(1_000)));
-    assert_eq!(at(2, 100.0), None);
-    assert_eq!(at(0, 100.0), Some(MS(0)));
+    assert_eq!(
+        at_rank_and_rate(1, 80.0),
+        Some(MS(500)),
+        "later arrivals of the same rank go behind it"
+    );
+    assert_eq!(at_rank_and_rate(2, 50.0), Some(MS(1_000)));
+    assert_eq!(at_rank_and_rate(2, 100.0), None);
+    assert_eq!(at_rank_and_rate(0, 100.0), Some(MS(0)));
 }
 
 #[test]
-fn what_comes_late_is_taken_on_only_where_a_part_of_the_pace_is_left_for_it() {
-    let late = |arrivals_per_s| {
-        decide(&need(vec![stage(
+fn late_request_is_admitted_only_with_remaining_rate() {
+    let decide_at_rate = |arrivals_per_s| {
+        decide(&demand(vec![stage(
             &[],
-            Backlog { arrivals_per_s: coming(arrivals_per_s), ..busy(150) },
+            Backlog { arrivals_per_s: rank_1_arrivals(arrivals_per_s), ..backlog_of(150) },
         )]))
     };
-    assert_eq!(late(50.0), AdmissionDecision::Late(MS(3_400)));
-    assert_eq!(late(80.0), AdmissionDecision::Refused(Some(MS(7_500))));
+    assert_eq!(decide_at_rate(50.0), AdmissionDecision::Late(MS(3_400)));
+    assert_eq!(decide_at_rate(80.0), AdmissionDecision::Refused(Some(MS(7_500))));
 }
 
 #[test]
-fn a_service_without_makers_serves_nobody() {
-    let verdict = decide(&need(vec![stage(&[], Backlog { late: 1, ..Backlog::default() })]));
-    assert_eq!(verdict, AdmissionDecision::Refused(None));
+fn service_without_workers_refuses_requests() {
+    let decision = decide(&demand(vec![stage(&[], Backlog { late: 1, ..Backlog::default() })]));
+    assert_eq!(decision, AdmissionDecision::Refused(None));
 }
 
 #[test]
-fn a_stage_that_is_left_out_or_unknown_takes_no_wait() {
-    let left_out = StageDemand { pieces: 0, ..stage(&[], busy(500)) };
-    let unknown = StageDemand { backlog: None, ..stage(&[], busy(500)) };
-    assert_eq!(decide(&need(vec![left_out, unknown])), AdmissionDecision::InTime(MS(400)));
+fn omitted_or_unknown_stage_adds_no_wait() {
+    let left_out = StageDemand { pieces: 0, ..stage(&[], backlog_of(500)) };
+    let unknown = StageDemand { backlog: None, ..stage(&[], backlog_of(500)) };
+    assert_eq!(decide(&demand(vec![left_out, unknown])), AdmissionDecision::InTime(MS(400)));
 }
 
-/// Replays a crowd of four times the pace for three seconds: every request is decided on as it comes, and
-/// what was taken on is made at the service's pace. All that was promised is in time, and the pace is used.
+/// Replays a burst of four times the service's rate for three seconds: every request is decided on
+/// as it arrives, and admitted pieces are completed at the service's rate. All admitted requests
+/// are in time, and the rate is used.
 #[test]
-fn in_a_crowd_what_is_promised_is_kept_and_no_place_stays_empty() {
-    let mut backlog = busy(0);
+fn burst_is_admitted_in_time_without_idle_service() {
+    let mut backlog = backlog_of(0);
     let mut arrivals = ArrivalRate::default();
-    let (mut promised, mut made, mut idle_ms) = (0u32, 0u32, 0u32);
+    let (mut admitted, mut completed, mut idle_ms) = (0u32, 0u32, 0u32);
     for ms in 0..3_000u64 {
         let now = MS(ms);
         if ms % 5 == 0 {
-            backlog.arrivals_per_s = coming(arrivals.per_s(now));
-            if let AdmissionDecision::InTime(time) = decide(&need(vec![stage(&[], backlog)])) {
+            backlog.arrivals_per_s = rank_1_arrivals(arrivals.per_s(now));
+            if let AdmissionDecision::InTime(time) = decide(&demand(vec![stage(&[], backlog)])) {
                 assert!(time <= MS(1_500));
                 backlog.waiting[1] += 2;
                 arrivals.add(now, 2);
-                promised += 2;
+                admitted += 2;
             }
         }
         if ms % 10 == 0 {
             match backlog.waiting[1].checked_sub(1) {
-                Some(left) => (backlog.waiting[1], made) = (left, made + 1),
+                Some(left) => (backlog.waiting[1], completed) = (left, completed + 1),
                 None => idle_ms += 10,
             }
         }
     }
-    assert!(idle_ms <= 20, "the service stood still for {idle_ms} ms");
-    assert!(made >= 290 && promised - made <= 112, "{promised} promised, {made} made");
+    assert!(idle_ms <= 20, "the service was idle for {idle_ms} ms");
+    assert!(
+        completed >= 290 && admitted - completed <= 112,
+        "{admitted} admitted, {completed} completed"
+    );
 }
 
 #[test]
-fn a_backlog_is_carried_on_until_its_owner_is_heard_again() {
-    let growing = Backlog { arrivals_per_s: coming(150.0), ..busy(100) };
+fn backlog_is_extrapolated_between_reports() {
+    let growing = Backlog { arrivals_per_s: rank_1_arrivals(150.0), ..backlog_of(100) };
     assert_eq!(growing.extrapolate(MS(200)).waiting[1], 110);
-    assert_eq!(busy(10).extrapolate(MS(1_000)).waiting[1], 0);
+    assert_eq!(backlog_of(10).extrapolate(MS(1_000)).waiting[1], 0);
 }
 
 #[test]
-fn arrivals_fade_and_a_pace_is_learned_from_calls_that_left_pieces_behind() {
+fn arrival_rate_decays_and_throughput_is_learned() {
     let mut arrivals = ArrivalRate::default();
     arrivals.add(MS(0), 100);
     assert!(arrivals.per_s(MS(0)) > 99.0 && arrivals.per_s(MS(5_000)) < 1.0);
-    let mut pace = WorkerThroughput::default();
-    assert_eq!(pace.per_s(50.0), 50.0);
+    let mut throughput = WorkerThroughput::default();
+    assert_eq!(throughput.per_s(50.0), 50.0);
     for _ in 0..40 {
-        pace.record_saturated_call(5, MS(250), 50.0);
+        throughput.record_saturated_call(5, MS(250), 50.0);
     }
-    assert!((pace.per_s(50.0) - 20.0).abs() < 1.0, "{}", pace.per_s(50.0));
+    assert!((throughput.per_s(50.0) - 20.0).abs() < 1.0, "{}", throughput.per_s(50.0));
 }
--- a/crates/fernring-gateway/tests/testsuite/attempts.rs
+++ b/crates/fernring-gateway/tests/testsuite/attempts.rs
@@ -1,4 +1,4 @@
-//! How often a request may be sent, and what may be said of it.
+//! How often a request may be sent, and when it counts as not run.
 
 use {
     fernring_gateway::{
@@ -9,7 +9,7 @@
 };
 
 #[test]
-fn a_request_that_may_run_once_is_not_sent_again_after_it_may_have_run() {
+fn unrepeatable_request_is_not_resent_after_possible_run() {
     let mut attempts = Attempts::new(Repeat::Never, 5);
     attempts.record_failure(SendOutcome::Unknown);
     assert!(!attempts.may_send());
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_refusal_that_says_so_allows_another_send_and_the_promise() {
+fn refusal_allows_another_send_and_proves_not_run() {
     let mut attempts = Attempts::new(Repeat::Never, 2);
     attempts.record_failure(SendOutcome::Refused);
     assert!(attempts.may_send() && attempts.next_is_extra());
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn sends_that_reached_nobody_do_not_count() {
+fn sends_that_reached_no_upstream_do_not_count() {
     let mut attempts = Attempts::new(Repeat::Never, 1);
     for _ in 0..10 {
         attempts.record_failure(SendOutcome::NotSent);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn no_more_upstreams_than_allowed_are_sent_to() {
+fn sends_stop_at_the_maximum() {
     let mut attempts = Attempts::new(Repeat::Always, 2);
     attempts.record_failure(SendOutcome::Unknown);
     assert!(attempts.may_send());
@@ -43,7 +43,7 @@
     assert!(!attempts.may_send());
 }
 
-fn any_end() -> impl Strategy<Value = SendOutcome> {
+fn any_outcome() -> impl Strategy<Value = SendOutcome> {
     prop_oneof![
         Just(SendOutcome::NotSent),
         Just(SendOutcome::Refused),
@@ -53,21 +53,21 @@
 }
 
 proptest! {
-    /// However sends end, a request that may not be repeated never has two sends that may have
-    /// run, and the promise is never made after one.
+    /// Whatever the outcomes of its sends, a request that may not be repeated never has two sends
+    /// that may have run, and the proof that nothing has run is never given after one.
     #[test]
-    fn at_most_once_and_true_promises(
-        ends in prop::collection::vec(any_end(), 0..20),
+    fn unrepeatable_request_runs_at_most_once(
+        outcomes in prop::collection::vec(any_outcome(), 0..20),
         sends_max in 1u32..5,
     ) {
         let mut attempts = Attempts::new(Repeat::Never, sends_max);
         let mut may_have_run = 0;
-        for end in ends {
+        for outcome in outcomes {
             if !attempts.may_send() {
                 break;
             }
-            attempts.record_failure(end);
-            may_have_run += u32::from(end == SendOutcome::Unknown);
+            attempts.record_failure(outcome);
+            may_have_run += u32::from(outcome == SendOutcome::Unknown);
         }
         prop_assert!(may_have_run <= 1);
         prop_assert_eq!(attempts.not_run().is_some(), may_have_run == 0);
--- a/crates/fernring-gateway/tests/testsuite/backlogs.rs
+++ b/crates/fernring-gateway/tests/testsuite/backlogs.rs
@@ -1,4 +1,4 @@
-//! What a node knows of what waits at stage services elsewhere.
+//! Estimates of the backlogs at stage services that other nodes own.
 
 use {
     fernring_gateway::{backlog::Backlog, backlogs::Backlogs, worker_pools::WorkerPool},
@@ -6,7 +6,7 @@
     std::{net::SocketAddr, rc::Rc, time::Duration},
 };
 
-fn first() -> WorkerPool {
+fn first_pool() -> WorkerPool {
     WorkerPool::unsharded("first".into())
 }
 
@@ -23,15 +23,15 @@
     backlog
 }
 
-fn ahead(backlogs: &Backlogs, now: Duration) -> Option<u32> {
-    backlogs.estimate(now, &first(), None).map(|backlog| backlog.waiting.iter().sum())
+fn pieces_ahead(backlogs: &Backlogs, now: Duration) -> Option<u32> {
+    backlogs.estimate(now, &first_pool(), None).map(|backlog| backlog.waiting.iter().sum())
 }
 
 #[test]
-fn what_the_owner_says_and_what_all_have_promised_is_ahead() {
-    let service = first();
+fn estimate_adds_reservations_of_all_nodes() {
+    let service = first_pool();
     let [owner, other, here] = [(); 3].map(|()| Rc::new(Backlogs::default()));
-    let _theirs = other.reserve(&service, 0, 5);
+    let _peer_reservation = other.reserve(&service, 0, 5);
     here.handle_loads(
         NOW,
         peer(1),
@@ -46,65 +46,69 @@
         LoadsOf::Sender,
         false,
     );
-    assert_eq!(ahead(&here, NOW), Some(25));
-    let ours = here.reserve(&service, 2, 3);
-    assert_eq!(ahead(&here, NOW), Some(28));
-    drop(ours);
-    assert_eq!(ahead(&here, NOW), Some(25), "it has come to the stage, or was given up");
+    assert_eq!(pieces_ahead(&here, NOW), Some(25));
+    let own_reservation = here.reserve(&service, 2, 3);
+    assert_eq!(pieces_ahead(&here, NOW), Some(28));
+    drop(own_reservation);
+    assert_eq!(
+        pieces_ahead(&here, NOW),
+        Some(25),
+        "the request has reached the stage or was abandoned"
+    );
     here.remove_peer(peer(2));
-    assert_eq!(ahead(&here, NOW), Some(20));
+    assert_eq!(pieces_ahead(&here, NOW), Some(20));
 }
 
 #[test]
-fn an_owner_that_fell_silent_says_nothing_any_more() {
+fn report_of_silent_owner_expires() {
     let here = Rc::new(Backlogs::default());
-    assert_eq!(ahead(&here, NOW), None);
+    assert_eq!(pieces_ahead(&here, NOW), None);
     here.handle_loads(
         NOW,
         peer(1),
-        &here.stage_loads(NOW, vec![(first(), backlog(20))], LoadsOf::Sender),
+        &here.stage_loads(NOW, vec![(first_pool(), backlog(20))], LoadsOf::Sender),
         LoadsOf::Sender,
         false,
     );
-    assert_eq!(ahead(&here, NOW + Duration::from_millis(500)), Some(20));
-    assert_eq!(ahead(&here, NOW + Duration::from_secs(1)), None);
+    assert_eq!(pieces_ahead(&here, NOW + Duration::from_millis(500)), Some(20));
+    assert_eq!(pieces_ahead(&here, NOW + Duration::from_secs(1)), None);
 }
 
 #[test]
-fn the_owner_itself_goes_by_its_own_queue() {
+fn owner_uses_its_own_backlog() {
     let here = Rc::new(Backlogs::default());
     here.handle_loads(
         NOW,
         peer(1),
-        &here.stage_loads(NOW, vec![(first(), backlog(20))], LoadsOf::Sender),
+        &here.stage_loads(NOW, vec![(first_pool(), backlog(20))], LoadsOf::Sender),
         LoadsOf::Sender,
         false,
     );
-    let own = here.estimate(NOW, &first(), Some(backlog(7)));
+    let own = here.estimate(NOW, &first_pool(), Some(backlog(7)));
     assert_eq!(own.map(|backlog| backlog.waiting[0]), Some(7));
 }
 
 #[test]
-fn promises_of_a_domain_are_added_up_by_a_delegate_and_counted_once() {
-    let service = first();
-    let [owner, follower, delegate, far] = [(); 4].map(|()| Rc::new(Backlogs::default()));
+fn delegate_sums_reservations_of_its_domain_once() {
+    let service = first_pool();
+    let [owner, follower, delegate, remote] = [(); 4].map(|()| Rc::new(Backlogs::default()));
     let owned = owner.stage_loads(NOW, vec![(service.clone(), backlog(20))], LoadsOf::Nobody);
-    for node in [&follower, &delegate, &far] {
+    for node in [&follower, &delegate, &remote] {
         node.handle_loads(NOW, peer(1), &owned, LoadsOf::Nobody, false);
     }
-    let _theirs = follower.reserve(&service, 0, 5);
-    let _ours = delegate.reserve(&service, 1, 2);
-    let told = follower.stage_loads(NOW, Vec::new(), LoadsOf::Sender);
-    delegate.handle_loads(NOW, peer(2), &told, LoadsOf::Sender, false);
-    assert_eq!(ahead(&delegate, NOW), Some(27));
+    let _peer_reservation = follower.reserve(&service, 0, 5);
+    let _own_reservation = delegate.reserve(&service, 1, 2);
+    let reported = follower.stage_loads(NOW, Vec::new(), LoadsOf::Sender);
+    delegate.handle_loads(NOW, peer(2), &reported, LoadsOf::Sender, false);
+    assert_eq!(pieces_ahead(&delegate, NOW), Some(27));
     let sums = delegate.stage_loads(NOW, Vec::new(), LoadsOf::Domain);
-    far.handle_loads(NOW, peer(3), &sums, LoadsOf::Domain, false);
-    assert_eq!(ahead(&far, NOW), Some(27));
+    remote.handle_loads(NOW, peer(3), &sums, LoadsOf::Domain, false);
+    assert_eq!(pieces_ahead(&remote, NOW), Some(27));
     follower.handle_loads(NOW, peer(3), &sums, LoadsOf::Domain, true);
-    assert_eq!(ahead(&follower, NOW), Some(27), "what it promised itself isn't counted twice");
-    // Heartbeats in between that tell no loads leave the sums as they are.
-    far.handle_loads(NOW, peer(3), &[], LoadsOf::Nobody, false);
-    assert_eq!(ahead(&far, NOW), Some(27));
-    let passed_on = far.stage_loads(NOW, Vec::new(), LoadsOf::Domain);
-    assert!(passed_on.is_empty(), "sums of other domains aren't passed on");
+    assert_eq!(pieces_ahead(&follower, NOW), Some(27), "its own reservations aren't counted twice");
+    // Heartbeats without loads leave the sums unchanged.
+    remote.handle_loads(NOW, peer(3), &[], LoadsOf::Nobody, false);
+    assert_eq!(pieces_ahead(&remote, NOW), Some(27));
+    let republished = remote.stage_loads(NOW, Vec::new(), LoadsOf::Domain);
+    assert!(republished.is_empty(), "sums of other domains aren't republished");
 }
--- a/crates/fernring-gateway/tests/testsuite/batching.rs
+++ b/crates/fernring-gateway/tests/testsuite/batching.rs
@@ -1,9 +1,9 @@
-//! Which pieces go into a call.
+//! Selection of the pieces of a call.
 
 use {
     fernring_gateway::{
         backlog::{Backlog, RANKS},
-        batching::{BatchQueue, BatchLimit, DomainWorkers, TargetWorker, QueuedPiece},
+        batching::{BatchLimit, BatchQueue, DomainWorkers, QueuedPiece, TargetWorker},
         content::ContentKey,
         model::{BatchShape, Piece, PieceInput},
         residency::Residency,
@@ -13,15 +13,15 @@
 };
 
 const NOW: Duration = Duration::from_secs(100);
-const RULES: DecideSettings = DecideSettings::ALL;
+const DECIDE_SETTINGS: DecideSettings = DecideSettings::ALL;
 
-/// A service whose makers have nothing to do.
+/// The backlog of a service with idle workers.
 fn idle() -> Backlog {
     Backlog { rate_per_s: 20.0, ..Backlog::default() }
 }
 
-/// Pieces a second that come, all of the first rank.
-fn coming(per_s: f64) -> [f64; RANKS] {
+/// Arrivals in pieces per second, all of the first rank.
+fn arrivals(per_s: f64) -> [f64; RANKS] {
     let mut ranks = [0.0; RANKS];
     ranks[0] = per_s;
     ranks
@@ -37,7 +37,7 @@
     }
 }
 
-fn task(work: u64, due_ms: u64) -> QueuedPiece {
+fn piece(work: u64, due_ms: u64) -> QueuedPiece {
     QueuedPiece {
         work,
         fingerprint: ContentKey::of(None, &work.to_string(), b""),
@@ -60,241 +60,297 @@
     }
 }
 
-/// A maker of a service that has no other.
-fn at(failure_domain: &str, room_bytes: u64) -> TargetWorker<'_> {
-    TargetWorker { failure_domain, free_bytes: room_bytes, workers: 1 }
+/// The only worker of a service.
+fn worker_in(failure_domain: &str, free_bytes: u64) -> TargetWorker<'_> {
+    TargetWorker { failure_domain, free_bytes, workers: 1 }
 }
 
-fn queue(tasks: impl IntoIterator<Item = QueuedPiece>) -> BatchQueue {
+fn queue(pieces: impl IntoIterator<Item = QueuedPiece>) -> BatchQueue {
     let mut queue = BatchQueue::default();
-    tasks.into_iter().for_each(|task| queue.push(task));
+    pieces.into_iter().for_each(|piece| queue.push(piece));
     queue
 }
 
-fn no_makers(_: &str) -> Option<DomainWorkers> {
+fn no_workers(_: &str) -> Option<DomainWorkers> {
     None
 }
 
-fn take(queue: &mut BatchQueue, room_bytes: u64) -> Vec<u64> {
-    let taken = queue.take_batch(NOW, &shape(), at("a", room_bytes), &RULES, no_makers);
-    taken.pieces.iter().map(|task| task.work).collect()
+fn take(queue: &mut BatchQueue, free_bytes: u64) -> Vec<u64> {
+    let taken =
+        queue.take_batch(NOW, &shape(), worker_in("a", free_bytes), &DECIDE_SETTINGS, no_workers);
+    taken.pieces.iter().map(|piece| piece.work).collect()
 }
 
 #[test]
-fn the_earliest_due_go_first_and_a_call_holds_no_more_than_it_may() {
-    let mut queue = queue((1..=6).map(|work| task(work, 5_000 - work * 100)));
+fn earliest_due_pieces_fill_a_call_first() {
+    let mut queue = queue((1..=6).map(|work| piece(work, 5_000 - work * 100)));
     assert_eq!(take(&mut queue, 10_000).len(), 4);
     assert_eq!(queue.len(), 2);
     let mut left = take(&mut queue, 10_000);
     left.sort_unstable();
-    assert_eq!(left, [1, 2], "those due last");
+    assert_eq!(left, [1, 2], "the pieces due last");
 }
 
 #[test]
-fn what_can_be_in_time_goes_before_what_cannot() {
-    let mut queue = queue([task(1, 50), task(2, 900)]);
+fn pieces_in_time_go_before_late_ones() {
+    let mut queue = queue([piece(1, 50), piece(2, 900)]);
     let taken = queue.take_batch(
         NOW,
         &BatchShape { pieces_max: 1, ..shape() },
-        at("a", 10_000),
-        &RULES,
-        no_makers,
+        worker_in("a", 10_000),
+        &DECIDE_SETTINGS,
+        no_workers,
     );
     assert_eq!(taken.pieces[0].work, 2);
 }
 
 #[test]
-fn a_request_of_higher_rank_goes_first_when_due_at_the_same_time() {
-    let low = QueuedPiece { priority: 2, ..task(1, 900) };
-    let mut queue = queue([low, task(2, 900)]);
+fn higher_rank_goes_first_at_equal_due_time() {
+    let low = QueuedPiece { priority: 2, ..piece(1, 900) };
+    let mut queue = queue([low, piece(2, 900)]);
     let taken = queue.take_batch(
         NOW,
         &BatchShape { pieces_max: 1, ..shape() },
-        at("a", 10_000),
-        &RULES,
-        no_makers,
+        worker_in("a", 10_000),
+        &DECIDE_SETTINGS,
+        no_workers,
     );
     assert_eq!(taken.pieces[0].work, 2);
 }
 
 #[test]
-fn a_begun_work_is_finished_before_others_begin() {
-    let begun = (0..6).map(|_| task(1, 50));
-    let mut queue = queue(begun);
+fn started_work_is_finished_before_others_start() {
+    let started = (0..6).map(|_| piece(1, 50));
+    let mut queue = queue(started);
     assert_eq!(take(&mut queue, 10_000), [1; 4]);
-    queue.push(task(2, 900));
+    queue.push(piece(2, 900));
     let taken = take(&mut queue, 10_000);
-    assert_eq!(taken[..2], [1, 1], "results of the first half would wait for nothing");
+    assert_eq!(taken[..2], [1, 1], "otherwise the results of the first half would stay unused");
 }
 
 #[test]
-fn room_for_results_is_never_exceeded() {
-    let mut queue = queue((1..=4).map(|work| task(work, 900)));
+fn free_bytes_are_never_exceeded() {
+    let mut queue = queue((1..=4).map(|work| piece(work, 900)));
     assert_eq!(take(&mut queue, 250).len(), 2);
     assert_eq!(take(&mut queue, 50).len(), 0);
     assert_eq!(queue.len(), 2);
 }
 
 #[test]
-fn a_large_result_is_left_to_a_maker_near_its_reader_while_there_is_time() {
-    let far = |due_ms| QueuedPiece { consumer_domain: Some("b".into()), ..task(1, due_ms) };
-    let makers = |domain: &str| {
-        (domain == "b").then_some(DomainWorkers { count: 1, free_at: NOW + Duration::from_millis(100) })
+fn remote_result_is_left_to_its_consumer_domain_while_in_time() {
+    let remote = |due_ms| QueuedPiece { consumer_domain: Some("b".into()), ..piece(1, due_ms) };
+    let workers = |domain: &str| {
+        (domain == "b")
+            .then_some(DomainWorkers { count: 1, free_at: NOW + Duration::from_millis(100) })
     };
-    let mut patient = queue([far(900)]);
-    assert!(patient.take_batch(NOW, &shape(), at("a", 10_000), &RULES, makers).pieces.is_empty());
-    assert_eq!(patient.take_batch(NOW, &shape(), at("b", 10_000), &RULES, makers).pieces.len(), 1);
-    let mut urgent = queue([far(200)]);
-    assert_eq!(urgent.take_batch(NOW, &shape(), at("a", 10_000), &RULES, makers).pieces.len(), 1);
-    let mut alone = queue([far(900)]);
+    let mut patient = queue([remote(900)]);
+    assert!(
+        patient
+            .take_batch(NOW, &shape(), worker_in("a", 10_000), &DECIDE_SETTINGS, workers)
+            .pieces
+            .is_empty()
+    );
+    assert_eq!(
+        patient
+            .take_batch(NOW, &shape(), worker_in("b", 10_000), &DECIDE_SETTINGS, workers)
+            .pieces
+            .len(),
+        1
+    );
+    let mut urgent = queue([remote(200)]);
+    assert_eq!(
+        urgent
+            .take_batch(NOW, &shape(), worker_in("a", 10_000), &DECIDE_SETTINGS, workers)
+            .pieces
+            .len(),
+        1
+    );
+    let mut alone = queue([remote(900)]);
     assert_eq!(
-        alone.take_batch(NOW, &shape(), at("a", 10_000), &RULES, no_makers).pieces.len(),
+        alone
+            .take_batch(NOW, &shape(), worker_in("a", 10_000), &DECIDE_SETTINGS, no_workers)
+            .pieces
+            .len(),
         1,
-        "no maker is there"
+        "there are no workers in the consumer domain"
     );
 }
 
 #[test]
-fn cancelled_and_expired_pieces_are_not_made() {
-    let expired = QueuedPiece { deadline_at: NOW + Duration::from_millis(100), ..task(1, 900) };
-    let mut queue = queue([expired, task(2, 900), task(3, 900)]);
+fn cancelled_and_expired_pieces_are_dropped() {
+    let expired = QueuedPiece { deadline_at: NOW + Duration::from_millis(100), ..piece(1, 900) };
+    let mut queue = queue([expired, piece(2, 900), piece(3, 900)]);
     queue.cancel(2);
-    let gone: Vec<_> =
-        queue.take_expired(NOW, &shape(), &idle(), &RULES).iter().map(|task| task.work).collect();
-    assert_eq!(gone, [1]);
+    let expired_works: Vec<_> = queue
+        .take_expired(NOW, &shape(), &idle(), &DECIDE_SETTINGS)
+        .iter()
+        .map(|piece| piece.work)
+        .collect();
+    assert_eq!(expired_works, [1]);
     assert_eq!(take(&mut queue, 10_000), [3]);
     assert!(queue.is_empty());
 }
 
 #[test]
-fn a_maker_takes_what_is_read_near_it_before_what_is_read_elsewhere() {
-    let read_in =
-        |work, domain: &str, due_ms| QueuedPiece { consumer_domain: Some(domain.into()), ..task(work, due_ms) };
+fn worker_prefers_pieces_read_in_its_domain() {
+    let read_in = |work, domain: &str, due_ms| QueuedPiece {
+        consumer_domain: Some(domain.into()),
+        ..piece(work, due_ms)
+    };
     let one = BatchShape { pieces_max: 1, ..shape() };
-    let mut queue_at_hand = queue([read_in(1, "b", 900), read_in(2, "a", 1_050)]);
-    assert_eq!(queue_at_hand.take_batch(NOW, &one, at("a", 10_000), &RULES, no_makers).pieces[0].work, 2);
+    let mut local_queue = queue([read_in(1, "b", 900), read_in(2, "a", 1_050)]);
+    assert_eq!(
+        local_queue
+            .take_batch(NOW, &one, worker_in("a", 10_000), &DECIDE_SETTINGS, no_workers)
+            .pieces[0]
+            .work,
+        2
+    );
     let mut urgent = queue([read_in(1, "b", 900), read_in(2, "a", 3_000)]);
     assert_eq!(
-        urgent.take_batch(NOW, &one, at("a", 10_000), &RULES, no_makers).pieces[0].work,
+        urgent.take_batch(NOW, &one, worker_in("a", 10_000), &DECIDE_SETTINGS, no_workers).pieces
+            [0]
+        .work,
         1,
-        "unless that is urgent"
+        "unless the other piece is more urgent"
     );
 }
 
 #[test]
-fn a_piece_that_was_made_elsewhere_is_not_made_again() {
+fn removed_piece_is_not_taken() {
     let piece = |number| {
-        let mut task = task(1, 900);
-        task.piece.number = number;
-        task
+        let mut piece = piece(1, 900);
+        piece.piece.number = number;
+        piece
     };
     let mut queue = queue([piece(0), piece(1)]);
     queue.remove_piece(1, 0);
-    let left = queue.take_batch(NOW, &shape(), at("a", 10_000), &RULES, no_makers);
-    assert_eq!(left.pieces.iter().map(|task| task.piece.number).collect::<Vec<_>>(), [1]);
+    let left =
+        queue.take_batch(NOW, &shape(), worker_in("a", 10_000), &DECIDE_SETTINGS, no_workers);
+    assert_eq!(left.pieces.iter().map(|piece| piece.piece.number).collect::<Vec<_>>(), [1]);
 }
 
-/// Replays a crowd: works of three pieces wait while makers have room for seven, over and over. Pieces
-/// of a work that were made apart would take room until the last one is made.
+/// Replays a burst: works of three pieces are queued while workers have free bytes for seven
+/// results, over and over. The results of a work that is split over calls would take space until
+/// its last piece is completed.
 #[test]
-fn a_work_goes_into_a_call_whole_unless_much_of_the_call_would_stay_empty() {
+fn work_is_split_only_to_fill_a_call() {
     let eight = BatchShape { pieces_max: 8, ..shape() };
-    let crowd = || queue((1..=4).flat_map(|work| (0..3).map(move |_| task(work, 900 + work * 10))));
+    let burst =
+        || queue((1..=4).flat_map(|work| (0..3).map(move |_| piece(work, 900 + work * 10))));
     let works = |batch: &fernring_gateway::batching::Batch| -> Vec<u64> {
-        batch.pieces.iter().map(|task| task.work).collect()
+        batch.pieces.iter().map(|piece| piece.work).collect()
     };
-    let mut roomy = crowd();
-    let call = roomy.take_batch(NOW, &eight, at("a", 700), &RULES, no_makers);
-    assert_eq!(works(&call), [1, 1, 1, 2, 2, 2], "one place of seven stays empty");
+    let mut roomy = burst();
+    let call = roomy.take_batch(NOW, &eight, worker_in("a", 700), &DECIDE_SETTINGS, no_workers);
+    assert_eq!(works(&call), [1, 1, 1, 2, 2, 2], "one slot of seven stays empty");
     assert_eq!(call.limit, BatchLimit::Slots);
-    let mut narrow = crowd();
-    let call = narrow.take_batch(NOW, &eight, at("a", 500), &RULES, no_makers);
+    let mut small = burst();
+    let call = small.take_batch(NOW, &eight, worker_in("a", 500), &DECIDE_SETTINGS, no_workers);
     assert_eq!(works(&call), [1, 1, 1, 2, 2], "two of five would stay empty");
-    let mut split = crowd();
-    let rules = DecideSettings { whole_works: false, ..RULES };
-    let call = split.take_batch(NOW, &eight, at("a", 700), &rules, no_makers);
+    let mut splitting = burst();
+    let decide_settings = DecideSettings { whole_works: false, ..DECIDE_SETTINGS };
+    let call = splitting.take_batch(NOW, &eight, worker_in("a", 700), &decide_settings, no_workers);
     assert_eq!(works(&call), [1, 1, 1, 2, 2, 2, 3]);
 }
 
 #[test]
-fn a_call_says_what_ended_its_filling() {
-    let bound = |room_bytes, works: u64| {
-        let mut queue = queue((1..=works).map(|work| task(work, 900)));
-        queue.take_batch(NOW, &shape(), at("a", room_bytes), &RULES, no_makers).limit
+fn batch_reports_its_limit() {
+    let limit = |free_bytes, works: u64| {
+        let mut queue = queue((1..=works).map(|work| piece(work, 900)));
+        queue
+            .take_batch(NOW, &shape(), worker_in("a", free_bytes), &DECIDE_SETTINGS, no_workers)
+            .limit
     };
-    assert_eq!(bound(10_000, 3), BatchLimit::Empty);
-    assert_eq!(bound(10_000, 9), BatchLimit::Slots);
-    assert_eq!(bound(200, 9), BatchLimit::FreeBytes);
-    let far = QueuedPiece { consumer_domain: Some("b".into()), ..task(1, 900) };
+    assert_eq!(limit(10_000, 3), BatchLimit::Empty);
+    assert_eq!(limit(10_000, 9), BatchLimit::Slots);
+    assert_eq!(limit(200, 9), BatchLimit::FreeBytes);
+    let remote = QueuedPiece { consumer_domain: Some("b".into()), ..piece(1, 900) };
     let there = |_: &str| Some(DomainWorkers { count: 1, free_at: NOW });
-    let call = queue([far]).take_batch(NOW, &shape(), at("a", 10_000), &RULES, there);
+    let call =
+        queue([remote]).take_batch(NOW, &shape(), worker_in("a", 10_000), &DECIDE_SETTINGS, there);
     assert_eq!(call.limit, BatchLimit::ConsumerDomain);
 }
 
-/// Replays a crowd that doesn't thin out: a piece has missed its due time, and as many pieces come as can be
-/// made. It would be kept, with the results that it needs, until its deadline.
+/// Replays a burst that doesn't end: a piece has missed its due time, and pieces arrive as fast as
+/// they are completed. It would be kept, with the results that it needs, until its deadline.
 #[test]
-fn a_late_piece_is_given_up_when_nothing_is_left_for_it() {
-    let crowded = Backlog { arrivals_per_s: coming(20.0), ..idle() };
-    let expired = |backlog: &Backlog, rules: &DecideSettings| -> Vec<u64> {
-        let mut queue = queue([task(1, 0), task(2, 900)]);
-        queue.take_expired(NOW, &shape(), backlog, rules).iter().map(|task| task.work).collect()
+fn late_piece_is_dropped_without_remaining_rate() {
+    let overloaded = Backlog { arrivals_per_s: arrivals(20.0), ..idle() };
+    let expired = |backlog: &Backlog, decide_settings: &DecideSettings| -> Vec<u64> {
+        let mut queue = queue([piece(1, 0), piece(2, 900)]);
+        queue
+            .take_expired(NOW, &shape(), backlog, decide_settings)
+            .iter()
+            .map(|piece| piece.work)
+            .collect()
     };
-    assert_eq!(expired(&crowded, &RULES), [1]);
-    assert_eq!(expired(&idle(), &RULES), [0; 0]);
-    assert_eq!(expired(&crowded, &DecideSettings { give_up: false, ..RULES }), [0; 0]);
+    assert_eq!(expired(&overloaded, &DECIDE_SETTINGS), [1]);
+    assert_eq!(expired(&idle(), &DECIDE_SETTINGS), [0; 0]);
+    assert_eq!(expired(&overloaded, &DecideSettings { give_up: false, ..DECIDE_SETTINGS }), [0; 0]);
 }
 
-/// The same crowd: 30 pieces are late, and a quarter of the pace is left for them.
+/// The same burst: 30 pieces are late, and a quarter of the rate is left for them.
 #[test]
-fn late_pieces_are_kept_for_as_long_as_what_is_left_will_reach_them() {
-    let backlog = Backlog { arrivals_per_s: coming(15.0), late: 30, ..idle() };
-    let deadline = |work| QueuedPiece { deadline_at: NOW + Duration::from_secs(4), ..task(work, 0) };
-    let mut queue = queue((1..=30).map(deadline));
-    let gone = queue.take_expired(NOW, &shape(), &backlog, &RULES);
-    assert_eq!((queue.len(), gone.len()), (19, 11), "five a second, less the last call");
+fn late_pieces_are_kept_while_remaining_rate_reaches_them() {
+    let backlog = Backlog { arrivals_per_s: arrivals(15.0), late: 30, ..idle() };
+    let piece_with_deadline =
+        |work| QueuedPiece { deadline_at: NOW + Duration::from_secs(4), ..piece(work, 0) };
+    let mut queue = queue((1..=30).map(piece_with_deadline));
+    let expired_works = queue.take_expired(NOW, &shape(), &backlog, &DECIDE_SETTINGS);
+    assert_eq!((queue.len(), expired_works.len()), (19, 11), "five per second, less the last call");
 }
 
 #[test]
-fn waiting_pieces_are_counted_by_rank_and_late_ones_apart() {
-    let low = QueuedPiece { priority: 2, ..task(2, 900) };
-    let queue = queue([task(1, 900), low.clone(), low, task(3, 0)]);
+fn pieces_are_counted_by_rank_and_late_ones_separately() {
+    let low = QueuedPiece { priority: 2, ..piece(2, 900) };
+    let queue = queue([piece(1, 900), low.clone(), low, piece(3, 0)]);
     let (in_time, late) = queue.count_waiting(NOW, &shape());
     assert_eq!(in_time[..3], [1, 0, 2]);
     assert_eq!(late, 1);
 }
 
-/// Replays the calm of a large service: dozens of pieces wait at any moment, since dozens of makers are at work.
+/// Replays a large service at low load: dozens of pieces are queued at any moment, since dozens of
+/// workers are busy.
 #[test]
-fn what_counts_as_a_crowd_grows_with_the_makers() {
-    let near_b = |work| QueuedPiece { consumer_domain: Some("b".into()), ..task(work, 60_000) };
+fn overload_threshold_grows_with_workers() {
+    let read_in_b = |work| QueuedPiece { consumer_domain: Some("b".into()), ..piece(work, 60_000) };
     let waiting = 3 * shape().pieces_max as u64;
-    let makers_in = |_: &str| Some(DomainWorkers { count: 8, free_at: NOW });
-    let taken_far = |makers| {
-        let mut queue = queue((0..waiting).map(near_b));
+    let workers_in = |_: &str| Some(DomainWorkers { count: 8, free_at: NOW });
+    let taken_in_a = |workers| {
+        let mut queue = queue((0..waiting).map(read_in_b));
         queue
-            .take_batch(NOW, &shape(), TargetWorker { workers: makers, ..at("a", 1_000_000) }, &RULES, makers_in)
+            .take_batch(
+                NOW,
+                &shape(),
+                TargetWorker { workers, ..worker_in("a", 1_000_000) },
+                &DECIDE_SETTINGS,
+                workers_in,
+            )
             .pieces
             .len()
     };
-    assert_eq!(taken_far(41), 0, "makers near the readers have time for all");
-    assert!(taken_far(5) > 0, "five makers have three calls' worth before them");
+    assert_eq!(taken_in_a(41), 0, "workers in the consumer domain can complete all in time");
+    assert!(taken_in_a(5) > 0, "five workers are overloaded by three calls' worth");
 }
 
-/// A maker ended under a call with pieces of three requests. Sent again together, they would end the next one, and nobody
-/// would learn under which; so each goes into a call of its own.
+/// A worker crashed under a call with pieces of three requests. Sent together again, they would
+/// crash the next worker, and the responsible request would stay unknown; so each goes into a call
+/// of its own.
 #[test]
-fn pieces_that_are_to_be_apart_go_into_calls_of_their_own() {
-    let apart = |work, number| {
-        let mut task = QueuedPiece { is_isolated: true, ..task(work, 1_000 + work) };
-        task.piece.number = number;
-        task
+fn isolated_requests_get_calls_of_their_own() {
+    let isolated = |work, number| {
+        let mut piece = QueuedPiece { is_isolated: true, ..piece(work, 1_000 + work) };
+        piece.piece.number = number;
+        piece
     };
-    let mut queue = queue([apart(1, 0), apart(1, 1), apart(2, 0), task(3, 1_003), apart(4, 0)]);
-    assert_eq!(take(&mut queue, 10_000), [1, 1], "both of one request");
+    let mut queue =
+        queue([isolated(1, 0), isolated(1, 1), isolated(2, 0), piece(3, 1_003), isolated(4, 0)]);
+    assert_eq!(take(&mut queue, 10_000), [1, 1], "both pieces of one request");
     assert_eq!(take(&mut queue, 10_000), [2]);
-    let batch = queue.take_batch(NOW, &shape(), at("a", 10_000), &RULES, no_makers);
-    assert_eq!(batch.pieces.iter().map(|task| task.work).collect::<Vec<_>>(), [3]);
+    let batch =
+        queue.take_batch(NOW, &shape(), worker_in("a", 10_000), &DECIDE_SETTINGS, no_workers);
+    assert_eq!(batch.pieces.iter().map(|piece| piece.work).collect::<Vec<_>>(), [3]);
     assert_eq!(batch.limit, BatchLimit::Isolation);
     assert_eq!(take(&mut queue, 10_000), [4]);
 }
--- a/crates/fernring-gateway/tests/testsuite/cold.rs
+++ b/crates/fernring-gateway/tests/testsuite/cold.rs
@@ -1,11 +1,12 @@
-//! What cold upstreams are sent.
+//! Permits for cold upstreams.
 //!
-//! A third of the upstreams comes back at once, and each bears a few requests a second from all nodes together. Nodes
-//! don't agree on each send; these tests add up what all of them would send, under virtual time.
+//! A third of the upstreams comes back at once, and each bears a few requests per second from all
+//! nodes together. Nodes don't coordinate each send; these tests add up the sends of all nodes
+//! under virtual time.
 
 use {
     fernring_gateway::{
-        cold::{PermitScope, PeakNodeCount, RefusedConnection, ColdPermits},
+        cold::{ColdPermits, PeakNodeCount, PermitScope, RefusedConnection},
         model::ColdBounds,
         position::Position,
     },
@@ -20,91 +21,101 @@
     Duration::from_millis(ms)
 }
 
-/// Nodes that all want to send to one upstream as often as they may, and what each takes the number of nodes for.
-struct Crowd {
+/// Nodes that all send to one upstream as often as their permits allow, and the number of nodes
+/// that each assumes.
+struct Fleet {
     nodes: Vec<(u64, usize, ColdPermits)>,
 }
 
-impl Crowd {
-    fn new(rng: &mut StdRng, count: usize, believed: impl Fn(usize) -> usize) -> Self {
-        let node = |number| (rng.random(), believed(number), ColdPermits::default());
+impl Fleet {
+    fn new(rng: &mut StdRng, count: usize, assumed_nodes: impl Fn(usize) -> usize) -> Self {
+        let node = |number| (rng.random(), assumed_nodes(number), ColdPermits::default());
         Self { nodes: (0..count).map(node).collect() }
     }
 
-    /// Returns the most sends in any second, where all nodes try at the times `tries`, in order.
-    fn most_in_a_second(&mut self, upstream: u64, tries: impl Iterator<Item = Duration>) -> usize {
+    /// Returns the largest number of sends in any second if all nodes try at the times `tries`, in
+    /// order.
+    fn peak_sends_per_second(
+        &mut self,
+        upstream: u64,
+        tries: impl Iterator<Item = Duration>,
+    ) -> usize {
         let mut sends: VecDeque<Duration> = VecDeque::new();
-        let mut most = 0;
+        let mut peak = 0;
         for now in tries {
-            for (node, nodes, turns) in &mut self.nodes {
-                let asker = PermitScope { node: *node, upstream, nodes: *nodes };
-                if turns.try_acquire(now, &BOUNDS, asker) {
+            for (node, nodes, permits) in &mut self.nodes {
+                let scope = PermitScope { node: *node, upstream, nodes: *nodes };
+                if permits.try_acquire(now, &BOUNDS, scope) {
                     sends.push_back(now);
                 }
             }
             while sends.front().is_some_and(|sent| *sent + SECOND <= now) {
                 sends.pop_front();
             }
-            most = most.max(sends.len());
+            peak = peak.max(sends.len());
         }
-        most
+        peak
     }
 }
 
-/// Every node tries each 10 ms for the whole time of a cold start, after a lull in which turns were saved: the worst
-/// that callers can do. 18.65 is the bound of the rule here.
+/// Every node tries every 10 ms for the whole time of a cold start, after an idle period in which
+/// permits were saved: the worst case that callers can produce. 18.65 is the bound here.
 #[test]
-fn the_turns_of_all_nodes_stay_below_the_bound_in_any_second() {
+fn permits_of_all_nodes_stay_below_the_bound() {
     for count in [1, 2, 9, 89, 300] {
         let mut rng = StdRng::seed_from_u64(7);
-        let mut most = 0;
+        let mut peak = 0;
         for upstream in 0..(20_000 / count as u64).clamp(60, 2_000) {
-            let mut crowd = Crowd::new(&mut rng, count, |_| count);
+            let mut fleet = Fleet::new(&mut rng, count, |_| count);
             let start = ms(rng.random_range(10_000..20_000));
             let tries = (0..400).map(|step| start + ms(step * 10));
-            most = most.max(crowd.most_in_a_second(upstream, tries));
+            peak = peak.max(fleet.peak_sends_per_second(upstream, tries));
         }
         let bound = BOUNDS.per_window(SECOND);
-        println!("{count} nodes: at most {most} of {bound}");
-        assert!((most as f64) <= bound, "{count} nodes: {most}");
-        assert!(most >= 2, "{count} nodes: an upstream is never used");
+        println!("{count} nodes: at most {peak} of {bound}");
+        assert!((peak as f64) <= bound, "{count} nodes: {peak}");
+        assert!(peak >= 2, "{count} nodes: a cold upstream is hardly used");
     }
 }
 
 #[test]
-fn turns_come_to_every_node() {
+fn every_node_gets_permits() {
     for node in 0..20 {
-        let mut turns = ColdPermits::default();
-        let asker = PermitScope { node, upstream: 1, nodes: 9 };
-        let taken = (0..60).filter(|s| turns.try_acquire(ms(s * 1_000), &BOUNDS, asker)).count();
+        let mut permits = ColdPermits::default();
+        let scope = PermitScope { node, upstream: 1, nodes: 9 };
+        let taken = (0..60).filter(|s| permits.try_acquire(ms(s * 1_000), &BOUNDS, scope)).count();
         assert!((5..55).contains(&taken), "{taken} of about 20");
     }
 }
 
-/// A part of the fleet is behind a cut and goes on sending. Whoever counts only those that are heard would take twice
-/// the turns; the most of the last ten minutes count, so the sum stays.
+/// A part of the fleet is behind a network partition and goes on sending. A node that counts only
+/// reachable nodes would get twice the permits; the largest number of the last ten minutes counts,
+/// so the sum stays below the bound.
 #[test]
-fn a_node_that_hears_fewer_takes_no_more_turns() {
+fn peak_node_count_outlasts_a_partition() {
     let mut nodes = PeakNodeCount::default();
     nodes.record(ms(0), 89);
     nodes.record(ms(60_000), 30);
     assert_eq!(nodes.peak(), 89);
     nodes.record(ms(120_000), 95);
-    assert_eq!(nodes.peak(), 95, "some were added");
+    assert_eq!(nodes.peak(), 95, "nodes were added");
     nodes.record(ms(120_000) + SECOND * 601, 40);
-    assert_eq!(nodes.peak(), 40, "after ten minutes they have gone");
+    assert_eq!(nodes.peak(), 40, "after ten minutes the larger count is forgotten");
 }
 
 #[test]
-fn what_listens_again_is_cold_until_its_record_says_what_is_so() {
+fn restarted_upstream_is_cold_until_its_record_is_newer() {
     let cold_start = ms(3_000);
     let (before, after) = (Position::new(0, 5), Position::new(0, 6));
-    let mut gone = RefusedConnection::new(ms(1_000), before);
-    assert!(gone.is_cold(ms(5_000), before, cold_start));
-    gone.record_answer(ms(6_000));
-    assert!(gone.is_cold(ms(8_900), before, cold_start), "for a cold start since it answered");
-    assert!(!gone.is_cold(ms(9_000), before, cold_start));
-    assert!(!gone.is_cold(ms(6_500), after, cold_start), "unless its record was written anew");
-    let forgotten = RefusedConnection::new(ms(1_000), before);
-    assert!(!forgotten.is_cold(ms(8_000), before, cold_start), "nothing came of it");
+    let mut refused = RefusedConnection::new(ms(1_000), before);
+    assert!(refused.is_cold(ms(5_000), before, cold_start));
+    refused.record_answer(ms(6_000));
+    assert!(
+        refused.is_cold(ms(8_900), before, cold_start),
+        "for the time of a cold start after its first response"
+    );
+    assert!(!refused.is_cold(ms(9_000), before, cold_start));
+    assert!(!refused.is_cold(ms(6_500), after, cold_start), "a newer record takes precedence");
+    let unanswered = RefusedConnection::new(ms(1_000), before);
+    assert!(!unanswered.is_cold(ms(8_000), before, cold_start), "nothing has listened there since");
 }
--- a/crates/fernring-gateway/tests/testsuite/crash_detection.rs
+++ b/crates/fernring-gateway/tests/testsuite/crash_detection.rs
@@ -1,9 +1,11 @@
-//! What shows that an upstream has ended, and what doesn't.
+//! Evidence that an upstream has crashed.
 
 use {
     fernring_gateway::{
         content::ContentKey,
-        crash_detection::{Disconnect, CRASH_EVIDENCE_TIME_MAX, CrashDetector, ProbeResult, Incarnation},
+        crash_detection::{
+            CRASH_EVIDENCE_TIME_MAX, CrashDetector, Disconnect, Incarnation, ProbeResult,
+        },
         model::UpstreamKey,
     },
     slotmap::SlotMap,
@@ -12,7 +14,7 @@
 
 const NOW: Duration = Duration::from_secs(100);
 
-fn run() -> Incarnation {
+fn incarnation() -> Incarnation {
     Incarnation { instance: "i-1".into(), started_ms: Some(7) }
 }
 
@@ -20,128 +22,184 @@
     SocketAddr::from(([10, 0, 0, 1], 8080))
 }
 
-fn content(name: &str) -> ContentKey {
+fn fingerprint(name: &str) -> ContentKey {
     ContentKey::of(None, name, b"")
 }
 
-/// Upstreams at which one send broke off, and its key.
-fn broken(how: Disconnect) -> (CrashDetector, UpstreamKey) {
-    let mut endings = CrashDetector::default();
+/// Returns a detector with one broken send, and the key of its upstream.
+fn detector_with_broken_send(disconnect: Disconnect) -> (CrashDetector, UpstreamKey) {
+    let mut detector = CrashDetector::default();
     let key = UpstreamKey::default();
-    let found = endings.record_disconnect(NOW, (key, address()), &run(), how, Some(content("a")));
-    assert_eq!(found, None, "a break alone");
-    (endings, key)
+    let crash = detector.record_disconnect(
+        NOW,
+        (key, address()),
+        &incarnation(),
+        disconnect,
+        Some(fingerprint("a")),
+    );
+    assert_eq!(crash, None, "a disconnect alone is no evidence");
+    (detector, key)
 }
 
 #[test]
-fn a_refused_connection_after_a_break_is_an_end() {
-    let (mut endings, key) = broken(Disconnect::Closed);
-    let ended = endings.record_probe(key, ProbeResult::Refused).unwrap();
-    assert_eq!((ended.incarnation, ended.fingerprints), (run(), vec![content("a")]));
+fn refused_connection_after_disconnect_is_a_crash() {
+    let (mut detector, key) = detector_with_broken_send(Disconnect::Closed);
+    let crash = detector.record_probe(key, ProbeResult::Refused).unwrap();
+    assert_eq!((crash.incarnation, crash.fingerprints), (incarnation(), vec![fingerprint("a")]));
 }
 
 #[test]
-fn a_reset_or_a_broken_answer_of_an_upstream_that_lives_on_is_no_end() {
-    let (mut endings, key) = broken(Disconnect::Closed);
-    assert_eq!(endings.record_probe(key, ProbeResult::Accepted), None);
-    assert_eq!(endings.record_removal(NOW, key), None, "it leaves and serves on");
+fn disconnect_of_live_upstream_is_no_crash() {
+    let (mut detector, key) = detector_with_broken_send(Disconnect::Closed);
+    assert_eq!(detector.record_probe(key, ProbeResult::Accepted), None);
+    assert_eq!(detector.record_removal(NOW, key), None, "it is leaving and still serves");
 }
 
 #[test]
-fn a_start_again_is_an_end_whatever_a_look_found() {
-    let (mut endings, key) = broken(Disconnect::Closed);
-    assert_eq!(endings.record_probe(key, ProbeResult::Accepted), None, "the new process takes connections");
-    assert!(endings.record_restart(NOW, key).is_some());
+fn restart_is_a_crash_whatever_the_probe_result() {
+    let (mut detector, key) = detector_with_broken_send(Disconnect::Closed);
+    assert_eq!(
+        detector.record_probe(key, ProbeResult::Accepted),
+        None,
+        "the new process accepts connections"
+    );
+    assert!(detector.record_restart(NOW, key).is_some());
 }
 
-/// A node that stood still finds the break when another process has long taken the address.
+/// A paused node notices the disconnect only after another process has taken the address.
 #[test]
-fn another_upstream_at_the_address_is_an_end_though_it_takes_connections() {
+fn new_upstream_at_the_address_is_a_crash() {
     let mut keys = SlotMap::<UpstreamKey, ()>::with_key();
-    let next = keys.insert(());
-    let (mut endings, key) = broken(Disconnect::Closed);
-    assert_eq!((endings.record_probe(key, ProbeResult::Accepted), endings.record_removal(NOW, key)), (None, None));
+    let next_key = keys.insert(());
+    let (mut detector, key) = detector_with_broken_send(Disconnect::Closed);
+    assert_eq!(
+        (detector.record_probe(key, ProbeResult::Accepted), detector.record_removal(NOW, key)),
+        (None, None)
+    );
     let elsewhere = SocketAddr::from(([10, 0, 0, 2], 8080));
-    assert!(endings.record_new_upstream(NOW, next, elsewhere).is_empty());
-    assert_eq!(endings.record_new_upstream(NOW, next, address())[0].fingerprints, [content("a")]);
+    assert!(detector.record_new_upstream(NOW, next_key, elsewhere).is_empty());
+    assert_eq!(
+        detector.record_new_upstream(NOW, next_key, address())[0].fingerprints,
+        [fingerprint("a")]
+    );
 }
 
 #[test]
-fn silence_is_an_end_only_beside_another_sign() {
-    let (mut endings, key) = broken(Disconnect::Silent);
-    assert!(!endings.start_probe(NOW, key), "nothing says that the process ended");
+fn silence_is_a_crash_only_with_other_evidence() {
+    let (mut detector, key) = detector_with_broken_send(Disconnect::Silent);
+    assert!(!detector.start_probe(NOW, key), "there is no evidence of a crash");
     assert_eq!(
-        endings.record_removal(NOW, key),
+        detector.record_removal(NOW, key),
         None,
-        "it may leave and serve on, or be cut off from the store"
+        "it may be leaving and still serve, or have lost the store"
+    );
+    assert!(detector.start_probe(NOW, key));
+    assert!(
+        detector.record_probe(key, ProbeResult::Silent).is_some(),
+        "its record is gone, and the probe timed out"
     );
-    assert!(endings.start_probe(NOW, key));
+    let (mut detector, key) = detector_with_broken_send(Disconnect::Silent);
+    assert_eq!(detector.record_probe(key, ProbeResult::Silent), None, "as in a network partition");
+    let (mut detector, key) = detector_with_broken_send(Disconnect::Closed);
     assert!(
-        endings.record_probe(key, ProbeResult::Silent).is_some(),
-        "its record is gone, and nobody is there"
+        detector.record_probe(key, ProbeResult::Silent).is_some(),
+        "closed, then silent: its VM has crashed"
     );
-    let (mut endings, key) = broken(Disconnect::Silent);
-    assert_eq!(endings.record_probe(key, ProbeResult::Silent), None, "as in a cut");
-    let (mut endings, key) = broken(Disconnect::Closed);
-    assert!(endings.record_probe(key, ProbeResult::Silent).is_some(), "closed, then silent: its VM has ended");
 }
 
 #[test]
-fn an_upstream_whose_record_went_before_the_break_left_as_it_said() {
-    let mut endings = CrashDetector::default();
+fn record_removed_before_disconnect_is_no_crash() {
+    let mut detector = CrashDetector::default();
     let key = UpstreamKey::default();
-    assert_eq!(endings.record_removal(NOW, key), None);
+    assert_eq!(detector.record_removal(NOW, key), None);
     assert_eq!(
-        endings.record_disconnect(NOW, (key, address()), &run(), Disconnect::Closed, Some(content("a"))),
+        detector.record_disconnect(
+            NOW,
+            (key, address()),
+            &incarnation(),
+            Disconnect::Closed,
+            Some(fingerprint("a"))
+        ),
         None
     );
-    assert_eq!(endings.record_probe(key, ProbeResult::Refused), None);
+    assert_eq!(detector.record_probe(key, ProbeResult::Refused), None);
 }
 
 #[test]
-fn an_upstream_that_said_that_it_leaves_may_end() {
-    let mut endings = CrashDetector::default();
+fn leaving_upstream_does_not_crash() {
+    let mut detector = CrashDetector::default();
     let key = UpstreamKey::default();
-    endings.record_leaving(NOW, key);
-    endings.record_removal(NOW, key);
+    detector.record_leaving(NOW, key);
+    detector.record_removal(NOW, key);
     assert_eq!(
-        endings.record_disconnect(NOW, (key, address()), &run(), Disconnect::Closed, Some(content("a"))),
+        detector.record_disconnect(
+            NOW,
+            (key, address()),
+            &incarnation(),
+            Disconnect::Closed,
+            Some(fingerprint("a"))
+        ),
         None
     );
-    assert_eq!(endings.record_probe(key, ProbeResult::Refused), None);
+    assert_eq!(detector.record_probe(key, ProbeResult::Refused), None);
 }
 
 #[test]
-fn what_breaks_after_the_end_is_known_belongs_to_it() {
-    let (mut endings, key) = broken(Disconnect::Closed);
-    endings.record_probe(key, ProbeResult::Refused);
-    let later =
-        endings.record_disconnect(NOW, (key, address()), &run(), Disconnect::Closed, Some(content("b"))).unwrap();
-    assert_eq!(later.fingerprints, [content("b")], "each is said once");
-    let mut endings = CrashDetector::default();
-    assert_eq!(endings.record_restart(NOW, key), None);
+fn disconnects_after_a_known_crash_belong_to_it() {
+    let (mut detector, key) = detector_with_broken_send(Disconnect::Closed);
+    detector.record_probe(key, ProbeResult::Refused);
+    let second_crash = detector
+        .record_disconnect(
+            NOW,
+            (key, address()),
+            &incarnation(),
+            Disconnect::Closed,
+            Some(fingerprint("b")),
+        )
+        .unwrap();
+    assert_eq!(second_crash.fingerprints, [fingerprint("b")], "each fingerprint is reported once");
+    let mut detector = CrashDetector::default();
+    assert_eq!(detector.record_restart(NOW, key), None);
     assert!(
-        endings.record_disconnect(NOW, (key, address()), &run(), Disconnect::Closed, Some(content("c"))).is_some()
+        detector
+            .record_disconnect(
+                NOW,
+                (key, address()),
+                &incarnation(),
+                Disconnect::Closed,
+                Some(fingerprint("c"))
+            )
+            .is_some()
     );
 }
 
 #[test]
-fn a_verdict_is_given_as_soon_as_there_is_one() {
-    let mut endings = CrashDetector::default();
+fn crash_is_known_as_soon_as_evidence_decides() {
+    let mut detector = CrashDetector::default();
     let key = UpstreamKey::default();
-    assert_eq!(endings.has_crashed(key), None);
-    assert_eq!(endings.record_disconnect(NOW, (key, address()), &run(), Disconnect::Closed, None), None);
-    assert_eq!(endings.has_crashed(key), None);
-    assert_eq!((endings.record_probe(key, ProbeResult::Accepted), endings.has_crashed(key)), (None, Some(false)));
-    assert_eq!(endings.record_probe(key, ProbeResult::Refused), None, "nothing is to be charged");
-    assert_eq!(endings.has_crashed(key), Some(true));
+    assert_eq!(detector.has_crashed(key), None);
+    assert_eq!(
+        detector.record_disconnect(NOW, (key, address()), &incarnation(), Disconnect::Closed, None),
+        None
+    );
+    assert_eq!(detector.has_crashed(key), None);
+    assert_eq!(
+        (detector.record_probe(key, ProbeResult::Accepted), detector.has_crashed(key)),
+        (None, Some(false))
+    );
+    assert_eq!(
+        detector.record_probe(key, ProbeResult::Refused),
+        None,
+        "there is no fingerprint to attribute the crash to"
+    );
+    assert_eq!(detector.has_crashed(key), Some(true));
 }
 
 #[test]
-fn a_cause_is_looked_for_only_for_a_while_and_not_all_the_time() {
-    let (mut endings, key) = broken(Disconnect::Closed);
-    assert!(endings.start_probe(NOW, key) && !endings.start_probe(NOW, key));
-    assert!(endings.start_probe(NOW + Duration::from_millis(200), key));
-    endings.expire(NOW + CRASH_EVIDENCE_TIME_MAX);
-    assert_eq!(endings.record_probe(key, ProbeResult::Refused), None);
+fn probes_are_paced_and_end_after_a_time() {
+    let (mut detector, key) = detector_with_broken_send(Disconnect::Closed);
+    assert!(detector.start_probe(NOW, key) && !detector.start_probe(NOW, key));
+    assert!(detector.start_probe(NOW + Duration::from_millis(200), key));
+    detector.expire(NOW + CRASH_EVIDENCE_TIME_MAX);
+    assert_eq!(detector.record_probe(key, ProbeResult::Refused), None);
 }
--- a/crates/fernring-gateway/tests/testsuite/retry_after.rs
+++ b/crates/fernring-gateway/tests/testsuite/retry_after.rs
@@ -1,11 +1,11 @@
-//! When callers that are turned away come back.
+//! When refused callers should retry.
 
 use {fernring_gateway::retry_after::retry_after, std::time::Duration};
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
 #[test]
-fn nobody_is_told_a_pause_that_callers_don_t_follow() {
+fn pause_stays_within_what_callers_follow() {
     for (rank, draw) in [(0, 0.0), (3, 0.99), (100, 0.99)] {
         let pause = retry_after(None, MS(6_000), rank, draw);
         assert!((MS(1_200)..=MS(2_000)).contains(&pause), "{pause:?}");
@@ -13,9 +13,9 @@
     assert_eq!(retry_after(Some(MS(100)), Duration::ZERO, 0, 0.5), Duration::ZERO);
 }
 
-/// Replays a crowd that is turned away within a moment: 30 callers of three ranks.
+/// Replays a burst of which 30 callers of three ranks are refused within a moment.
 #[test]
-fn a_crowd_comes_back_spread_and_the_more_urgent_first() {
+fn retries_are_spread_and_urgent_ones_come_first() {
     let drained_after = Some(MS(1_000));
     let pause =
         |rank, index: u32| retry_after(drained_after, MS(6_000), rank, f64::from(index) / 10.0);
@@ -23,6 +23,6 @@
     assert!(of_rank(0).max() < of_rank(1).min() && of_rank(1).max() < of_rank(2).min());
     let mut all: Vec<_> = (0..3).flat_map(of_rank).collect();
     all.sort();
-    let closest = all.windows(2).map(|pair| pair[1] - pair[0]).min();
-    assert!(closest >= Some(MS(9)), "{closest:?}");
+    let smallest_gap = all.windows(2).map(|pair| pair[1] - pair[0]).min();
+    assert!(smallest_gap >= Some(MS(9)), "{smallest_gap:?}");
 }
