--- a/crates/fernring-gateway/tests/testsuite/admission.rs
+++ b/crates/fernring-gateway/tests/testsuite/admission.rs
@@ -11,7 +11,7 @@
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
-/// A service that completes 100 pieces per second.
+/// Backlog of a service that completes 100 pieces per second, with `waiting` pieces of rank 1.
 fn backlog_of(waiting: u32) -> Backlog {
     let mut backlog = Backlog { rate_per_s: 100.0, ..Backlog::default() };
     backlog.waiting[1] = waiting;
@@ -98,9 +98,9 @@
 
 #[test]
 fn omitted_or_unknown_stage_adds_no_wait() {
-    let left_out = StageDemand { pieces: 0, ..stage(&[], backlog_of(500)) };
+    let omitted = StageDemand { pieces: 0, ..stage(&[], backlog_of(500)) };
     let unknown = StageDemand { backlog: None, ..stage(&[], backlog_of(500)) };
-    assert_eq!(decide(&demand(vec![left_out, unknown])), AdmissionDecision::InTime(MS(400)));
+    assert_eq!(decide(&demand(vec![omitted, unknown])), AdmissionDecision::InTime(MS(400)));
 }
 
 /// Replays a burst of four times the service's rate for three seconds: every request is decided on
@@ -124,7 +124,7 @@
         }
         if ms % 10 == 0 {
             match backlog.waiting[1].checked_sub(1) {
-                Some(left) => (backlog.waiting[1], completed) = (left, completed + 1),
+                Some(remaining) => (backlog.waiting[1], completed) = (remaining, completed + 1),
                 None => idle_ms += 10,
             }
         }
--- a/crates/fernring-gateway/tests/testsuite/batching.rs
+++ b/crates/fernring-gateway/tests/testsuite/batching.rs
@@ -266,9 +266,14 @@
     assert_eq!(limit(10_000, 9), BatchLimit::Slots);
     assert_eq!(limit(200, 9), BatchLimit::FreeBytes);
     let remote = QueuedPiece { consumer_domain: Some("b".into()), ..piece(1, 900) };
-    let there = |_: &str| Some(DomainWorkers { count: 1, free_at: NOW });
-    let call =
-        queue([remote]).take_batch(NOW, &shape(), worker_in("a", 10_000), &DECIDE_SETTINGS, there);
+    let workers_in = |_: &str| Some(DomainWorkers { count: 1, free_at: NOW });
+    let call = queue([remote]).take_batch(
+        NOW,
+        &shape(),
+        worker_in("a", 10_000),
+        &DECIDE_SETTINGS,
+        workers_in,
+    );
     assert_eq!(call.limit, BatchLimit::ConsumerDomain);
 }
 
--- a/crates/fernring-gateway/tests/testsuite/crash_detection.rs
+++ b/crates/fernring-gateway/tests/testsuite/crash_detection.rs
@@ -76,8 +76,8 @@
         (detector.record_probe(key, ProbeResult::Accepted), detector.record_removal(NOW, key)),
         (None, None)
     );
-    let elsewhere = SocketAddr::from(([10, 0, 0, 2], 8080));
-    assert!(detector.record_new_upstream(NOW, next_key, elsewhere).is_empty());
+    let other_address = SocketAddr::from(([10, 0, 0, 2], 8080));
+    assert!(detector.record_new_upstream(NOW, next_key, other_address).is_empty());
     assert_eq!(
         detector.record_new_upstream(NOW, next_key, address())[0].fingerprints,
         [fingerprint("a")]
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn leaving_upstream_does_not_crash() {
+fn disconnect_of_leaving_upstream_is_no_crash() {
     let mut detector = CrashDetector::default();
     let key = UpstreamKey::default();
     detector.record_leaving(NOW, key);
--- a/crates/fernring-gateway/tests/testsuite/dispatch_round.rs
+++ b/crates/fernring-gateway/tests/testsuite/dispatch_round.rs
@@ -1,4 +1,4 @@
-//! Handing out calls to a thousand makers.
+//! Dispatching calls to a thousand workers.
 
 use {
     fernring_gateway::{
@@ -8,37 +8,42 @@
     std::{cell::Cell, time::Duration},
 };
 
-/// A few pieces that wait near a thousand idle makers: the makers of each failure domain are counted once, not for each piece and
-/// maker. 45,206 of 122,963 results came too late to be used before 4,108 makers, whose owners had no time left.
+/// With a few pieces queued near a thousand idle workers, the workers of each failure domain are
+/// counted once, not for each piece and worker. With 4,108 workers, 45,206 of 122,963 results came
+/// too late to be used, since the owners had no time left.
 #[test]
-fn the_makers_of_a_domain_are_counted_once_in_a_round() {
-    let counted = Cell::new(0);
-    let mut known = WorkersByDomain::default();
+fn workers_of_a_domain_are_counted_once_per_round() {
+    let count_calls = Cell::new(0);
+    let mut cached = WorkersByDomain::default();
     let count = || {
-        counted.set(counted.get() + 1);
+        count_calls.set(count_calls.get() + 1);
         Some(DomainWorkers { count: 3, free_at: Duration::ZERO })
     };
     for _ in 0..1_000 {
         for domain in ["a", "b"] {
-            assert_eq!(known.get_or_count(domain, count).map(|makers| makers.count), Some(3));
+            assert_eq!(cached.get_or_count(domain, count).map(|workers| workers.count), Some(3));
         }
-        assert_eq!(known.get_or_count("none", || None), None);
+        assert_eq!(cached.get_or_count("none", || None), None);
     }
-    assert_eq!(counted.get(), 2);
-    // A call has begun there: another one may be the first that is free.
-    known.invalidate("a");
-    known.get_or_count("a", count);
-    known.get_or_count("b", count);
-    assert_eq!(counted.get(), 3);
+    assert_eq!(count_calls.get(), 2);
+    // A call has started there: another worker may now be the first to be free.
+    cached.invalidate("a");
+    cached.get_or_count("a", count);
+    cached.get_or_count("b", count);
+    assert_eq!(count_calls.get(), 3);
 }
 
 #[test]
-fn a_maker_like_one_that_got_nothing_is_left_alone_and_one_with_more_room_is_not() {
-    let mut left = UnservedCapacity::default();
-    assert!(!left.is_unserved("a", 0));
-    left.record_unserved("a".into(), 500);
-    assert!(left.is_unserved("a", 500) && left.is_unserved("a", 20) && !left.is_unserved("a", 501));
-    assert!(!left.is_unserved("b", 20), "what waits may be left to that domain");
-    left.record_unserved("a".into(), 100);
-    assert!(left.is_unserved("a", 500));
+fn workers_with_no_more_free_bytes_stay_unserved() {
+    let mut unserved = UnservedCapacity::default();
+    assert!(!unserved.is_unserved("a", 0));
+    unserved.record_unserved("a".into(), 500);
+    assert!(
+        unserved.is_unserved("a", 500)
+            && unserved.is_unserved("a", 20)
+            && !unserved.is_unserved("a", 501)
+    );
+    assert!(!unserved.is_unserved("b", 20), "the queued pieces may be left to that domain");
+    unserved.record_unserved("a".into(), 100);
+    assert!(unserved.is_unserved("a", 500));
 }
--- a/crates/fernring-gateway/tests/testsuite/limits.rs
+++ b/crates/fernring-gateway/tests/testsuite/limits.rs
@@ -1,4 +1,4 @@
-//! Which word of an upstream on how much it takes is the newest.
+//! Which announcement of an upstream's limit is the newest.
 
 use {
     fernring_gateway::{
@@ -9,114 +9,132 @@
     std::time::Duration,
 };
 
-const RUN: u64 = 7;
+const INCARNATION: u64 = 7;
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-fn known(per_s: f64, at_ms: u64) -> AnnouncedLimits {
+fn limits_with(per_s: f64, at_ms: u64) -> AnnouncedLimits {
     let mut limits = AnnouncedLimits::default();
-    limits.record_answer(ms(at_ms), RUN, ms(at_ms - 10), SaidLimit::PerSecond(per_s)).unwrap();
+    limits
+        .record_answer(ms(at_ms), INCARNATION, ms(at_ms - 10), SaidLimit::PerSecond(per_s))
+        .unwrap();
     limits
 }
 
 #[test]
-fn an_answer_without_a_limit_lifts_it_if_its_request_left_later() {
-    let mut limits = known(3.0, 1_000);
+fn later_response_without_limit_lifts_it() {
+    let mut limits = limits_with(3.0, 1_000);
     // It overtook, or its head was written before.
-    assert_eq!(limits.record_answer(ms(1_500), RUN, ms(990), SaidLimit::None), None);
-    assert_eq!(limits.limit_per_s(RUN), Some(3.0));
-    let change = limits.record_answer(ms(1_600), RUN, ms(1_001), SaidLimit::None).unwrap();
+    assert_eq!(limits.record_answer(ms(1_500), INCARNATION, ms(990), SaidLimit::None), None);
+    assert_eq!(limits.limit_per_s(INCARNATION), Some(3.0));
+    let change = limits.record_answer(ms(1_600), INCARNATION, ms(1_001), SaidLimit::None).unwrap();
     assert_eq!((change.before, change.now), (Some(3.0), None));
-    assert_eq!(limits.limit_per_s(RUN), None);
+    assert_eq!(limits.limit_per_s(INCARNATION), None);
 }
 
 #[test]
-fn a_word_that_allows_less_counts_at_once_and_one_that_allows_more_if_it_is_newer() {
-    let mut limits = known(3.0, 1_000);
-    limits.record_answer(ms(1_100), RUN, ms(500), SaidLimit::PerSecond(1.0)).unwrap();
-    assert_eq!(limits.limit_per_s(RUN), Some(1.0));
-    assert_eq!(limits.record_answer(ms(1_200), RUN, ms(1_050), SaidLimit::PerSecond(3.0)), None);
-    assert_eq!(limits.limit_per_s(RUN), Some(1.0));
-    limits.record_answer(ms(1_300), RUN, ms(1_101), SaidLimit::PerSecond(3.0)).unwrap();
-    assert_eq!(limits.limit_per_s(RUN), Some(3.0));
+fn lower_limit_counts_at_once_and_higher_one_if_newer() {
+    let mut limits = limits_with(3.0, 1_000);
+    limits.record_answer(ms(1_100), INCARNATION, ms(500), SaidLimit::PerSecond(1.0)).unwrap();
+    assert_eq!(limits.limit_per_s(INCARNATION), Some(1.0));
+    assert_eq!(
+        limits.record_answer(ms(1_200), INCARNATION, ms(1_050), SaidLimit::PerSecond(3.0)),
+        None
+    );
+    assert_eq!(limits.limit_per_s(INCARNATION), Some(1.0));
+    limits.record_answer(ms(1_300), INCARNATION, ms(1_101), SaidLimit::PerSecond(3.0)).unwrap();
+    assert_eq!(limits.limit_per_s(INCARNATION), Some(3.0));
 }
 
 #[test]
-fn what_is_no_number_changes_nothing() {
-    let mut limits = known(3.0, 1_000);
-    assert_eq!(limits.record_answer(ms(2_000), RUN, ms(1_900), SaidLimit::Unreadable), None);
-    assert_eq!(limits.limit_per_s(RUN), Some(3.0));
+fn unreadable_limit_changes_nothing() {
+    let mut limits = limits_with(3.0, 1_000);
+    assert_eq!(
+        limits.record_answer(ms(2_000), INCARNATION, ms(1_900), SaidLimit::Unreadable),
+        None
+    );
+    assert_eq!(limits.limit_per_s(INCARNATION), Some(3.0));
     let mut none = AnnouncedLimits::default();
-    assert_eq!(none.record_answer(ms(2_000), RUN, ms(1_900), SaidLimit::Unreadable), None);
+    assert_eq!(none.record_answer(ms(2_000), INCARNATION, ms(1_900), SaidLimit::Unreadable), None);
     assert!(none.is_empty());
 }
 
 #[test]
-fn what_peers_tell_counts_if_it_is_newer() {
-    let mut limits = known(3.0, 1_000);
-    assert_eq!(limits.record_peer_report(RUN, AnnouncedLimit { per_s: Some(9.0), at: ms(900) }), None);
-    assert_eq!(limits.record_peer_report(RUN, AnnouncedLimit { per_s: None, at: ms(1_000) }), None);
-    assert_eq!(limits.limit_per_s(RUN), Some(3.0));
-    limits.record_peer_report(RUN, AnnouncedLimit { per_s: None, at: ms(1_100) }).unwrap();
-    assert_eq!(limits.limit_per_s(RUN), None);
-    // One that comes late doesn't bring back what is over.
-    assert_eq!(limits.record_peer_report(RUN, AnnouncedLimit { per_s: Some(3.0), at: ms(1_050) }), None);
-    assert_eq!(limits.limit_per_s(RUN), None);
+fn newer_peer_report_counts() {
+    let mut limits = limits_with(3.0, 1_000);
+    assert_eq!(
+        limits.record_peer_report(INCARNATION, AnnouncedLimit { per_s: Some(9.0), at: ms(900) }),
+        None
+    );
+    assert_eq!(
+        limits.record_peer_report(INCARNATION, AnnouncedLimit { per_s: None, at: ms(1_000) }),
+        None
+    );
+    assert_eq!(limits.limit_per_s(INCARNATION), Some(3.0));
+    limits.record_peer_report(INCARNATION, AnnouncedLimit { per_s: None, at: ms(1_100) }).unwrap();
+    assert_eq!(limits.limit_per_s(INCARNATION), None);
+    // A late report doesn't restore a lifted limit.
+    assert_eq!(
+        limits.record_peer_report(INCARNATION, AnnouncedLimit { per_s: Some(3.0), at: ms(1_050) }),
+        None
+    );
+    assert_eq!(limits.limit_per_s(INCARNATION), None);
 }
 
 #[test]
-fn a_new_start_takes_nothing_over() {
-    let mut limits = known(3.0, 1_000);
-    assert_eq!(limits.limit_per_s(RUN + 1), None);
-    limits.retain(ms(30_000), |run| run == RUN + 1);
-    assert_eq!(limits.limit_per_s(RUN), Some(3.0), "its record may be on its way");
-    limits.retain(ms(62_000), |run| run == RUN + 1);
+fn new_incarnation_inherits_no_limit() {
+    let mut limits = limits_with(3.0, 1_000);
+    assert_eq!(limits.limit_per_s(INCARNATION + 1), None);
+    limits.retain(ms(30_000), |incarnation| incarnation == INCARNATION + 1);
+    assert_eq!(limits.limit_per_s(INCARNATION), Some(3.0), "its record may not have arrived yet");
+    limits.retain(ms(62_000), |incarnation| incarnation == INCARNATION + 1);
     assert!(limits.is_empty());
 }
 
-/// An upstream names limits that change, and none in between; answers reach nodes after up to two seconds, and nodes tell each
-/// other. No node ever knows a higher limit than any that was said since the newest answer that it could have, and a second after
-/// the last change that an answer of a later request told, all know it.
+/// An upstream changes its announced limit again and again, and sometimes names none; responses
+/// reach nodes after up to two seconds, and nodes exchange reports. No node ever knows a higher
+/// limit than any announced since the newest response that it could have received, and a second
+/// after the last change that a response to a later request announced, all nodes know it.
 #[test]
-fn nodes_agree_on_the_newest_word_whatever_overtakes() {
+fn nodes_agree_on_newest_limit_despite_reordering() {
     for seed in 0..50 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut nodes: Vec<AnnouncedLimits> = (0..5).map(|_| AnnouncedLimits::default()).collect();
-        let mut on_the_way: Vec<(Duration, usize, Duration, SaidLimit)> = Vec::new();
-        let mut says = SaidLimit::PerSecond(2.0);
+        let mut in_transit: Vec<(Duration, usize, Duration, SaidLimit)> = Vec::new();
+        let mut announced = SaidLimit::PerSecond(2.0);
         for step in 0..600 {
             let now = ms(step * 20);
-            // It stops changing, and answers come quickly again.
+            // The limit stops changing, and responses arrive quickly again.
             let is_calm = step > 450;
             if !is_calm && rng.random_range(0..40) == 0 {
-                says = match rng.random_range(0..3) {
+                announced = match rng.random_range(0..3) {
                     0 => SaidLimit::None,
                     1 => SaidLimit::PerSecond(1.0),
                     _ => SaidLimit::PerSecond(8.0),
                 };
             }
             let delay = if is_calm { 5 } else { rng.random_range(1..2_000) };
-            on_the_way.push((now + ms(delay), rng.random_range(0..5), now, says));
-            let (arrived, waiting) = on_the_way.into_iter().partition(|(at, ..)| *at <= now);
-            on_the_way = waiting;
-            let arrived: Vec<(Duration, usize, Duration, SaidLimit)> = arrived;
-            for (_, node, sent_at, said) in arrived {
-                nodes[node].record_answer(now, RUN, sent_at, said);
+            in_transit.push((now + ms(delay), rng.random_range(0..5), now, announced));
+            let (received, pending) = in_transit.into_iter().partition(|(at, ..)| *at <= now);
+            in_transit = pending;
+            let received: Vec<(Duration, usize, Duration, SaidLimit)> = received;
+            for (_, node, sent_at, announced_by_response) in received {
+                nodes[node].record_answer(now, INCARNATION, sent_at, announced_by_response);
             }
             let (from, to) = (rng.random_range(0..5), rng.random_range(0..5));
-            let told: Vec<_> = nodes[from].to_publish(now).collect();
-            for (run, word) in told {
-                nodes[to].record_peer_report(run, word);
+            let published: Vec<_> = nodes[from].to_publish(now).collect();
+            for (incarnation, announcement) in published {
+                nodes[to].record_peer_report(incarnation, announcement);
             }
         }
-        let said = match says {
+        let expected = match announced {
             SaidLimit::PerSecond(per_s) => Some(per_s),
             _ => None,
         };
         for node in &nodes {
-            assert_eq!(node.limit_per_s(RUN), said, "seed {seed}");
+            assert_eq!(node.limit_per_s(INCARNATION), expected, "seed {seed}");
         }
     }
 }
--- a/crates/fernring-gateway/tests/testsuite/prefill_speed.rs
+++ b/crates/fernring-gateway/tests/testsuite/prefill_speed.rs
@@ -1,12 +1,12 @@
-//! How fast model engines read, as learned.
+//! The learned prefill speed of model engines.
 
 use {fernring_gateway::prefill_speed::PrefillSpeed, std::time::Duration};
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
-/// Replays engines that read at three speeds, one after the other; most prompts wait for others.
+/// Replays engines that prefill at three speeds, one after the other; most prompts wait for others.
 #[test]
-fn the_reading_speed_follows_engines_that_change() {
+fn learned_speed_follows_changing_engines() {
     let mut speed = PrefillSpeed::default();
     for tokens_per_ms in [12.0, 90.0, 38.0] {
         for round in 0..300u32 {
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn short_prompts_say_nothing_of_the_reading_speed() {
+fn short_prompts_leave_the_speed_unchanged() {
     let mut speed = PrefillSpeed::default();
     speed.record_prefill(100.0, MS(50));
     assert_eq!(speed, PrefillSpeed::default());
--- a/crates/fernring-gateway/tests/testsuite/quarantine.rs
+++ b/crates/fernring-gateway/tests/testsuite/quarantine.rs
@@ -1,10 +1,10 @@
-//! Who is turned away for the ends of upstreams, and who isn't.
+//! Which requests are quarantined for crashes of upstreams, and which aren't.
 
 use {
     fernring_gateway::{
         content::ContentKey,
         crash_detection::Incarnation,
-        quarantine::{ClearanceRecord, CRASHES_MAX, CrashRecord, ATTRIBUTION_LIFETIME, Quarantine},
+        quarantine::{ATTRIBUTION_LIFETIME, CRASHES_MAX, ClearanceRecord, CrashRecord, Quarantine},
     },
     rand::{RngExt, SeedableRng, rngs::StdRng, seq::SliceRandom},
     std::{collections::HashMap, time::Duration},
@@ -12,11 +12,11 @@
 
 const NOW: Duration = Duration::from_secs(10_000);
 
-fn run(number: usize) -> Incarnation {
+fn incarnation(number: usize) -> Incarnation {
     Incarnation { instance: format!("i-{number}").into(), started_ms: None }
 }
 
-fn content(number: usize) -> ContentKey {
+fn fingerprint(number: usize) -> ContentKey {
     ContentKey::of(None, &number.to_string(), b"")
 }
 
@@ -24,261 +24,321 @@
     NOW + Duration::from_secs(seconds)
 }
 
-/// Charges contents with the end of a start at the second of its number.
-fn end(suspects: &mut Quarantine, number: usize, contents: &[usize]) -> Vec<ContentKey> {
-    let contents: Vec<_> = contents.iter().map(|number| content(*number)).collect();
+/// Attributes the crash of an incarnation at the second of its number to requests.
+fn crash(quarantine: &mut Quarantine, number: usize, fingerprints: &[usize]) -> Vec<ContentKey> {
+    let fingerprints: Vec<_> = fingerprints.iter().map(|number| fingerprint(*number)).collect();
     let at = seconds(number as u64);
-    suspects.record_crash(at, &run(number), at, &contents).newly_quarantined
+    quarantine.record_crash(at, &incarnation(number), at, &fingerprints).newly_quarantined
 }
 
 #[test]
-fn the_third_end_turns_a_request_away_and_names_all_three() {
-    let mut suspects = Quarantine::default();
-    assert!(end(&mut suspects, 1, &[7]).is_empty() && end(&mut suspects, 2, &[7]).is_empty());
-    assert_eq!(end(&mut suspects, 3, &[7, 8]), [content(7)]);
-    assert!(suspects.is_quarantined(content(7)) && !suspects.is_quarantined(content(8)));
-    assert_eq!(suspects.crashes_of(content(7)), [run(1), run(2), run(3)]);
+fn third_crash_quarantines_a_request() {
+    let mut quarantine = Quarantine::default();
+    assert!(
+        crash(&mut quarantine, 1, &[7]).is_empty() && crash(&mut quarantine, 2, &[7]).is_empty()
+    );
+    assert_eq!(crash(&mut quarantine, 3, &[7, 8]), [fingerprint(7)]);
+    assert!(
+        quarantine.is_quarantined(fingerprint(7)) && !quarantine.is_quarantined(fingerprint(8))
+    );
+    assert_eq!(
+        quarantine.crashes_of(fingerprint(7)),
+        [incarnation(1), incarnation(2), incarnation(3)]
+    );
 }
 
 #[test]
-fn the_same_start_counts_once_whoever_tells_of_it() {
-    let mut suspects = Quarantine::default();
+fn same_incarnation_counts_once() {
+    let mut quarantine = Quarantine::default();
     for _ in 0..5 {
-        assert!(end(&mut suspects, 1, &[7]).is_empty());
+        assert!(crash(&mut quarantine, 1, &[7]).is_empty());
     }
-    let again = suspects.record_crash(seconds(9), &run(1), seconds(2), &[content(7)]);
-    assert!(!again.is_new, "seen by another node a little later");
-    assert_eq!(suspects.crashes_of(content(7)), [run(1)]);
+    let again = quarantine.record_crash(seconds(9), &incarnation(1), seconds(2), &[fingerprint(7)]);
+    assert!(!again.is_new, "observed by another node at a later time");
+    assert_eq!(quarantine.crashes_of(fingerprint(7)), [incarnation(1)]);
 }
 
 #[test]
-fn a_whole_answer_covers_what_ended_before_it_and_a_minute_after() {
-    let mut suspects = Quarantine::default();
-    end(&mut suspects, 1, &[7]);
-    end(&mut suspects, 2, &[7]);
-    assert!(suspects.record_answer(content(7), seconds(5)));
-    assert!(!suspects.record_answer(content(8), seconds(6)), "no suspect");
+fn answer_covers_earlier_crashes_and_the_next_minute() {
+    let mut quarantine = Quarantine::default();
+    crash(&mut quarantine, 1, &[7]);
+    crash(&mut quarantine, 2, &[7]);
+    assert!(quarantine.record_answer(fingerprint(7), seconds(5)));
+    assert!(!quarantine.record_answer(fingerprint(8), seconds(6)), "no crash is attributed to it");
     for (number, at) in [(3, 4), (4, 6), (5, 65)] {
-        let covered = suspects.record_crash(seconds(at), &run(number), seconds(at), &[content(7)]);
-        assert!(!covered.is_new, "an end at {at} s");
+        let covered = quarantine.record_crash(
+            seconds(at),
+            &incarnation(number),
+            seconds(at),
+            &[fingerprint(7)],
+        );
+        assert!(!covered.is_new, "a crash at {at} s");
     }
     for number in [66, 67] {
-        assert!(end(&mut suspects, number, &[7]).is_empty());
+        assert!(crash(&mut quarantine, number, &[7]).is_empty());
     }
-    assert_eq!(end(&mut suspects, 68, &[7]), [content(7)]);
+    assert_eq!(crash(&mut quarantine, 68, &[7]), [fingerprint(7)]);
 }
 
-/// Callers asked the same of the same pipeline many times a second while other requests ended upstream after upstream. The common
-/// content was in hand at nearly each end, three of which came before its next answer; it was turned away, and no answer
-/// could clear it any more: `r137 ended no upstream and was turned away`, 39 times in 15 s.
+/// Guards against quarantining a frequent request: callers sent the same request to the same
+/// pipeline many times per second while other requests crashed upstream after upstream. The
+/// frequent fingerprint was in flight at nearly every crash, and three came before its next answer;
+/// it was quarantined, and no answer could clear it any more: `r137 ended no upstream and was
+/// turned away`, 39 times in 15 s.
 #[test]
-fn a_content_that_is_often_answered_is_not_turned_away_for_the_ends_of_others() {
-    let mut suspects = Quarantine::default();
-    suspects.record_answer(content(7), seconds(0));
+fn often_answered_request_is_not_quarantined() {
+    let mut quarantine = Quarantine::default();
+    quarantine.record_answer(fingerprint(7), seconds(0));
     for number in 1..=5 {
-        assert!(end(&mut suspects, number, &[7, 100 + number]).is_empty());
+        assert!(crash(&mut quarantine, number, &[7, 100 + number]).is_empty());
     }
-    suspects.record_answer(content(7), seconds(50));
+    quarantine.record_answer(fingerprint(7), seconds(50));
     for number in 60..100 {
-        assert!(end(&mut suspects, number, &[7, 100 + number]).is_empty());
+        assert!(crash(&mut quarantine, number, &[7, 100 + number]).is_empty());
     }
-    let mut others = Quarantine::default();
+    let mut unrelated = Quarantine::default();
     for number in 0..10_000 {
-        others.record_answer(content(number), seconds(0) + Duration::from_millis(number as u64));
+        unrelated
+            .record_answer(fingerprint(number), seconds(0) + Duration::from_millis(number as u64));
     }
-    let (ends, _) = others.records(usize::MAX);
-    assert!(ends.is_empty(), "answers alone make no accounts");
+    let (crashes, _) = unrelated.records(usize::MAX);
+    assert!(crashes.is_empty(), "answers alone create no attributions");
 }
 
-/// A peer that saw the answer tells of it; one that had charged the content takes its ends off, whichever came first.
+/// A peer that saw the answer reports it; a node that had attributed crashes to the request removes
+/// them, in whichever order the reports arrive.
 #[test]
-fn an_answer_that_a_peer_tells_of_covers_as_much() {
-    let mut suspects = Quarantine::default();
+fn answer_reported_by_peer_clears_a_request() {
+    let mut quarantine = Quarantine::default();
     for number in 1..=CRASHES_MAX {
-        end(&mut suspects, number, &[7]);
+        crash(&mut quarantine, number, &[7]);
     }
-    assert!(suspects.is_quarantined(content(7)));
-    let fact = ClearanceRecord { fingerprint: content(7), at: seconds(1) };
-    assert!(suspects.record_clearance(seconds(5), fact) && !suspects.record_clearance(seconds(6), fact));
-    assert!(!suspects.is_quarantined(content(7)), "it was answered when the first ended");
+    assert!(quarantine.is_quarantined(fingerprint(7)));
+    let record = ClearanceRecord { fingerprint: fingerprint(7), at: seconds(1) };
+    assert!(
+        quarantine.record_clearance(seconds(5), record)
+            && !quarantine.record_clearance(seconds(6), record)
+    );
+    assert!(!quarantine.is_quarantined(fingerprint(7)), "it was answered at the first crash");
 }
 
 #[test]
-fn others_are_not_charged_with_ends_that_are_explained() {
-    let mut suspects = Quarantine::default();
-    end(&mut suspects, 1, &[7, 8]);
-    end(&mut suspects, 2, &[7, 8]);
-    end(&mut suspects, 3, &[7]);
-    assert!(suspects.crashes_of(content(8)).is_empty(), "the one that is turned away did both");
-    end(&mut suspects, 4, &[7, 8, 9]);
-    assert!(suspects.crashes_of(content(8)).is_empty() && suspects.crashes_of(content(9)).is_empty());
-    let from_another_node = suspects.record_crash(seconds(5), &run(3), seconds(3), &[content(9)]);
-    assert!(!from_another_node.is_new && suspects.crashes_of(content(9)).is_empty());
+fn explained_crashes_are_not_attributed_to_others() {
+    let mut quarantine = Quarantine::default();
+    crash(&mut quarantine, 1, &[7, 8]);
+    crash(&mut quarantine, 2, &[7, 8]);
+    crash(&mut quarantine, 3, &[7]);
+    assert!(
+        quarantine.crashes_of(fingerprint(8)).is_empty(),
+        "the quarantined request explains both crashes"
+    );
+    crash(&mut quarantine, 4, &[7, 8, 9]);
+    assert!(
+        quarantine.crashes_of(fingerprint(8)).is_empty()
+            && quarantine.crashes_of(fingerprint(9)).is_empty()
+    );
+    let from_another_node =
+        quarantine.record_crash(seconds(5), &incarnation(3), seconds(3), &[fingerprint(9)]);
+    assert!(!from_another_node.is_new && quarantine.crashes_of(fingerprint(9)).is_empty());
 }
 
 #[test]
-fn an_account_is_kept_for_its_lifetime_and_no_longer() {
-    let mut suspects = Quarantine::default();
+fn attribution_expires_after_its_lifetime() {
+    let mut quarantine = Quarantine::default();
     for number in 1..=CRASHES_MAX {
-        end(&mut suspects, number, &[7]);
+        crash(&mut quarantine, number, &[7]);
     }
     let last = seconds(CRASHES_MAX as u64);
-    assert!(suspects.expire(last + ATTRIBUTION_LIFETIME - Duration::from_secs(1)).is_empty());
-    assert_eq!(suspects.expire(last + ATTRIBUTION_LIFETIME), [content(7)]);
-    assert!(!suspects.is_quarantined(content(7)) && suspects.records(9) == (Vec::new(), Vec::new()));
-    let old = suspects.record_crash(last + ATTRIBUTION_LIFETIME, &run(1), seconds(1), &[content(7)]);
-    assert!(!old.is_new, "a peer whose clock runs behind tells of it once more");
+    assert!(quarantine.expire(last + ATTRIBUTION_LIFETIME - Duration::from_secs(1)).is_empty());
+    assert_eq!(quarantine.expire(last + ATTRIBUTION_LIFETIME), [fingerprint(7)]);
+    assert!(
+        !quarantine.is_quarantined(fingerprint(7))
+            && quarantine.records(9) == (Vec::new(), Vec::new())
+    );
+    let old = quarantine.record_crash(
+        last + ATTRIBUTION_LIFETIME,
+        &incarnation(1),
+        seconds(1),
+        &[fingerprint(7)],
+    );
+    assert!(!old.is_new, "a peer with a slow clock reports an expired crash");
 }
 
-/// Whoever sends request after request that ends one upstream each can't make room for one that ended two.
+/// A caller that sends many requests that crash one upstream each can't evict a request with two
+/// crashes.
 #[test]
-fn accounts_are_bounded_and_those_with_more_ends_stay() {
-    let mut suspects = Quarantine::default();
-    end(&mut suspects, 1, &[7]);
-    end(&mut suspects, 2, &[7]);
-    let others: Vec<_> = (100..10_000).collect();
-    for (number, chunk) in others.chunks(64).enumerate() {
-        end(&mut suspects, 10 + number, chunk);
+fn attributions_are_bounded_and_keep_most_crashes() {
+    let mut quarantine = Quarantine::default();
+    crash(&mut quarantine, 1, &[7]);
+    crash(&mut quarantine, 2, &[7]);
+    let unrelated: Vec<_> = (100..10_000).collect();
+    for (number, chunk) in unrelated.chunks(64).enumerate() {
+        crash(&mut quarantine, 10 + number, chunk);
     }
-    let (_, cleared) = suspects.records(usize::MAX);
-    assert!(cleared.is_empty());
-    let (ends, _) = suspects.records(10_000);
-    let accounts: usize = ends.iter().map(|fact| fact.fingerprints.len()).sum();
-    assert!(accounts <= 4_097, "{accounts}");
-    assert_eq!(suspects.crashes_of(content(7)).len(), 2);
-    let (first, _) = suspects.records(1);
-    assert!(first.iter().all(|fact| fact.fingerprints == [content(7)]), "told before all others");
+    let (_, clearances) = quarantine.records(usize::MAX);
+    assert!(clearances.is_empty());
+    let (crashes, _) = quarantine.records(10_000);
+    let attributions: usize = crashes.iter().map(|record| record.fingerprints.len()).sum();
+    assert!(attributions <= 4_097, "{attributions}");
+    assert_eq!(quarantine.crashes_of(fingerprint(7)).len(), 2);
+    let (first, _) = quarantine.records(1);
+    assert!(
+        first.iter().all(|record| record.fingerprints == [fingerprint(7)]),
+        "listed before all others"
+    );
 }
 
-/// What nodes know doesn't depend on the order in which they hear it, nor on hearing it twice.
+/// The state of nodes depends neither on the order of the records nor on duplicates.
 #[test]
-fn nodes_that_hear_the_same_in_any_order_turn_the_same_away() {
+fn nodes_agree_whatever_the_order_of_records() {
     for seed in 0..200 {
         let mut random = StdRng::seed_from_u64(seed);
-        let mut facts = Vec::new();
+        let mut records = Vec::new();
         for number in 1..12 {
-            let in_hand = (0..6).filter(|_| random.random_bool(0.3)).map(content).collect();
-            facts.push(Ok(CrashRecord {
-                incarnation: run(number),
+            let in_flight = (0..6).filter(|_| random.random_bool(0.3)).map(fingerprint).collect();
+            records.push(Ok(CrashRecord {
+                incarnation: incarnation(number),
                 at: seconds(number as u64),
-                fingerprints: in_hand,
+                fingerprints: in_flight,
             }));
         }
         for number in 0..2 {
             let at = seconds(random.random_range(1..12)) + Duration::from_millis(500);
-            facts.push(Err(ClearanceRecord { fingerprint: content(number), at }));
+            records.push(Err(ClearanceRecord { fingerprint: fingerprint(number), at }));
         }
-        let mut told = |facts: &mut Vec<Result<CrashRecord, ClearanceRecord>>| {
-            let again = facts[random.random_range(0..facts.len())].clone();
-            facts.push(again);
-            facts.shuffle(&mut random);
-            let mut suspects = Quarantine::default();
-            for fact in &*facts {
-                match fact {
-                    Ok(end) => drop(suspects.record_crash(seconds(20), &end.incarnation, end.at, &end.fingerprints)),
-                    Err(clear) => drop(suspects.record_clearance(seconds(20), *clear)),
+        let mut apply_records = |records: &mut Vec<Result<CrashRecord, ClearanceRecord>>| {
+            let again = records[random.random_range(0..records.len())].clone();
+            records.push(again);
+            records.shuffle(&mut random);
+            let mut quarantine = Quarantine::default();
+            for record in &*records {
+                match record {
+                    Ok(crash) => drop(quarantine.record_crash(
+                        seconds(20),
+                        &crash.incarnation,
+                        crash.at,
+                        &crash.fingerprints,
+                    )),
+                    Err(clearance) => drop(quarantine.record_clearance(seconds(20), *clearance)),
                 }
             }
-            suspects
+            quarantine
         };
-        let (one, other) = (told(&mut facts), told(&mut facts));
-        // Two that are as guilty by what is known are told apart by nobody: the first that has three ends
-        // explains the others'. No request is known to end upstreams at one node and to be cleared at another.
+        let (first, second) = (apply_records(&mut records), apply_records(&mut records));
+        // Two requests with the same evidence can't be told apart: the first one with three crashes
+        // explains those of the others. No request is cleared at one node and known to crash
+        // upstreams at another.
         for number in 0..2 {
-            let is_cleared = |suspects: &Quarantine| {
-                let (_, cleared) = suspects.records(usize::MAX);
-                cleared.iter().any(|fact| fact.fingerprint == content(number))
+            let is_cleared = |quarantine: &Quarantine| {
+                let (_, clearances) = quarantine.records(usize::MAX);
+                clearances.iter().any(|record| record.fingerprint == fingerprint(number))
             };
-            assert_eq!(is_cleared(&one), is_cleared(&other), "seed {seed}");
+            assert_eq!(is_cleared(&first), is_cleared(&second), "seed {seed}");
         }
     }
 }
 
-/// A node of before a partition and one of after it exchange what matters and then agree.
+/// Two nodes on different sides of a network partition exchange the important records and then
+/// agree.
 #[test]
-fn what_is_told_makes_another_node_turn_the_same_away() {
-    let mut one = Quarantine::default();
+fn exchanged_records_quarantine_the_same_requests() {
+    let mut first = Quarantine::default();
     for number in 1..=5 {
-        end(&mut one, number, &[7, 10 + number]);
+        crash(&mut first, number, &[7, 10 + number]);
     }
-    one.record_answer(content(12), seconds(6));
-    let mut other = Quarantine::default();
-    let (ends, cleared) = one.records(512);
-    for fact in ends {
-        other.record_crash(seconds(7), &fact.incarnation, fact.at, &fact.fingerprints);
+    first.record_answer(fingerprint(12), seconds(6));
+    let mut second = Quarantine::default();
+    let (crashes, clearances) = first.records(512);
+    for record in crashes {
+        second.record_crash(seconds(7), &record.incarnation, record.at, &record.fingerprints);
     }
-    for fact in cleared {
-        other.record_clearance(seconds(7), fact);
+    for record in clearances {
+        second.record_clearance(seconds(7), record);
     }
-    let turned_away = |suspects: &Quarantine| suspects.quarantined().collect::<HashMap<_, _>>();
-    assert_eq!(turned_away(&one), turned_away(&other));
-    assert!(other.is_quarantined(content(7)));
+    let quarantined = |quarantine: &Quarantine| quarantine.quarantined().collect::<HashMap<_, _>>();
+    assert_eq!(quarantined(&first), quarantined(&second));
+    assert!(second.is_quarantined(fingerprint(7)));
 }
 
-/// By far most requests that meet ends are innocent: on days with a third of the upstreams ending four times, callers who come
-/// back once, and requests that may go to three upstreams, nobody is turned away.
+/// Most requests that meet crashes are harmless: on days with a third of the upstreams crashing
+/// four times, callers who retry once, and requests that may go to three upstreams, no request is
+/// quarantined.
 #[test]
-fn nobody_is_turned_away_when_a_third_of_the_upstreams_ends_four_times() {
-    let (mut ends_met, mut turned_away) = (0, 0);
+fn random_crashes_quarantine_no_request() {
+    let (mut crashes_met, mut quarantined) = (0, 0);
     for seed in 0..100 {
         let mut random = StdRng::seed_from_u64(seed);
-        let mut suspects = Quarantine::default();
-        let mut starts = [0; 18];
-        let ends_at: Vec<u64> = (0..4).map(|wave| 3_000 + 5_000 * wave).collect();
+        let mut quarantine = Quarantine::default();
+        let mut incarnations = [0; 18];
+        let crash_times: Vec<u64> = (0..4).map(|wave| 3_000 + 5_000 * wave).collect();
         for request in 0..2_000 {
             let mut at_ms = random.random_range(0..22_000);
-            // Two tries of a caller, with up to three upstreams each; a run takes up to three seconds.
+            // Two tries of a caller, with up to three upstreams each; a request runs for up to
+            // three seconds.
             for _ in 0..6 {
                 let upstream = random.random_range(0..18);
                 let lasts_ms = random.random_range(50..3_000);
-                let ended_at =
-                    ends_at.iter().position(|end| (at_ms..at_ms + lasts_ms).contains(end));
-                let Some(wave) = ended_at.filter(|_| upstream % 3 == 0) else {
-                    suspects
-                        .record_answer(content(request), NOW + Duration::from_millis(at_ms + lasts_ms));
+                let crash_index =
+                    crash_times.iter().position(|crash| (at_ms..at_ms + lasts_ms).contains(crash));
+                let Some(wave) = crash_index.filter(|_| upstream % 3 == 0) else {
+                    quarantine.record_answer(
+                        fingerprint(request),
+                        NOW + Duration::from_millis(at_ms + lasts_ms),
+                    );
                     break;
                 };
-                ends_met += 1;
-                starts[upstream] = starts[upstream].max(wave + 1);
-                let name =
-                    Incarnation { instance: format!("i-{upstream}").into(), started_ms: Some(wave as u64) };
-                let at = NOW + Duration::from_millis(ends_at[wave]);
-                let news = suspects.record_crash(seconds(30), &name, at, &[content(request)]);
-                turned_away += news.newly_quarantined.len();
-                at_ms = ends_at[wave] + random.random_range(1..300);
+                crashes_met += 1;
+                incarnations[upstream] = incarnations[upstream].max(wave + 1);
+                let crashed_incarnation = Incarnation {
+                    instance: format!("i-{upstream}").into(),
+                    started_ms: Some(wave as u64),
+                };
+                let at = NOW + Duration::from_millis(crash_times[wave]);
+                let change = quarantine.record_crash(
+                    seconds(30),
+                    &crashed_incarnation,
+                    at,
+                    &[fingerprint(request)],
+                );
+                quarantined += change.newly_quarantined.len();
+                at_ms = crash_times[wave] + random.random_range(1..300);
             }
         }
     }
-    assert!(ends_met > 10_000, "the days were as hard as meant: {ends_met}");
-    assert_eq!(turned_away, 0, "of {ends_met} ends met");
+    assert!(crashes_met > 10_000, "the days had fewer crashes than intended: {crashes_met}");
+    assert_eq!(quarantined, 0, "of {crashes_met} crashes met");
 }
 
-/// In the first second of a fleet, before anything was answered, a harmless content was in hand at the same three ends as a
-/// deadly one, and was refused 4 times until its first answer came. Neither can be told from the other by its ends.
+/// In the first second of a fleet, before any answer, a harmless request was in flight at the same
+/// three crashes as one that causes them, and was refused 4 times until its first answer came.
+/// Their crashes alone can't tell them apart.
 #[test]
-fn two_requests_that_share_all_their_ends_are_in_doubt_for_a_moment() {
-    let mut suspects = Quarantine::default();
+fn requests_sharing_all_crashes_are_briefly_ambiguous() {
+    let mut quarantine = Quarantine::default();
     for number in 1..=3 {
-        end(&mut suspects, number, &[7, 8]);
+        crash(&mut quarantine, number, &[7, 8]);
     }
     let third = seconds(3);
-    let in_doubt = |suspects: &Quarantine, number, later_ms| {
-        suspects.is_ambiguous(third + Duration::from_millis(later_ms), content(number))
+    let is_ambiguous = |quarantine: &Quarantine, number, later_ms| {
+        quarantine.is_ambiguous(third + Duration::from_millis(later_ms), fingerprint(number))
     };
-    assert!(in_doubt(&suspects, 7, 0) && in_doubt(&suspects, 8, 500));
-    assert!(!in_doubt(&suspects, 7, 700), "an answer would have come");
-    assert!(!in_doubt(&suspects, 9, 0), "it isn't turned away");
-    // The answer that was being given settles it: the other one is no longer in doubt, and stays turned away.
-    assert!(suspects.record_answer(content(8), third + Duration::from_millis(100)));
-    assert!(!in_doubt(&suspects, 7, 200) && !in_doubt(&suspects, 8, 200));
-    assert!(suspects.is_quarantined(content(7)) && !suspects.is_quarantined(content(8)));
+    assert!(is_ambiguous(&quarantine, 7, 0) && is_ambiguous(&quarantine, 8, 500));
+    assert!(!is_ambiguous(&quarantine, 7, 700), "an answer would have arrived by now");
+    assert!(!is_ambiguous(&quarantine, 9, 0), "it isn't quarantined");
+    // The answer in progress settles it: the other request is no longer ambiguous, and stays
+    // quarantined.
+    assert!(quarantine.record_answer(fingerprint(8), third + Duration::from_millis(100)));
+    assert!(!is_ambiguous(&quarantine, 7, 200) && !is_ambiguous(&quarantine, 8, 200));
+    assert!(
+        quarantine.is_quarantined(fingerprint(7)) && !quarantine.is_quarantined(fingerprint(8))
+    );
 }
 
 #[test]
-fn a_request_that_has_an_end_of_its_own_is_in_no_doubt() {
-    let mut suspects = Quarantine::default();
-    end(&mut suspects, 1, &[7, 8]);
-    end(&mut suspects, 2, &[7, 8]);
-    assert_eq!(end(&mut suspects, 3, &[7]), [content(7)]);
-    assert!(!suspects.is_ambiguous(seconds(3), content(7)));
+fn request_with_a_crash_of_its_own_is_not_ambiguous() {
+    let mut quarantine = Quarantine::default();
+    crash(&mut quarantine, 1, &[7, 8]);
+    crash(&mut quarantine, 2, &[7, 8]);
+    assert_eq!(crash(&mut quarantine, 3, &[7]), [fingerprint(7)]);
+    assert!(!quarantine.is_ambiguous(seconds(3), fingerprint(7)));
 }
--- a/crates/fernring-gateway/tests/testsuite/residency.rs
+++ b/crates/fernring-gateway/tests/testsuite/residency.rs
@@ -1,4 +1,4 @@
-//! The regions in which a request may be served.
+//! Restrictions of requests to regions.
 
 use {
     fernring_gateway::{
@@ -11,7 +11,7 @@
 
 const NAMES: [&str; 4] = ["east", "north", "south", "west"];
 
-/// All restrictions to regions of [`NAMES`], and none.
+/// All restrictions to regions of [`NAMES`], and the absence of one.
 fn all() -> Vec<Residency> {
     let chosen = |bits: usize| (0..NAMES.len()).filter(move |index| bits >> index & 1 == 1);
     let within = |bits| Residency::within(chosen(bits).map(|index| NAMES[index]));
@@ -19,29 +19,29 @@
 }
 
 #[test]
-fn both_bind() {
+fn intersection_allows_what_both_allow() {
     for one in all() {
         for other in all() {
-            let both = one.intersect(&other);
+            let intersection = one.intersect(&other);
             for name in NAMES {
                 let region: Arc<str> = name.into();
                 let allowed = |residency: &Residency| residency.allows(Some(&region));
-                assert_eq!(allowed(&both), allowed(&one) && allowed(&other));
+                assert_eq!(allowed(&intersection), allowed(&one) && allowed(&other));
             }
-            assert_eq!(both.is_restricted(), one.is_restricted() || other.is_restricted());
+            assert_eq!(intersection.is_restricted(), one.is_restricted() || other.is_restricted());
         }
     }
 }
 
 #[test]
-fn a_region_that_is_not_known_is_outside_of_every_restriction() {
+fn unknown_region_is_outside_every_restriction() {
     for residency in all() {
         assert_eq!(residency.allows(None), !residency.is_restricted());
     }
 }
 
 #[test]
-fn a_failure_domain_has_the_region_that_the_settings_name() {
+fn settings_assign_regions_to_failure_domains() {
     let text = r#"
         [node]
         name = "n"
@@ -64,9 +64,10 @@
     assert!(error.to_string().contains("regions"), "{error}");
 }
 
-/// Owners among some failure domains: all nodes that hear each other name the same, whichever region they are in.
+/// All nodes that reach each other choose the same owner among some failure domains, whatever their
+/// own region.
 #[test]
-fn an_owner_among_some_domains_is_one_of_theirs() {
+fn owner_belongs_to_the_given_domains() {
     let address = |number: u16| SocketAddr::from(([10, 0, 0, 1], number));
     let domains = ["a", "b", "c"];
     let node = |number: u16| {
@@ -75,17 +76,19 @@
     };
     let numbers: Vec<u16> = (0..9).collect();
     for pool in ["s/a", "s/b", "t/a", "t/b", "u/c"] {
-        let mut named = BTreeSet::new();
+        let mut owners = BTreeSet::new();
         for me in &numbers {
             let mut members = Members::default();
             for other in numbers.iter().filter(|other| *other != me) {
                 members.heard(Duration::ZERO, node(*other));
             }
-            let is_there = |domain: &str| domain != "c";
-            named.insert(members.owner_among(Duration::ZERO, &node(*me), pool, is_there).unwrap());
+            let is_included = |domain: &str| domain != "c";
+            owners.insert(
+                members.owner_among(Duration::ZERO, &node(*me), pool, is_included).unwrap(),
+            );
         }
-        assert_eq!(named.len(), 1, "{pool}");
-        let owner = named.first().unwrap().port();
+        assert_eq!(owners.len(), 1, "{pool}");
+        let owner = owners.first().unwrap().port();
         assert_ne!(domains[usize::from(owner) % domains.len()], "c", "{pool}");
     }
     let alone = Members::default();
--- a/crates/fernring-gateway/tests/testsuite/selection.rs
+++ b/crates/fernring-gateway/tests/testsuite/selection.rs
@@ -1,4 +1,4 @@
-//! Which upstream a request is sent to.
+//! Selection of the upstream that a request is sent to.
 
 use {
     fernring_gateway::{
@@ -24,7 +24,7 @@
     (0..count).map(candidate).collect()
 }
 
-fn need(prefix: u64) -> PromptDemand {
+fn demand(prefix: u64) -> PromptDemand {
     PromptDemand {
         prefix,
         uncached_tokens: 1_000.0,
@@ -34,70 +34,70 @@
     }
 }
 
-fn chosen(candidates: &[Candidate], need: PromptDemand) -> Option<UpstreamKey> {
-    choose_model(candidates, need).map(|choice| choice.key)
+fn chosen(candidates: &[Candidate], demand: PromptDemand) -> Option<UpstreamKey> {
+    choose_model(candidates, demand).map(|choice| choice.key)
 }
 
 #[test]
-fn requests_that_share_a_prompt_meet_and_prompts_spread() {
+fn shared_prompts_meet_and_different_ones_spread() {
     let all = candidates(6);
     let mut reversed = all.clone();
     reversed.reverse();
     let mut used = BTreeSet::new();
     for prefix in 0..50 {
-        let engine = chosen(&all, need(prefix)).unwrap();
-        assert_eq!(chosen(&reversed, need(prefix)), Some(engine));
+        let engine = chosen(&all, demand(prefix)).unwrap();
+        assert_eq!(chosen(&reversed, demand(prefix)), Some(engine));
         used.insert(engine);
     }
     assert_eq!(used.len(), 6);
 }
 
 #[test]
-fn a_backlog_that_would_make_it_late_sends_a_request_elsewhere() {
+fn request_avoids_engine_that_would_be_late() {
     let mut all = candidates(3);
-    let first = chosen(&all, need(7)).unwrap();
+    let first = chosen(&all, demand(7)).unwrap();
     let at = |all: &[Candidate], key| all.iter().position(|c| c.key == key).unwrap();
     let index = at(&all, first);
     all[index].load = 15_000.0;
-    assert_eq!(chosen(&all, need(7)), Some(first), "still in time there");
+    assert_eq!(chosen(&all, demand(7)), Some(first), "still in time there");
     all[index].load = 25_000.0;
-    assert_ne!(chosen(&all, need(7)), Some(first));
+    assert_ne!(chosen(&all, demand(7)), Some(first));
 }
 
 #[test]
-fn when_all_are_late_the_least_loaded_is_chosen() {
+fn least_loaded_is_chosen_when_all_are_late() {
     let mut all = candidates(3);
     for (candidate, load) in all.iter_mut().zip([90_000.0, 50_000.0, 70_000.0]) {
         candidate.load = load;
     }
-    assert_eq!(chosen(&all, need(7)), Some(all[1].key));
+    assert_eq!(chosen(&all, demand(7)), Some(all[1].key));
 }
 
 #[test]
-fn the_home_goes_first_while_it_is_in_time() {
+fn home_goes_first_while_in_time() {
     let mut all = candidates(3);
     for home in 0..3 {
-        let wanted = PromptDemand { home: Some(all[home].key), ..need(7) };
-        assert_eq!(chosen(&all, wanted), wanted.home);
+        let demand_with_home = PromptDemand { home: Some(all[home].key), ..demand(7) };
+        assert_eq!(chosen(&all, demand_with_home), demand_with_home.home);
     }
     all[0].load = 50_000.0;
-    let wanted = PromptDemand { home: Some(all[0].key), ..need(7) };
-    assert_ne!(chosen(&all, wanted), wanted.home);
+    let demand_with_home = PromptDemand { home: Some(all[0].key), ..demand(7) };
+    assert_ne!(chosen(&all, demand_with_home), demand_with_home.home);
 }
 
 #[test]
-fn those_to_be_avoided_are_chosen_only_when_nothing_else_is_there() {
+fn avoided_upstreams_are_chosen_last() {
     let mut all = candidates(2);
     all[0].is_avoided = true;
     assert_eq!(choose(&all, 1), Some(all[1].key));
     all[1].is_avoided = true;
     assert!(choose(&all, 1).is_some());
     assert_eq!(choose(&[], 1), None);
-    assert_eq!(chosen(&[], need(1)), None);
+    assert_eq!(chosen(&[], demand(1)), None);
 }
 
 #[test]
-fn the_least_loaded_for_its_size_and_then_the_nearest_is_chosen() {
+fn least_loaded_per_slot_then_same_domain_is_chosen() {
     let mut all = candidates(3);
     all[0].load = 2.0;
     all[1].load = 3.0;
@@ -110,34 +110,34 @@
 }
 
 #[test]
-fn the_usual_engine_of_a_shared_part_has_it_also_where_another_was_to_be_home() {
+fn preferred_engine_has_shared_parts_despite_home() {
     let mut all = candidates(4);
-    let usual = chosen(&all, need(7)).unwrap();
-    let home = all.iter().position(|c| c.key != usual).unwrap();
-    // Nobody is in time, and the home least of all.
+    let preferred = chosen(&all, demand(7)).unwrap();
+    let home = all.iter().position(|c| c.key != preferred).unwrap();
+    // No engine is in time, and the home is the most loaded.
     for candidate in &mut all {
         candidate.load = 30_000.0;
     }
     all[home].load = 90_000.0;
-    let wanted = PromptDemand { home: Some(all[home].key), ..need(7) };
-    assert_eq!(chosen(&all, wanted), Some(usual));
+    let demand_with_home = PromptDemand { home: Some(all[home].key), ..demand(7) };
+    assert_eq!(chosen(&all, demand_with_home), Some(preferred));
 }
 
 #[test]
-fn a_cold_upstream_is_left_out_while_others_suffice() {
+fn cold_upstream_is_left_out_while_others_suffice() {
     let mut all = candidates(3);
-    let usual = chosen(&all, need(7)).unwrap();
-    let at = all.iter().position(|c| c.key == usual).unwrap();
+    let preferred = chosen(&all, demand(7)).unwrap();
+    let at = all.iter().position(|c| c.key == preferred).unwrap();
     all[at].is_cold = true;
-    assert_ne!(chosen(&all, need(7)), Some(usual));
-    assert_ne!(choose(&all, 1), Some(usual));
-    for other in all.iter_mut().filter(|c| c.key != usual) {
+    assert_ne!(chosen(&all, demand(7)), Some(preferred));
+    assert_ne!(choose(&all, 1), Some(preferred));
+    for other in all.iter_mut().filter(|c| c.key != preferred) {
         other.load = 50_000.0;
     }
-    assert_eq!(chosen(&all, need(7)), Some(usual), "the others would be late");
-    assert_ne!(choose(&all, 1), Some(usual), "they would serve, though");
-    for other in all.iter_mut().filter(|c| c.key != usual) {
+    assert_eq!(chosen(&all, demand(7)), Some(preferred), "the others would be late");
+    assert_ne!(choose(&all, 1), Some(preferred), "late, but still able to serve");
+    for other in all.iter_mut().filter(|c| c.key != preferred) {
         other.is_avoided = true;
     }
-    assert_eq!(choose(&all, 1), Some(usual), "nothing else is sound");
+    assert_eq!(choose(&all, 1), Some(preferred), "no other upstream is healthy");
 }
--- a/crates/fernring-gateway/tests/testsuite/stage_plan.rs
+++ b/crates/fernring-gateway/tests/testsuite/stage_plan.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_stage_starts_once_when_all_that_it_needs_is_there() {
+fn stage_starts_once_when_its_inputs_are_done() {
     let mut plan = StagePlan::new(&[stage(&[]), stage(&[]), stage(&[0, 1])], &[1, 1, 1]);
     assert_eq!(plan.start_ready(1), [0, 1]);
     plan.finish(0, handles(&["a"]));
@@ -31,15 +31,15 @@
 }
 
 #[test]
-fn a_stage_with_time_waits_for_the_longer_chain() {
+fn stage_with_slack_waits_for_longer_chain() {
     let mut plan = StagePlan::new(&beside_a_chain(), &[2, 1, 1, 1]);
-    assert_eq!(plan.start_ready(1), [1], "two more stages follow that one");
+    assert_eq!(plan.start_ready(1), [1], "two more stages depend on that one");
     plan.finish(1, handles(&["a"]));
     assert_eq!(plan.start_ready(1), [0, 2]);
 }
 
 #[test]
-fn a_stage_without_lead_starts_with_the_last_of_the_chain() {
+fn stage_without_lead_starts_with_end_of_chain() {
     let mut plan = StagePlan::new(&beside_a_chain(), &[2, 1, 1, 1]);
     assert_eq!(plan.start_ready(0), [1]);
     plan.finish(1, handles(&["a"]));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_stage_without_pieces_is_left_out() {
+fn stage_without_pieces_is_skipped() {
     let mut plan = StagePlan::new(&beside_a_chain(), &[2, 0, 0, 0]);
     assert_eq!(plan.start_ready(1), [0]);
     plan.finish(0, handles(&["a", "b"]));
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn the_request_needs_the_results_that_no_stage_follows() {
+fn final_handles_are_results_without_dependents() {
     let mut plan = StagePlan::new(&beside_a_chain(), &[1, 1, 1, 1]);
     for (stage, name) in ["a", "b", "c", "d"].into_iter().enumerate() {
         plan.finish(stage, handles(&[name]));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn results_are_given_up_once_and_as_soon_as_nothing_needs_them() {
+fn results_are_consumed_once_when_unneeded() {
     let mut plan = StagePlan::new(&beside_a_chain(), &[1, 1, 1, 1]);
     plan.finish(1, handles(&["b"]));
     assert!(plan.take_consumed().is_empty(), "the next stage reads it");
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn the_time_after_a_stage_is_that_of_the_longest_chain() {
+fn time_after_a_stage_is_its_longest_chain() {
     let plan = StagePlan::new(&beside_a_chain(), &[1, 1, 1, 0]);
     let time_of = |_: &StageSpec, _: u32| Duration::from_millis(100);
     assert_eq!(plan.time_after(0, &time_of), Duration::ZERO);
--- a/crates/fernring-gateway/tests/testsuite/workers.rs
+++ b/crates/fernring-gateway/tests/testsuite/workers.rs
@@ -1,9 +1,9 @@
-//! The makers of a stage service: their room, and those that are slow.
+//! The workers of a stage service: their free bytes, and slow workers.
 
 use {
     fernring_gateway::{
-        workers::{StoredResult, WorkerSet, overdue_after, expected_call_time},
         model::{BatchShape, UpstreamKey},
+        workers::{StoredResult, WorkerSet, expected_call_time, overdue_after},
     },
     slotmap::SlotMap,
     std::time::Duration,
@@ -24,76 +24,86 @@
     (0..count).map(|_| keys.insert(())).collect()
 }
 
-fn free(set: &mut WorkerSet, now: Duration, keys: &[UpstreamKey]) -> Vec<UpstreamKey> {
+fn free_keys(set: &mut WorkerSet, now: Duration, keys: &[UpstreamKey]) -> Vec<UpstreamKey> {
     set.free_workers(now, keys, &SHAPE).into_iter().map(|(key, _)| key).collect()
 }
 
-fn kept(bytes: u64, asker: u16) -> StoredResult {
-    StoredResult { bytes, made_at: NOW, requester: ([10, 0, 0, 1], asker).into() }
+fn result(bytes: u64, port: u16) -> StoredResult {
+    StoredResult { bytes, made_at: NOW, requester: ([10, 0, 0, 1], port).into() }
 }
 
 #[test]
-fn a_maker_has_one_call_at_a_time() {
+fn worker_has_one_call_at_a_time() {
     let keys = keys(2);
     let mut set = WorkerSet::default();
     set.get_or_create(keys[0]).unwrap().record_call_start(NOW + CALL, 100);
-    assert_eq!(free(&mut set, NOW, &keys), [keys[1]]);
+    assert_eq!(free_keys(&mut set, NOW, &keys), [keys[1]]);
     set.get_mut(keys[0]).unwrap().record_call_end(100);
-    assert_eq!(free(&mut set, NOW, &keys), keys);
+    assert_eq!(free_keys(&mut set, NOW, &keys), keys);
 }
 
 #[test]
-fn room_is_what_results_leave_until_they_are_given_up_or_lapse() {
+fn results_take_bytes_until_released_or_expired() {
     let keys = keys(1);
     let mut set = WorkerSet::default();
-    let room = |set: &mut WorkerSet, now| set.free_workers(now, &keys, &SHAPE)[0].1;
-    assert_eq!(room(&mut set, NOW), 1_000);
-    let maker = set.get_or_create(keys[0]).unwrap();
-    maker.add_result("h/1".into(), kept(300, 1));
-    maker.add_result("h/2".into(), kept(200, 2));
-    assert_eq!(maker.results_requested_by(([10, 0, 0, 1], 1).into()).count(), 1);
-    assert_eq!(room(&mut set, NOW), 500);
+    let free_bytes = |set: &mut WorkerSet, now| set.free_workers(now, &keys, &SHAPE)[0].1;
+    assert_eq!(free_bytes(&mut set, NOW), 1_000);
+    let worker = set.get_or_create(keys[0]).unwrap();
+    worker.add_result("h/1".into(), result(300, 1));
+    worker.add_result("h/2".into(), result(200, 2));
+    assert_eq!(worker.results_requested_by(([10, 0, 0, 1], 1).into()).count(), 1);
+    assert_eq!(free_bytes(&mut set, NOW), 500);
     set.get_mut(keys[0]).unwrap().remove_result("h/1");
-    assert_eq!(room(&mut set, NOW), 800);
-    assert_eq!(room(&mut set, NOW + SHAPE.result_lifetime), 1_000);
+    assert_eq!(free_bytes(&mut set, NOW), 800);
+    assert_eq!(free_bytes(&mut set, NOW + SHAPE.result_lifetime), 1_000);
 }
 
-/// Replays the time after all nodes were lost: results that nobody knows fill a maker and lapse bit by bit.
+/// Replays the time after the loss of all nodes: unknown results fill a worker and expire
+/// gradually.
 #[test]
-fn room_that_something_else_takes_is_believed_to_come_free_step_by_step() {
+fn unknown_bytes_are_assumed_free_step_by_step() {
     let keys = keys(1);
     let mut set = WorkerSet::default();
-    let maker = set.get_or_create(keys[0]).unwrap();
-    assert!(maker.record_capacity_refusal(NOW, &SHAPE));
-    assert!(!maker.record_capacity_refusal(NOW, &SHAPE), "said once");
+    let worker = set.get_or_create(keys[0]).unwrap();
+    assert!(worker.record_capacity_refusal(NOW, &SHAPE));
+    assert!(!worker.record_capacity_refusal(NOW, &SHAPE), "reported as new only once");
     let step = CALL.mul_f64(1.25);
-    let mut room_after = |steps: u32| set.free_workers(NOW + step * steps, &keys, &SHAPE)[0].1;
-    assert_eq!([0, 1, 2, 3].map(&mut room_after), [0, 500, 750, 875]);
-    let maker = set.get_mut(keys[0]).unwrap();
-    assert!(maker.record_capacity_refusal(NOW + step * 3, &SHAPE), "what was given free is taken after all");
-    let mut room_after = |steps: u32| set.free_workers(NOW + step * steps, &keys, &SHAPE)[0].1;
-    assert_eq!([3, 4, 5, 6, 7, 8].map(&mut room_after), [0, 500, 750, 875, 938, 1_000]);
+    let mut free_bytes_after =
+        |steps: u32| set.free_workers(NOW + step * steps, &keys, &SHAPE)[0].1;
+    assert_eq!([0, 1, 2, 3].map(&mut free_bytes_after), [0, 500, 750, 875]);
+    let worker = set.get_mut(keys[0]).unwrap();
+    assert!(
+        worker.record_capacity_refusal(NOW + step * 3, &SHAPE),
+        "the bytes assumed free are taken after all"
+    );
+    let mut free_bytes_after =
+        |steps: u32| set.free_workers(NOW + step * steps, &keys, &SHAPE)[0].1;
+    assert_eq!([3, 4, 5, 6, 7, 8].map(&mut free_bytes_after), [0, 500, 750, 875, 938, 1_000]);
 }
 
 #[test]
-fn a_maker_that_is_slow_twice_in_a_row_is_left_out_for_a_while() {
+fn worker_is_left_out_after_two_slow_calls() {
     let keys = keys(2);
     let mut set = WorkerSet::default();
-    let took = |set: &mut WorkerSet, times: u32| {
+    let record_calls = |set: &mut WorkerSet, times: u32| {
         set.get_or_create(keys[0]).unwrap().record_call_time(NOW, CALL * times, CALL);
     };
-    took(&mut set, 5);
-    assert_eq!(free(&mut set, NOW, &keys), keys, "one slow call says little");
-    took(&mut set, 5);
-    assert_eq!(free(&mut set, NOW, &keys), [keys[1]]);
-    assert_eq!(free(&mut set, NOW, &keys[..1]), keys[..1], "unless nothing else is there");
-    assert_eq!(free(&mut set, NOW + Duration::from_secs(2), &keys), keys, "then it is tried again");
-    took(&mut set, 1);
-    assert_eq!(free(&mut set, NOW, &keys), keys);
+    record_calls(&mut set, 5);
+    assert_eq!(free_keys(&mut set, NOW, &keys), keys, "one slow call is not enough");
+    record_calls(&mut set, 5);
+    assert_eq!(free_keys(&mut set, NOW, &keys), [keys[1]]);
+    assert_eq!(free_keys(&mut set, NOW, &keys[..1]), keys[..1], "unless there is no other worker");
+    assert_eq!(
+        free_keys(&mut set, NOW + Duration::from_secs(2), &keys),
+        keys,
+        "after a while it is tried again"
+    );
+    record_calls(&mut set, 1);
+    assert_eq!(free_keys(&mut set, NOW, &keys), keys);
 }
 
 #[test]
-fn a_call_behind_another_is_not_overdue() {
+fn call_queued_behind_another_is_not_overdue() {
     for pieces in 1..=8 {
         assert!(overdue_after(&SHAPE, pieces) > expected_call_time(&SHAPE, pieces) * 2, "{pieces}");
         assert!(overdue_after(&SHAPE, pieces) < expected_call_time(&SHAPE, pieces) * 3, "{pieces}");
