--- a/crates/fernring-gateway/src/decide/cold.rs
+++ b/crates/fernring-gateway/src/decide/cold.rs
@@ -33,7 +33,7 @@
 /// three of its heartbeats plus the time to read the record.
 const RECORD_DELAY_MAX: Duration = Duration::from_secs(4);
 
-/// The largest number of nodes known within [`NODES_REMEMBERED`].
+/// The largest number of nodes known in the last ten minutes.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PeakNodeCount {
     peak: usize,
@@ -125,7 +125,7 @@
     }
 
     /// Records that the upstream has responded.
-    pub fn record_answer(&mut self, now: Duration) {
+    pub fn record_response(&mut self, now: Duration) {
         self.responded_at.get_or_insert(now);
     }
 
--- a/crates/fernring-gateway/src/decide/crash_detection.rs
+++ b/crates/fernring-gateway/src/decide/crash_detection.rs
@@ -20,7 +20,12 @@
 //! let address = "10.0.0.1:8080".parse().unwrap();
 //! let fingerprint = ContentKey::of(None, "/x", b"");
 //! let mut detector = CrashDetector::default();
-//! assert!(detector.record_disconnect(now, (key, address), &incarnation, Disconnect::Closed, Some(fingerprint)).is_none(), "not known yet");
+//! assert!(
+//!     detector
+//!         .record_disconnect(now, (key, address), &incarnation, Disconnect::Closed, Some(fingerprint))
+//!         .is_none(),
+//!     "not known yet"
+//! );
 //! let crash = detector.record_probe(key, ProbeResult::Refused).unwrap();
 //! assert_eq!(crash.fingerprints, [fingerprint]);
 //! ```
@@ -73,7 +78,7 @@
     Refused,
     /// The connection was accepted.
     Accepted,
-    /// The probe timed out.
+    /// There was no response.
     Silent,
 }
 
--- a/crates/fernring-gateway/src/decide/limits.rs
+++ b/crates/fernring-gateway/src/decide/limits.rs
@@ -48,7 +48,7 @@
 impl AnnouncedLimits {
     /// Records the announcement in a response whose request was sent at `sent_at`; returns the
     /// change, if any.
-    pub fn record_answer(
+    pub fn record_response(
         &mut self,
         now: Duration,
         incarnation: u64,
--- a/crates/fernring-gateway/src/owner/mod.rs
+++ b/crates/fernring-gateway/src/owner/mod.rs
@@ -4,7 +4,7 @@
 //! [`calls`] sends them to the makers, [`outcomes`] takes in what became of the pieces.
 //!
 //! One call at a time goes to each upstream. A piece whose call failed goes into another, up to
-//! [`CALLS_MAX`] calls; pieces may be made again, so they don't draw on the retry budget.
+//! [`CALLS_PER_PIECE_MAX`] calls; pieces may be made again, so they don't draw on the retry budget.
 
 mod calls;
 mod outcomes;
--- a/crates/fernring-gateway/src/upstreams/access.rs
+++ b/crates/fernring-gateway/src/upstreams/access.rs
@@ -227,7 +227,7 @@
             }
             None => {
                 if let Some(no_listener) = cold.no_listener.get_mut(key) {
-                    no_listener.record_answer(now);
+                    no_listener.record_response(now);
                 }
             }
             Some(_) => {}
--- a/crates/fernring-gateway/src/upstreams/limited.rs
+++ b/crates/fernring-gateway/src/upstreams/limited.rs
@@ -132,7 +132,7 @@
             return;
         }
         limited.refused.remove(&run);
-        if let Some(change) = limited.limits.record_answer(now, run, sent_at, said) {
+        if let Some(change) = limited.limits.record_response(now, run, sent_at, said) {
             log_limit(run, change, &target.instance);
         }
     }
--- a/crates/fernring-gateway/tests/testsuite/cold.rs
+++ b/crates/fernring-gateway/tests/testsuite/cold.rs
@@ -109,7 +109,7 @@
     let (before, after) = (Position::new(0, 5), Position::new(0, 6));
     let mut refused = RefusedConnection::new(ms(1_000), before);
     assert!(refused.is_cold(ms(5_000), before, cold_start));
-    refused.record_answer(ms(6_000));
+    refused.record_response(ms(6_000));
     assert!(
         refused.is_cold(ms(8_900), before, cold_start),
         "for the time of a cold start after its first response"
--- a/crates/fernring-gateway/tests/testsuite/limits.rs
+++ b/crates/fernring-gateway/tests/testsuite/limits.rs
@@ -18,7 +18,7 @@
 fn limits_with(per_s: f64, at_ms: u64) -> AnnouncedLimits {
     let mut limits = AnnouncedLimits::default();
     limits
-        .record_answer(ms(at_ms), INCARNATION, ms(at_ms - 10), SaidLimit::PerSecond(per_s))
+        .record_response(ms(at_ms), INCARNATION, ms(at_ms - 10), SaidLimit::PerSecond(per_s))
         .unwrap();
     limits
 }
@@ -27,9 +27,10 @@
 fn later_response_without_limit_lifts_it() {
     let mut limits = limits_with(3.0, 1_000);
     // It overtook, or its head was written before.
-    assert_eq!(limits.record_answer(ms(1_500), INCARNATION, ms(990), SaidLimit::None), None);
+    assert_eq!(limits.record_response(ms(1_500), INCARNATION, ms(990), SaidLimit::None), None);
     assert_eq!(limits.limit_per_s(INCARNATION), Some(3.0));
-    let change = limits.record_answer(ms(1_600), INCARNATION, ms(1_001), SaidLimit::None).unwrap();
+    let change =
+        limits.record_response(ms(1_600), INCARNATION, ms(1_001), SaidLimit::None).unwrap();
     assert_eq!((change.before, change.now), (Some(3.0), None));
     assert_eq!(limits.limit_per_s(INCARNATION), None);
 }
@@ -37,14 +38,14 @@
 #[test]
 fn lower_limit_counts_at_once_and_higher_one_if_newer() {
     let mut limits = limits_with(3.0, 1_000);
-    limits.record_answer(ms(1_100), INCARNATION, ms(500), SaidLimit::PerSecond(1.0)).unwrap();
+    limits.record_response(ms(1_100), INCARNATION, ms(500), SaidLimit::PerSecond(1.0)).unwrap();
     assert_eq!(limits.limit_per_s(INCARNATION), Some(1.0));
     assert_eq!(
-        limits.record_answer(ms(1_200), INCARNATION, ms(1_050), SaidLimit::PerSecond(3.0)),
+        limits.record_response(ms(1_200), INCARNATION, ms(1_050), SaidLimit::PerSecond(3.0)),
         None
     );
     assert_eq!(limits.limit_per_s(INCARNATION), Some(1.0));
-    limits.record_answer(ms(1_300), INCARNATION, ms(1_101), SaidLimit::PerSecond(3.0)).unwrap();
+    limits.record_response(ms(1_300), INCARNATION, ms(1_101), SaidLimit::PerSecond(3.0)).unwrap();
     assert_eq!(limits.limit_per_s(INCARNATION), Some(3.0));
 }
 
@@ -52,12 +53,15 @@
 fn unreadable_limit_changes_nothing() {
     let mut limits = limits_with(3.0, 1_000);
     assert_eq!(
-        limits.record_answer(ms(2_000), INCARNATION, ms(1_900), SaidLimit::Unreadable),
+        limits.record_response(ms(2_000), INCARNATION, ms(1_900), SaidLimit::Unreadable),
         None
     );
     assert_eq!(limits.limit_per_s(INCARNATION), Some(3.0));
     let mut none = AnnouncedLimits::default();
-    assert_eq!(none.record_answer(ms(2_000), INCARNATION, ms(1_900), SaidLimit::Unreadable), None);
+    assert_eq!(
+        none.record_response(ms(2_000), INCARNATION, ms(1_900), SaidLimit::Unreadable),
+        None
+    );
     assert!(none.is_empty());
 }
 
@@ -121,7 +125,7 @@
             in_transit = pending;
             let received: Vec<(Duration, usize, Duration, SaidLimit)> = received;
             for (_, node, sent_at, announced_by_response) in received {
-                nodes[node].record_answer(now, INCARNATION, sent_at, announced_by_response);
+                nodes[node].record_response(now, INCARNATION, sent_at, announced_by_response);
             }
             let (from, to) = (rng.random_range(0..5), rng.random_range(0..5));
             let published: Vec<_> = nodes[from].to_publish(now).collect();
--- a/crates/fernring-gateway/tests/testsuite/permit_issuer.rs
+++ b/crates/fernring-gateway/tests/testsuite/permit_issuer.rs
@@ -80,7 +80,7 @@
     }
 
     fn served_part(&self, rank: usize) -> f64 {
-        let sent = self.at.iter().filter(|(_, of)| *of == rank).count();
+        let sent = self.at.iter().filter(|(_, sent_rank)| *sent_rank == rank).count();
         sent as f64 / self.wanted[rank] as f64
     }
 }
@@ -264,11 +264,11 @@
 #[test]
 fn limit_is_kept_in_a_burst_after_an_idle_time() {
     for limit_per_s in [0.0, 0.5, 1.0, 10.0, 30.0] {
-        let mut issuers = PermitIssuer::new(Duration::ZERO, 1.0, 0.0);
+        let mut issuer = PermitIssuer::new(Duration::ZERO, 1.0, 0.0);
         let load = Load { nodes: 1, limit_per_s, wanted_per_s: 0.0, urgent: 1.0 };
         let attempts = (0..4_000).map(|step| ms(60_000 + step));
         let sent =
-            attempts.filter(|now| issuers.request(*now, limit_per_s, 1.0, 0, 0.5).is_ok()).count();
+            attempts.filter(|now| issuer.request(*now, limit_per_s, 1.0, 0, 0.5).is_ok()).count();
         assert!(sent as f64 <= load.allowed(), "{sent} of {}", load.allowed());
     }
 }
@@ -297,10 +297,10 @@
 
 #[test]
 fn denial_reports_time_to_drain_demand() {
-    let mut issuers = PermitIssuer::new(Duration::ZERO, 1.0, 0.0);
+    let mut issuer = PermitIssuer::new(Duration::ZERO, 1.0, 0.0);
     let mut longest = Duration::ZERO;
     for step in 0..400 {
-        if let Err(denied) = issuers.request(ms(step * 10), 5.0, 1.0, 0, 0.5) {
+        if let Err(denied) = issuer.request(ms(step * 10), 5.0, 1.0, 0, 0.5) {
             longest = longest.max(denied.drained_after);
             assert!(denied.ask_again_after <= Duration::from_secs(1));
         }
--- a/crates/fernring-gateway/tests/testsuite/quarantine.rs
+++ b/crates/fernring-gateway/tests/testsuite/quarantine.rs
@@ -24,7 +24,7 @@
     NOW + Duration::from_secs(seconds)
 }
 
-/// Attributes the crash of an incarnation at the second of its number to requests.
+/// Attributes the crash of incarnation `number` at second `number` to requests.
 fn crash(quarantine: &mut Quarantine, number: usize, fingerprints: &[usize]) -> Vec<ContentKey> {
     let fingerprints: Vec<_> = fingerprints.iter().map(|number| fingerprint(*number)).collect();
     let at = seconds(number as u64);
@@ -188,7 +188,7 @@
     );
 }
 
-/// The state of nodes depends neither on the order of the records nor on duplicates.
+/// The state of a node depends neither on the order of the records nor on receiving a record twice.
 #[test]
 fn nodes_agree_whatever_the_order_of_records() {
     for seed in 0..200 {
