--- a/crates/fernring-gateway/src/decide/permit_issuer.rs
+++ b/crates/fernring-gateway/src/decide/permit_issuer.rs
@@ -4,7 +4,7 @@
 //! Handles an overloaded upstream that takes a few requests per second from all nodes together,
 //! while tens or hundreds of nodes want to send there. A fixed share per node leaves the limit
 //! unused where only a few nodes have requests, and exceeds it where each share is at least one. A
-//! single issuer grants permits up to the limit in the order of the requests. A network partition
+//! single issuer issues permits up to the limit in the order of the requests. A network partition
 //! leads to several issuers; each therefore issues permits for the part of the nodes that it can
 //! reach, and together they issue no more than [`OVERCOMMIT_FACTOR`] times the limit.
 
--- a/crates/fernring-gateway/tests/testsuite/attempts.rs
+++ b/crates/fernring-gateway/tests/testsuite/attempts.rs
@@ -53,7 +53,7 @@
 }
 
 proptest! {
-    /// Whatever the outcomes of its sends, a request that may not be repeated never has two sends
+    /// For any sequence of send outcomes, a request that may not be repeated never has two sends
     /// that may have run, and the proof that nothing has run is never given after one.
     #[test]
     fn unrepeatable_request_runs_at_most_once(
--- a/crates/fernring-gateway/tests/testsuite/residency.rs
+++ b/crates/fernring-gateway/tests/testsuite/residency.rs
@@ -64,8 +64,8 @@
     assert!(error.to_string().contains("regions"), "{error}");
 }
 
-/// All nodes that reach each other choose the same owner among some failure domains, whatever their
-/// own region.
+/// All nodes that reach each other choose the same owner among some failure domains,
+/// regardless of their own region.
 #[test]
 fn owner_belongs_to_the_given_domains() {
     let address = |number: u16| SocketAddr::from(([10, 0, 0, 1], number));
