--- a/crates/fernring-gateway/src/decide/quarantine.rs
+++ b/crates/fernring-gateway/src/decide/quarantine.rs
@@ -18,7 +18,9 @@
 //!
 //! ```
 //! use {
-//!     fernring_gateway::{content::ContentKey, crash_detection::Incarnation, quarantine::Quarantine},
+//!     fernring_gateway::{
+//!         content::ContentKey, crash_detection::Incarnation, quarantine::Quarantine,
+//!     },
 //!     std::time::Duration,
 //! };
 //!
@@ -26,7 +28,8 @@
 //! let mut quarantine = Quarantine::default();
 //! for instance in ["i-1", "i-2", "i-3"] {
 //!     assert!(!quarantine.is_quarantined(fingerprint));
-//!     quarantine.record_crash(now, &Incarnation { instance: instance.into(), started_ms: None }, now, &[fingerprint]);
+//!     let incarnation = Incarnation { instance: instance.into(), started_ms: None };
+//!     quarantine.record_crash(now, &incarnation, now, &[fingerprint]);
 //! }
 //! assert!(quarantine.is_quarantined(fingerprint));
 //! ```
@@ -299,8 +302,8 @@
         is_new
     }
 
-    /// Lists the records of the `count_max` most important attributions: those with the most crashes, then
-    /// the latest.
+    /// Lists the records of the `count_max` most important attributions: those with the most
+    /// crashes, then the latest.
     pub fn records(&self, count_max: usize) -> (Vec<CrashRecord>, Vec<ClearanceRecord>) {
         let mut attributions: Vec<_> = self.attributions.iter().collect();
         attributions.sort_unstable_by_key(|(fingerprint, attribution)| {
