--- a/crates/fernring-gateway/src/node.rs
+++ b/crates/fernring-gateway/src/node.rs
@@ -11,13 +11,13 @@
         log,
         measures::{self, Readings},
         members::Member,
-        owner::{Owner, Parts},
+        owner::{Owner, OwnerDependencies},
         peers::{PeerHandler, Peers},
         position::Position,
         reading::ReadingSpeeds,
         records::{change_from, directory_record, evacuation_from, evacuation_word},
         retries::Retries,
-        rollout::{orders::Standing, shell::Rollouts},
+        rollout::{orders::RolloutProgress, coordinator::Rollouts},
         settings::{NodeSettings, Settings, load},
         stages::Stages,
         store_loops::{Followed, PeerRecords, StoreLoops},
@@ -182,15 +182,15 @@
             peers.clone(),
             settings.rollout,
         ));
-        let owner = Rc::new(Owner::new(Parts {
+        let owner = Rc::new(Owner::new(OwnerDependencies {
             clock: clock.clone(),
             wire: wire.clone(),
             config: config.clone(),
             upstreams: upstreams.clone(),
             peers: peers.clone(),
-            blame: blame.clone(),
+            crash_attribution: blame.clone(),
             rollouts: rollouts.clone(),
-            rules: rules.clone(),
+            decide_settings: rules.clone(),
         }));
         let stages =
             Rc::new(Stages::new(clock.clone(), peers.clone(), owner.clone(), upstreams.clone()));
@@ -316,8 +316,8 @@
     }
 
     /// Returns how far the newest order to roll out a version of a service is, if it has one.
-    pub fn rollout(&self, service: &str) -> Option<Standing> {
-        self.serving.rollouts.standing(service)
+    pub fn rollout(&self, service: &str) -> Option<RolloutProgress> {
+        self.serving.rollouts.progress(service)
     }
 
     /// Returns the number of contents that are turned away, since upstreams ended under them.
@@ -589,7 +589,7 @@
             GatewayBody::Ends(reports) => self.serving.blame.told(sender, reports),
             GatewayBody::TurnQuestion(question) => self.upstreams.turn_asked(sender, question),
             GatewayBody::TurnAnswer(answer) => self.upstreams.turn_answered(answer),
-            GatewayBody::RolloutReport(report) => self.serving.rollouts.reported(sender, report),
+            GatewayBody::RolloutReport(report) => self.serving.rollouts.handle_report(sender, report),
         }
     }
 
@@ -627,7 +627,7 @@
             let (failure_domain, word) = evacuation_from(word);
             self.loops.take_evacuation(failure_domain, word, "peer");
         }
-        self.serving.rollouts.told(&heartbeat.rollouts);
+        self.serving.rollouts.handle_messages(&heartbeat.rollouts);
         self.upstreams.told_limits(&heartbeat.limits);
         heartbeat.split_services.iter().for_each(|service| self.stages.said_split(*service));
         let known = [
@@ -653,7 +653,7 @@
         let evacuations = self.upstreams.evacuations().borrow();
         heartbeat.evacuations = evacuations.words().map(evacuation_word).collect();
         heartbeat.limits = self.upstreams.limits_to_tell();
-        heartbeat.rollouts = self.serving.rollouts.words();
+        heartbeat.rollouts = self.serving.rollouts.messages();
         let link = self.settings.borrow().node.link_bytes_per_s();
         heartbeat.split_services = self.stages.to_be_split(link);
         heartbeat.stage_loads = self.stages.described(loads_of);
--- a/crates/fernring-gateway/src/owner/calls.rs
+++ b/crates/fernring-gateway/src/owner/calls.rs
@@ -195,8 +195,8 @@
         });
         if let Some(trial) = trial {
             match &outcomes {
-                Ok(_) => trial.call_whole(self.now().saturating_sub(now), expected),
-                Err(CallFailure::Failed(_) | CallFailure::Broken(_)) => trial.failed(),
+                Ok(_) => trial.record_call_success(self.now().saturating_sub(now), expected),
+                Err(CallFailure::Failed(_) | CallFailure::Broken(_)) => trial.record_failure(),
                 Err(_) => {}
             }
         }
--- a/crates/fernring-gateway/src/owner/mod.rs
+++ b/crates/fernring-gateway/src/owner/mod.rs
@@ -24,7 +24,7 @@
         peers::Peers,
         pools::{Carried, MakerPool, shall_split},
         residency::Residency,
-        rollout::shell::Rollouts,
+        rollout::coordinator::Rollouts,
         rounds::{LeftAlone, MakersByDomain},
         selection::Candidate,
         settings::DecideSettings,
@@ -59,7 +59,7 @@
     /// The request.
     pub request_id: Arc<str>,
     /// What the request asks.
-    pub content: ContentKey,
+    pub fingerprint: ContentKey,
     /// Index of the stage.
     pub stage: u32,
     /// Number of pieces.
@@ -69,7 +69,7 @@
     /// When the results are due for the request to be on time.
     pub due_at: Duration,
     /// Failure domain in which the results will be read; `None` if that doesn't matter.
-    pub near: Option<Arc<str>>,
+    pub consumer_domain: Option<Arc<str>>,
     /// When the results are of no more use.
     pub deadline_at: Duration,
     /// Rank of the request; 0 goes first.
@@ -79,14 +79,14 @@
     /// Where the request may be served.
     pub residency: Residency,
     /// The node that asks.
-    pub asker: SocketAddr,
+    pub requester: SocketAddr,
 }
 
 /// How the pieces of a stage ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum WorkEnd {
+pub enum WorkOutcome {
     /// All were made; their handles in order.
-    Made(Vec<Arc<str>>),
+    Completed(Vec<Arc<str>>),
     /// Their time was over.
     Late,
     /// A result that they need is gone.
@@ -96,28 +96,28 @@
     /// Their owner can't be reached.
     OwnerLost,
     /// Upstreams ended under their request.
-    TurnedAway,
+    Quarantined,
     /// The failure domain that they wait for has no makers any more, and others have some.
-    NoMakers,
+    NoWorkers,
 }
 
-impl WorkEnd {
+impl WorkOutcome {
     /// Returns the name used in log lines.
     pub fn name(&self) -> &'static str {
         match self {
-            Self::Made(_) => "made",
+            Self::Completed(_) => "made",
             Self::Late => "late",
             Self::InputGone => "input_gone",
             Self::Failed => "failed",
             Self::OwnerLost => "owner_lost",
-            Self::TurnedAway => "turned_away",
-            Self::NoMakers => "no_makers",
+            Self::Quarantined => "turned_away",
+            Self::NoWorkers => "no_makers",
         }
     }
 }
 
 /// Who is told how a work ended.
-pub type Reply = oneshot::Sender<WorkEnd>;
+pub type Reply = oneshot::Sender<WorkOutcome>;
 
 #[derive(Debug)]
 struct OpenWork {
@@ -128,7 +128,7 @@
 }
 
 /// The parts of a node that an owner works with.
-pub struct Parts {
+pub struct OwnerDependencies {
     /// The clock.
     pub clock: Rc<dyn Clock>,
     /// The platform's formats.
@@ -140,11 +140,11 @@
     /// The other nodes.
     pub peers: Rc<Peers>,
     /// The upstreams that ended, and what ran there.
-    pub blame: Rc<Blame>,
+    pub crash_attribution: Rc<Blame>,
     /// Versions that are rolled out.
     pub rollouts: Rc<Rollouts>,
     /// The mechanisms of the policy that are on.
-    pub rules: Rc<Cell<DecideSettings>>,
+    pub decide_settings: Rc<Cell<DecideSettings>>,
 }
 
 /// The stage services that this node owns, or did.
@@ -169,8 +169,8 @@
 
 impl Owner {
     /// Creates an owner that has nothing to do.
-    pub fn new(parts: Parts) -> Self {
-        let Parts { clock, wire, config, upstreams, peers, blame, rollouts, rules } = parts;
+    pub fn new(parts: OwnerDependencies) -> Self {
+        let OwnerDependencies { clock, wire, config, upstreams, peers, crash_attribution: blame, rollouts, decide_settings: rules } = parts;
         Self {
             clock,
             wire,
@@ -199,7 +199,7 @@
             reply,
             handles: vec![None; pieces],
             pool: work.pool.clone(),
-            content: work.content,
+            content: work.fingerprint,
         };
         self.works.borrow_mut().insert(id, open);
         let mut queues = self.queues.borrow_mut();
@@ -211,7 +211,7 @@
             flow.came(now, rank(work.priority), work.pieces);
         }
         // A suspect has no company that would have to share the blame.
-        let is_apart = self.blame.is_suspect(work.content);
+        let is_apart = self.blame.is_suspect(work.fingerprint);
         for number in 0..work.pieces {
             queue.push(task(id, &work, number, is_apart));
         }
@@ -262,7 +262,7 @@
     }
 
     /// Gives up all results that a lost node asked for.
-    pub fn release_of(&self, asker: SocketAddr) {
+    pub fn release_results_of(&self, asker: SocketAddr) {
         let mut releases = self.releases.borrow_mut();
         for (key, maker) in self.makers.borrow().iter() {
             let handles: Vec<_> = maker.asked_by(asker).cloned().collect();
@@ -285,18 +285,18 @@
     }
 
     /// Takes in that upstreams came or went.
-    pub fn upstreams_changed(self: &Rc<Self>, effects: &[Effect]) {
+    pub fn handle_upstream_changes(self: &Rc<Self>, effects: &[Effect]) {
         if effects.iter().all(|effect| *effect == Effect::None) {
             return;
         }
-        self.pump_all();
+        self.dispatch_all();
     }
 
     /// Drops pieces whose time is over and sends releases, for as long as the process runs.
     pub async fn run(self: Rc<Self>) {
         loop {
             tokio::time::sleep(EXPIRY_INTERVAL).await;
-            self.pump_all();
+            self.dispatch_all();
         }
     }
 
@@ -335,7 +335,7 @@
     }
 
     /// Starts calls of all services, as far as pieces wait and upstreams are free.
-    pub fn pump_all(self: &Rc<Self>) {
+    pub fn dispatch_all(self: &Rc<Self>) {
         let pools: Vec<_> = self.queues.borrow().keys().cloned().collect();
         for pool in pools {
             self.pump(&pool);
@@ -354,12 +354,12 @@
         let makers = self.usable_makers(pool);
         if makers.is_empty() {
             if self.upstreams.is_evacuated(&pool.service) {
-                self.end_waiting(pool, &WorkEnd::Failed);
+                self.end_waiting(pool, &WorkOutcome::Failed);
                 return;
             }
             // They would wait here until their time is over, while makers elsewhere may be idle.
-            if pool.failure_domain.is_some() && !self.makers_by_domain(&pool.service).is_empty() {
-                self.end_waiting(pool, &WorkEnd::NoMakers);
+            if pool.failure_domain.is_some() && !self.workers_by_domain(&pool.service).is_empty() {
+                self.end_waiting(pool, &WorkOutcome::NoWorkers);
                 return;
             }
         }
@@ -422,13 +422,13 @@
             works.iter().filter(|(_, w)| w.pool == *pool).map(|(id, _)| *id).collect();
         for id in lost {
             if let Some(work) = works.remove(&id) {
-                reply(work.reply, WorkEnd::Failed);
+                reply(work.reply, WorkOutcome::Failed);
             }
         }
     }
 
     /// Ends the works of which pieces wait: nobody may make them here, and who asked is told now.
-    fn end_waiting(&self, pool: &MakerPool, end: &WorkEnd) {
+    fn end_waiting(&self, pool: &MakerPool, end: &WorkOutcome) {
         let waiting = self.queues.borrow().get(pool).map(BatchQueue::works).unwrap_or_default();
         for work in waiting {
             self.end_work(work, end.clone());
@@ -445,7 +445,7 @@
         let turned_away: Vec<_> = works.keys().filter(is_turned_away).copied().collect();
         drop(works);
         for work in turned_away {
-            self.end_work(work, WorkEnd::TurnedAway);
+            self.end_work(work, WorkOutcome::Quarantined);
         }
     }
 
@@ -458,7 +458,7 @@
         };
         let works: HashSet<_> = expired.into_iter().map(|task| task.work).collect();
         for work in works {
-            self.end_work(work, WorkEnd::Late);
+            self.end_work(work, WorkOutcome::Late);
         }
     }
 
@@ -508,7 +508,7 @@
     }
 
     /// Counts the makers of a service that may be sent to, by failure domain.
-    pub fn makers_by_domain(&self, service: &str) -> Vec<(Arc<str>, usize)> {
+    pub fn workers_by_domain(&self, service: &str) -> Vec<(Arc<str>, usize)> {
         let mut counts: BTreeMap<Arc<str>, usize> = BTreeMap::new();
         let directory = self.upstreams.directory();
         for (key, upstream) in directory.of_service(service) {
@@ -521,7 +521,7 @@
     }
 
     /// Returns the failure domain of the maker of a result, if it is known.
-    pub fn domain_of_maker(&self, service: &str, handle: &str) -> Option<Arc<str>> {
+    pub fn domain_of_worker(&self, service: &str, handle: &str) -> Option<Arc<str>> {
         let directory = self.upstreams.directory();
         let key = directory.at(service, maker_address(handle)?)?;
         Some(directory.get(key)?.record.failure_domain.clone())
@@ -529,14 +529,14 @@
 
     /// Lists the services, by their short hashes, of which this node carries more than its link bears, or that are to stay
     /// split. `is_own` tells whether it owns a pool, `link_bytes_per_s` what its link carries.
-    pub fn to_be_split(
+    pub fn services_to_shard(
         &self,
         is_own: impl Fn(&MakerPool) -> bool,
         link_bytes_per_s: f64,
     ) -> Vec<u32> {
         let now = self.now();
         let shall_split = |pool: &MakerPool, carried: &Carried| {
-            let parts = || self.makers_by_domain(&pool.service).len();
+            let parts = || self.workers_by_domain(&pool.service).len();
             let parts = pool.failure_domain.as_ref().map(|_| parts());
             shall_split(carried.per_s(now), link_bytes_per_s, parts)
         };
@@ -571,14 +571,14 @@
 }
 
 /// Tells a work's end to who asked for it; if nobody waits any more, nothing is to be told.
-fn reply(reply: Reply, end: WorkEnd) {
+fn reply(reply: Reply, end: WorkOutcome) {
     drop(reply.send(end));
 }
 
 fn task(work_id: u64, work: &Work, number: u32, is_apart: bool) -> Task {
     Task {
         work: work_id,
-        content: work.content,
+        content: work.fingerprint,
         is_apart,
         piece: Piece {
             request_id: work.request_id.clone(),
@@ -588,12 +588,12 @@
             remaining: Duration::ZERO,
         },
         due_at: work.due_at,
-        near: work.near.clone(),
+        near: work.consumer_domain.clone(),
         deadline_at: work.deadline_at,
         priority: work.priority,
         result_bytes: (work.result_bytes as f64 * RESULT_SIZE_MARGIN) as u64,
         residency: work.residency.clone(),
-        asker: work.asker,
+        asker: work.requester,
         calls: 0,
     }
 }
--- a/crates/fernring-gateway/src/owner/outcomes.rs
+++ b/crates/fernring-gateway/src/owner/outcomes.rs
@@ -1,7 +1,7 @@
 //! What becomes of pieces when their calls have ended.
 
 use {
-    super::{Owner, WorkEnd, calls::CallFailure, reply},
+    super::{Owner, WorkOutcome, calls::CallFailure, reply},
     crate::{
         barred::Barred,
         batching::{CALLS_MAX, Task},
@@ -50,7 +50,7 @@
                 log::warn(line);
                 if matches!(failure, CallFailure::Barred(Barred::OutsideRegions)) {
                     // The region of this failure domain has changed since they were handed in: who asked chooses anew.
-                    tasks.iter().for_each(|task| self.end_work(task.work, WorkEnd::NoMakers));
+                    tasks.iter().for_each(|task| self.end_work(task.work, WorkOutcome::NoWorkers));
                     return;
                 }
                 let first = tasks.first().map(|task| task.content);
@@ -77,8 +77,8 @@
     fn piece_ended(&self, pool: &MakerPool, target: &Target, task: Task, outcome: PieceOutcome) {
         match outcome {
             PieceOutcome::Made(handle) => self.piece_made(pool, target, &task, handle),
-            PieceOutcome::Late => self.end_work(task.work, WorkEnd::Late),
-            PieceOutcome::InputGone => self.end_work(task.work, WorkEnd::InputGone),
+            PieceOutcome::Late => self.end_work(task.work, WorkOutcome::Late),
+            PieceOutcome::InputGone => self.end_work(task.work, WorkOutcome::InputGone),
             PieceOutcome::NoRoom => {
                 self.had_no_room(pool, target, &task);
                 self.put_back(pool, task);
@@ -115,7 +115,7 @@
         if let Some(work) = works.remove(&task.work) {
             drop(works);
             let handles = work.handles.into_iter().flatten().collect();
-            if let Err(WorkEnd::Made(handles)) = work.reply.send(WorkEnd::Made(handles)) {
+            if let Err(WorkOutcome::Completed(handles)) = work.reply.send(WorkOutcome::Completed(handles)) {
                 self.release(&pool.service, handles);
             }
         }
@@ -148,7 +148,7 @@
         task.calls += u32::from(was_sent);
         match task.calls < CALLS_MAX {
             true => self.put_back(pool, task),
-            false => self.end_work(task.work, WorkEnd::Failed),
+            false => self.end_work(task.work, WorkOutcome::Failed),
         }
     }
 
@@ -165,7 +165,7 @@
         work.is_none_or(|work| work.handles[task.piece.number as usize].is_some())
     }
 
-    pub(super) fn end_work(&self, work: u64, end: WorkEnd) {
+    pub(super) fn end_work(&self, work: u64, end: WorkOutcome) {
         let Some(open) = self.works.borrow_mut().remove(&work) else {
             return;
         };
--- a/crates/fernring-gateway/src/rollout/verdict.rs
+++ b/crates/fernring-gateway/src/rollout/comparison.rs
@@ -8,7 +8,7 @@
 //! one with that part of bad answers alike with [`MISSED`]. Times and failures are tested over all routes and for each route.
 
 use {
-    super::counts::{Answers, Counts, time_class},
+    super::counts::{AnswerStats, RolloutCounts, latency_bucket},
     std::{collections::BTreeMap, sync::Arc, time::Duration},
 };
 
@@ -50,7 +50,7 @@
 }
 
 impl Tally {
-    fn of(answers: &Answers, slow_class: Option<usize>) -> Self {
+    fn of(answers: &AnswerStats, slow_class: Option<usize>) -> Self {
         let slow = slow_class.map_or(0, |class| answers.slower(class));
         Self { all: answers.all(), bad: answers.failed + slow }
     }
@@ -113,25 +113,25 @@
 #[derive(Debug, Clone, Default)]
 pub struct Comparison {
     /// What was counted at the end of the last slice.
-    before: Counts,
+    before: RolloutCounts,
     whole: Test,
     routes: BTreeMap<Arc<str>, Test>,
 }
 
 impl Comparison {
     /// Starts with what was counted so far left out.
-    pub fn since(counts: Counts) -> Self {
+    pub fn since(counts: RolloutCounts) -> Self {
         Self { before: counts, ..Self::default() }
     }
 
     /// Takes in what all nodes have counted by the end of a slice of time.
-    pub fn slice(&mut self, counts: &Counts) {
+    pub fn slice(&mut self, counts: &RolloutCounts) {
         let (mut ordered, mut others) = (Tally::default(), Tally::default());
         for (route, answers) in &counts.routes {
             let before = self.before.routes.get(route).cloned().unwrap_or_default();
             let median = answers.others.median_class(MEDIAN_OF);
-            let slow_class = median.map(|class| (class + SLOW_CLASSES).max(time_class(SLOW_MIN)));
-            let of_ordered = Tally::of(&(&answers.ordered - &before.ordered), slow_class);
+            let slow_class = median.map(|class| (class + SLOW_CLASSES).max(latency_bucket(SLOW_MIN)));
+            let of_ordered = Tally::of(&(&answers.destination - &before.destination), slow_class);
             let of_others = Tally::of(&(&answers.others - &before.others), slow_class);
             self.routes.entry(route.clone()).or_default().add(of_ordered, of_others);
             ordered.add(of_ordered);
--- a/crates/fernring-gateway/src/rollout/decider.rs
+++ b/crates/fernring-gateway/src/rollout/controller.rs
@@ -10,8 +10,8 @@
 
 use {
     super::{
-        counts::Counts,
-        verdict::{Comparison, Verdict},
+        counts::RolloutCounts,
+        comparison::{Comparison, Verdict},
     },
     std::time::Duration,
 };
@@ -46,7 +46,7 @@
 
 /// What the ordered version may get if it is bad.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Bounds {
+pub struct ExposureBudget {
     /// Part of the requests to the service between the order and its deadline.
     pub share: f64,
     /// Requests besides.
@@ -55,7 +55,7 @@
 
 /// Upstreams that take work.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Engines {
+pub struct UpstreamCounts {
     /// Of the ordered version.
     pub ordered: usize,
     /// Of the others.
@@ -64,11 +64,11 @@
 
 /// What a decider sees.
 #[derive(Debug, Clone, Copy)]
-pub struct Seen<'a> {
+pub struct Observation<'a> {
     /// What all nodes have counted.
-    pub counts: &'a Counts,
+    pub counts: &'a RolloutCounts,
     /// The upstreams.
-    pub engines: Engines,
+    pub engines: UpstreamCounts,
     /// Whether all live nodes have reported.
     pub is_complete: bool,
     /// Whether all live nodes know that the ordered version serves alone and have nothing in hand at others.
@@ -81,7 +81,7 @@
 
 /// Why a version was rolled back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reason {
+pub enum RollbackReason {
     /// It is worse than the others.
     Worse,
     /// It was not shown to be good in time.
@@ -90,7 +90,7 @@
     Withdrawn,
 }
 
-impl Reason {
+impl RollbackReason {
     /// Returns the name used in log lines.
     pub fn name(self) -> &'static str {
         match self {
@@ -123,7 +123,7 @@
     /// It serves alone.
     Completed,
     /// It gets nothing.
-    RolledBack(Reason),
+    RolledBack(RollbackReason),
 }
 
 impl Phase {
@@ -142,7 +142,7 @@
 
 /// What was spent before a decider took over, by the store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Spent {
+pub struct ExposureSpent {
     /// Requests to the service.
     pub requests: u64,
     /// Sends to the ordered version.
@@ -151,13 +151,13 @@
 
 /// Decides on one order.
 #[derive(Debug, Clone)]
-pub struct Decider {
-    bounds: Bounds,
+pub struct RolloutController {
+    bounds: ExposureBudget,
     deadline_at: Duration,
     duration: Duration,
     phase: Phase,
     /// What the nodes that report don't know of.
-    spent: Spent,
+    spent: ExposureSpent,
     is_counted: bool,
     comparison: Comparison,
     sliced_at: Duration,
@@ -165,9 +165,9 @@
     rate_per_s: f64,
 }
 
-impl Decider {
+impl RolloutController {
     /// Starts on an order that is to be done at `deadline_at`, `duration` after it was given.
-    pub fn new(bounds: Bounds, deadline_at: Duration, duration: Duration, spent: Spent) -> Self {
+    pub fn new(bounds: ExposureBudget, deadline_at: Duration, duration: Duration, spent: ExposureSpent) -> Self {
         Self {
             bounds,
             deadline_at,
@@ -188,15 +188,15 @@
     }
 
     /// Returns what was spent so far.
-    pub fn spent(&self, counts: &Counts) -> Spent {
-        Spent {
+    pub fn spent(&self, counts: &RolloutCounts) -> ExposureSpent {
+        ExposureSpent {
             requests: self.spent.requests + counts.requests,
             exposed: self.spent.exposed + counts.exposed,
         }
     }
 
     /// Lets time pass; returns the share of the ordered version from now on.
-    pub fn step(&mut self, now: Duration, seen: Seen<'_>) -> f64 {
+    pub fn step(&mut self, now: Duration, seen: Observation<'_>) -> f64 {
         self.count(now, &seen);
         let next = self.next_phase(now, &seen);
         if next != self.phase {
@@ -211,7 +211,7 @@
         }
     }
 
-    fn count(&mut self, now: Duration, seen: &Seen<'_>) {
+    fn count(&mut self, now: Duration, seen: &Observation<'_>) {
         if !self.is_counted && seen.is_complete {
             self.is_counted = true;
             // The nodes tell again what they told the decider of before, which wrote it.
@@ -232,15 +232,15 @@
         }
     }
 
-    fn next_phase(&self, now: Duration, seen: &Seen<'_>) -> Phase {
+    fn next_phase(&self, now: Duration, seen: &Observation<'_>) -> Phase {
         if matches!(self.phase, Phase::Completed | Phase::RolledBack(_)) {
             return self.phase;
         }
         if seen.is_withdrawn {
-            return Phase::RolledBack(Reason::Withdrawn);
+            return Phase::RolledBack(RollbackReason::Withdrawn);
         }
         if self.comparison.verdict() == Verdict::Worse {
-            return Phase::RolledBack(Reason::Worse);
+            return Phase::RolledBack(RollbackReason::Worse);
         }
         if let Phase::Draining { since } = self.phase
             && seen.is_drained
@@ -249,7 +249,7 @@
             return Phase::Completed;
         }
         if now + self.duration.mul_f64(END_PART / 2.0) >= self.deadline_at {
-            return Phase::RolledBack(Reason::Late);
+            return Phase::RolledBack(RollbackReason::Late);
         }
         match self.phase {
             Phase::Waiting if seen.engines.ordered > 0 && self.is_counted => Phase::Trial,
@@ -284,7 +284,7 @@
         self.deadline_at.saturating_sub(after)
     }
 
-    fn may_advance(&self, now: Duration, seen: &Seen<'_>) -> bool {
+    fn may_advance(&self, now: Duration, seen: &Observation<'_>) -> bool {
         if now < self.advance_at(seen.longest_request) {
             return false;
         }
@@ -297,7 +297,7 @@
         self.comparison.verdict() == Verdict::Alike || is_within
     }
 
-    fn trial_share(&self, now: Duration, seen: &Seen<'_>) -> f64 {
+    fn trial_share(&self, now: Duration, seen: &Observation<'_>) -> f64 {
         let spent = self.spent(seen.counts);
         let bound = self.bounds.share * spent.requests as f64 + self.bounds.slack;
         let left = bound * TRIAL_PART - spent.exposed as f64;
@@ -306,7 +306,7 @@
         let time = self.advance_at(seen.longest_request).saturating_sub(now);
         let missing = (TRIAL_ANSWERS - spent.exposed as f64).max(0.0);
         let wanted = missing / (rate * time.max(HORIZON).as_secs_f64());
-        let Engines { ordered, others } = seen.engines;
+        let UpstreamCounts { ordered, others } = seen.engines;
         let of_engines = ordered as f64 / (ordered + others).max(1) as f64;
         let (least, most) = TRIAL_SHARES;
         wanted.clamp(least, most).min(of_engines).min(affordable).max(0.0)
--- a/crates/fernring-gateway/src/rollout/shell.rs
+++ b/crates/fernring-gateway/src/rollout/coordinator.rs
@@ -2,10 +2,10 @@
 
 use {
     super::{
-        counts::Counts,
-        decider::{Bounds, Decider, Engines, Phase, Seen, Spent},
-        meter::Meter,
-        orders::{Admits, Order, Orders, Standing, Word},
+        counts::RolloutCounts,
+        controller::{ExposureBudget, RolloutController, UpstreamCounts, Phase, Observation, ExposureSpent},
+        sampler::ShareSampler,
+        orders::{AdmittedVersions, RolloutOrder, RolloutOrders, RolloutProgress, KnownOrder},
     },
     crate::{
         config::ConfigState,
@@ -46,13 +46,13 @@
 /// What this node counts of one order.
 struct Own {
     at: Position,
-    meter: Meter,
-    counts: Counts,
+    meter: ShareSampler,
+    counts: RolloutCounts,
 }
 
 /// The last report of a node.
 struct Reported {
-    counts: Counts,
+    counts: RolloutCounts,
     incarnation: u64,
     is_drained: bool,
     heard_at: Duration,
@@ -61,16 +61,16 @@
 /// An order that this node decides.
 struct Deciding {
     at: Position,
-    decider: Decider,
+    decider: RolloutController,
     reports: HashMap<SocketAddr, Reported>,
     /// What nodes had counted that have started again since.
-    before_restarts: Counts,
+    before_restarts: RolloutCounts,
     /// Whether the state in the store was read.
     is_read: bool,
     /// Number that the next record of the state gets; `None` if that is to be read again.
     end: Option<u64>,
     /// What of the state is in the store.
-    written: Option<(RolloutState, Spent)>,
+    written: Option<(RolloutState, ExposureSpent)>,
     is_busy: bool,
 }
 
@@ -83,13 +83,13 @@
     upstreams: Rc<Upstreams>,
     peers: Rc<Peers>,
     settings: Cell<RolloutSettings>,
-    orders: RefCell<Orders>,
+    orders: RefCell<RolloutOrders>,
     own: RefCell<BTreeMap<Arc<str>, Own>>,
     deciding: RefCell<BTreeMap<Arc<str>, Deciding>>,
 }
 
 /// A send to a service that has an order, until its end.
-pub struct Trial {
+pub struct TrackedSend {
     rollouts: Rc<Rollouts>,
     service: Arc<str>,
     at: Position,
@@ -108,27 +108,27 @@
     Failed,
 }
 
-impl std::fmt::Debug for Trial {
+impl std::fmt::Debug for TrackedSend {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Trial").field("is_ordered", &self.is_ordered).finish_non_exhaustive()
     }
 }
 
-impl Trial {
+impl TrackedSend {
     /// Takes in that the answer is good so far.
-    pub fn whole(&self) {
+    pub fn record_success(&self) {
         let took = self.rollouts.now().saturating_sub(self.began_at);
         self.judge(Judged::Whole, Some(took));
     }
 
     /// Takes in that a call on pieces ended well, after `took` where `usual` is expected.
-    pub fn call_whole(&self, took: Duration, usual: Duration) {
+    pub fn record_call_success(&self, took: Duration, usual: Duration) {
         let factor = took.as_secs_f64() / usual.as_secs_f64().max(1e-3);
         self.judge(Judged::Whole, Some(USUAL_CALL.mul_f64(factor.min(1_000.0))));
     }
 
     /// Takes in that it failed.
-    pub fn failed(&self) {
+    pub fn record_failure(&self) {
         self.judge(Judged::Failed, None);
     }
 
@@ -142,17 +142,17 @@
         }
         self.rollouts.with_own(&self.service, self.at, |own| {
             let answers = own.counts.routes.entry(self.route.clone()).or_default();
-            let answers = if self.is_ordered { &mut answers.ordered } else { &mut answers.others };
+            let answers = if self.is_ordered { &mut answers.destination } else { &mut answers.others };
             answers.add(took);
         });
     }
 }
 
-impl Drop for Trial {
+impl Drop for TrackedSend {
     fn drop(&mut self) {
         if !self.is_ordered {
             self.rollouts.with_own(&self.service, self.at, |own| {
-                own.counts.at_others = own.counts.at_others.saturating_sub(1);
+                own.counts.in_flight_at_others = own.counts.in_flight_at_others.saturating_sub(1);
             });
         }
     }
@@ -189,12 +189,12 @@
     }
 
     /// Returns how far the newest order of a service is, if it has one.
-    pub fn standing(&self, service: &str) -> Option<Standing> {
-        self.orders.borrow().word(service).map(|word| word.standing)
+    pub fn progress(&self, service: &str) -> Option<RolloutProgress> {
+        self.orders.borrow().word(service).map(|word| word.progress)
     }
 
     /// Takes in the operators' orders of a page of records. `is_whole` tells whether there are no others up to `end`.
-    pub fn take_records(
+    pub fn apply_records(
         &self,
         records: Vec<(Position, RolloutRecord)>,
         is_whole: bool,
@@ -218,14 +218,14 @@
         self.apply();
     }
 
-    fn take_order(&self, service: &Arc<str>, order: Order, at: Position, is_whole: bool) {
+    fn take_order(&self, service: &Arc<str>, order: RolloutOrder, at: Position, is_whole: bool) {
         // One among all records may be long done.
-        let standing = if is_whole { Standing::Unknown } else { Standing::ORDERED };
+        let standing = if is_whole { RolloutProgress::Unknown } else { RolloutProgress::INITIAL };
         let line = LogLine::event("rollout_ordered").with("service", service);
         let line = line.with("destination", &order.destination).with("record", at);
         let line = line.with("duration_ms", order.duration.as_millis());
         let deadline_at = self.now() + order.duration;
-        let word = Word { order, at, deadline_at, standing };
+        let word = KnownOrder { order, at, deadline_at, progress: standing };
         if self.orders.borrow_mut().learn(service, word) {
             log::info(line);
         }
@@ -242,15 +242,15 @@
     }
 
     /// Takes in what a peer says of orders.
-    pub fn told(&self, words: &[RolloutWord]) {
+    pub fn handle_messages(&self, words: &[RolloutWord]) {
         if words.is_empty() {
             return;
         }
         let now = self.now();
         for told in words {
             let (service, word) = rollout_word_from(now, told);
-            let before = self.standing(&service);
-            let (standing, at) = (word.standing, word.at);
+            let before = self.progress(&service);
+            let (standing, at) = (word.progress, word.at);
             if self.orders.borrow_mut().learn(&service, word) {
                 self.log_standing(&service, before, standing);
             }
@@ -261,11 +261,11 @@
         self.apply();
     }
 
-    fn log_standing(&self, service: &Arc<str>, before: Option<Standing>, standing: Standing) {
+    fn log_standing(&self, service: &Arc<str>, before: Option<RolloutProgress>, standing: RolloutProgress) {
         let share = |standing| match standing {
-            Standing::Running { share, .. } => share,
-            Standing::Completed => 1.0,
-            Standing::Unknown | Standing::RolledBack => 0.0,
+            RolloutProgress::Running { share, .. } => share,
+            RolloutProgress::Completed => 1.0,
+            RolloutProgress::Unknown | RolloutProgress::RolledBack => 0.0,
         };
         if before.is_some_and(|before| share(before) == share(standing)) && !standing.is_final() {
             return;
@@ -276,10 +276,10 @@
     }
 
     /// Returns what is to be told to peers.
-    pub fn words(&self) -> Vec<RolloutWord> {
+    pub fn messages(&self) -> Vec<RolloutWord> {
         let now = self.now();
         let orders = self.orders.borrow();
-        let word = |(service, word): (&Arc<str>, &Word)| {
+        let word = |(service, word): (&Arc<str>, &KnownOrder)| {
             rollout_word(now, service, word, orders.is_withdrawn(service))
         };
         orders.words().map(word).collect()
@@ -300,9 +300,9 @@
     }
 
     /// Tells whether a new request to a service goes to the ordered version, and counts it.
-    pub fn takes_ordered(&self, service: &Arc<str>) -> bool {
+    pub fn sample_destination(&self, service: &Arc<str>) -> bool {
         match self.upstreams.admits(service) {
-            Some(Admits::Share(share)) => self.with_meter(service, |meter| meter.take(share)),
+            Some(AdmittedVersions::Share(share)) => self.with_meter(service, |meter| meter.take(share)),
             _ => false,
         }
     }
@@ -310,7 +310,7 @@
     /// Tells whether a call on pieces may go to an upstream now.
     pub fn admits_call(&self, service: &Arc<str>, target: &Target) -> bool {
         match self.upstreams.admits(service) {
-            Some(Admits::Share(_)) if self.is_ordered(service, target) => {
+            Some(AdmittedVersions::Share(_)) if self.is_ordered(service, target) => {
                 self.with_meter(service, |meter| meter.has_turn())
             }
             _ => true,
@@ -319,7 +319,7 @@
 
     /// Counts a call on pieces.
     pub fn count_call(&self, service: &Arc<str>, target: &Target) {
-        if let Some(Admits::Share(share)) = self.upstreams.admits(service) {
+        if let Some(AdmittedVersions::Share(share)) = self.upstreams.admits(service) {
             let is_ordered = self.is_ordered(service, target);
             self.with_meter(service, |meter| {
                 meter.count(share);
@@ -328,7 +328,7 @@
         }
     }
 
-    fn with_meter(&self, service: &Arc<str>, change: impl FnOnce(&mut Meter) -> bool) -> bool {
+    fn with_meter(&self, service: &Arc<str>, change: impl FnOnce(&mut ShareSampler) -> bool) -> bool {
         let Some(at) = self.orders.borrow().word(service).map(|word| word.at) else {
             return false;
         };
@@ -343,23 +343,23 @@
     }
 
     /// Counts a send to a service, if it has an order under way. `is_first` tells whether the request was sent before.
-    pub fn began(
+    pub fn track_send(
         self: &Rc<Self>,
         service: &Arc<str>,
         target: &Target,
         route: &Arc<str>,
         is_first: bool,
-    ) -> Option<Trial> {
+    ) -> Option<TrackedSend> {
         let orders = self.orders.borrow();
-        let word = orders.word(service).filter(|word| !word.standing.is_final())?;
+        let word = orders.word(service).filter(|word| !word.progress.is_final())?;
         let (at, is_ordered) = (word.at, word.order.destination == target.version);
         drop(orders);
         self.with_own(service, at, |own| {
             own.counts.requests += u64::from(is_first);
             own.counts.exposed += u64::from(is_ordered);
-            own.counts.at_others += u64::from(!is_ordered);
+            own.counts.in_flight_at_others += u64::from(!is_ordered);
         });
-        Some(Trial {
+        Some(TrackedSend {
             rollouts: self.clone(),
             service: service.clone(),
             at,
@@ -372,17 +372,17 @@
     }
 
     /// Counts a call on pieces like a request.
-    pub fn began_call(self: &Rc<Self>, service: &Arc<str>, target: &Target) -> Option<Trial> {
+    pub fn began_call(self: &Rc<Self>, service: &Arc<str>, target: &Target) -> Option<TrackedSend> {
         if self.orders.borrow().is_empty() {
             return None;
         }
-        self.began(service, target, &CALLS.into(), true)
+        self.track_send(service, target, &CALLS.into(), true)
     }
 
     /// Changes what is counted of an order, unless that is over.
     fn with_own(&self, service: &Arc<str>, at: Position, change: impl FnOnce(&mut Own)) {
         let mut own = self.own.borrow_mut();
-        let new = || Own { at, meter: Meter::new(rand::random()), counts: Counts::default() };
+        let new = || Own { at, meter: ShareSampler::new(rand::random()), counts: RolloutCounts::default() };
         let own = own.entry(service.clone()).or_insert_with(new);
         if own.at < at {
             *own = new();
@@ -405,7 +405,7 @@
     fn round(self: &Rc<Self>) {
         let open: Vec<_> = {
             let orders = self.orders.borrow();
-            let open = orders.words().filter(|(_, word)| !word.standing.is_final());
+            let open = orders.words().filter(|(_, word)| !word.progress.is_final());
             open.map(|(service, word)| (service.clone(), word.clone())).collect()
         };
         let is_open = |service: &Arc<str>, deciding: &mut Deciding| {
@@ -416,7 +416,7 @@
             let decider = self.peers.owner(&format!("rollout {service}"));
             let report = self.report(service, word);
             if decider == self.peers.address() {
-                self.reported(decider, report);
+                self.handle_report(decider, report);
                 self.decide(service, word);
             } else {
                 self.deciding.borrow_mut().remove(service);
@@ -426,14 +426,14 @@
         self.apply();
     }
 
-    fn report(&self, service: &Arc<str>, word: &Word) -> RolloutReport {
+    fn report(&self, service: &Arc<str>, word: &KnownOrder) -> RolloutReport {
         let mut report = None;
-        let serves_alone = matches!(word.standing, Standing::Running { share, .. } if share >= 1.0);
+        let serves_alone = matches!(word.progress, RolloutProgress::Running { share, .. } if share >= 1.0);
         // Requests from before the order aren't counted with it.
         let is_idle =
             serves_alone && !self.upstreams.has_work_at_others(service, &word.order.destination);
         self.with_own(service, word.at, |own| {
-            let is_drained = is_idle && own.counts.at_others == 0;
+            let is_drained = is_idle && own.counts.in_flight_at_others == 0;
             report = Some(rollout_report(service, word.at, &own.counts, is_drained));
         });
         let incarnation = self.peers.incarnation();
@@ -441,7 +441,7 @@
     }
 
     /// Takes in a node's report.
-    pub fn reported(&self, sender: SocketAddr, report: RolloutReport) {
+    pub fn handle_report(&self, sender: SocketAddr, report: RolloutReport) {
         let service: Arc<str> = report.service.as_str().into();
         let at = Position::new(report.era, report.offset);
         let word = self.orders.borrow().word(&service).cloned();
@@ -461,19 +461,19 @@
         if let Some(before) = deciding.reports.insert(sender, reported)
             && before.incarnation != incarnation
         {
-            deciding.before_restarts += &Counts { at_others: 0, ..before.counts };
+            deciding.before_restarts += &RolloutCounts { in_flight_at_others: 0, ..before.counts };
         }
     }
 
-    fn start_deciding(&self, word: &Word) -> Deciding {
+    fn start_deciding(&self, word: &KnownOrder) -> Deciding {
         let RolloutSettings { share, slack } = self.settings.get();
-        let bounds = Bounds { share, slack };
+        let bounds = ExposureBudget { share, slack };
         let duration = word.order.duration;
         Deciding {
             at: word.at,
-            decider: Decider::new(bounds, word.deadline_at, duration, Spent::default()),
+            decider: RolloutController::new(bounds, word.deadline_at, duration, ExposureSpent::default()),
             reports: HashMap::new(),
-            before_restarts: Counts::default(),
+            before_restarts: RolloutCounts::default(),
             is_read: false,
             end: None,
             written: None,
@@ -481,7 +481,7 @@
         }
     }
 
-    fn decide(self: &Rc<Self>, service: &Arc<str>, word: &Word) {
+    fn decide(self: &Rc<Self>, service: &Arc<str>, word: &KnownOrder) {
         let now = self.now();
         let mut all = self.deciding.borrow_mut();
         let Some(deciding) = all.get_mut(service) else {
@@ -496,7 +496,7 @@
             return;
         }
         let counts = deciding.sum();
-        let seen = Seen {
+        let seen = Observation {
             counts: &counts,
             engines: self.engines(service, &word.order.destination),
             is_complete: self.is_complete(deciding),
@@ -525,16 +525,16 @@
         }
         drop(all);
         // An end is one when the store holds it: another decider may have written the other.
-        let standing = Standing::Running { share, serial: next_serial(word), said_at: now };
-        self.orders.borrow_mut().learn(service, Word { standing, ..word.clone() });
+        let standing = RolloutProgress::Running { share, serial: next_serial(word), announced_at: now };
+        self.orders.borrow_mut().learn(service, KnownOrder { progress: standing, ..word.clone() });
     }
 
     fn write_state(
         self: &Rc<Self>,
         service: &Arc<str>,
-        word: &Word,
+        word: &KnownOrder,
         deciding: &mut Deciding,
-        spent: Spent,
+        spent: ExposureSpent,
     ) {
         let state = deciding.state();
         let Some(end) = deciding.end else {
@@ -555,9 +555,9 @@
     async fn write(
         self: Rc<Self>,
         service: Arc<str>,
-        word: Word,
+        word: KnownOrder,
         status: RolloutStatus,
-        spent: Spent,
+        spent: ExposureSpent,
         end: u64,
     ) {
         let (key, value) = self.wire.encode_rollout_status(&service, &status);
@@ -582,7 +582,7 @@
         match written {
             Ok(()) => {
                 if let Some(standing) = final_standing(state) {
-                    self.ended(&service, Word { standing, ..word }, state);
+                    self.ended(&service, KnownOrder { progress: standing, ..word }, state);
                 }
             }
             Err(error) => {
@@ -592,7 +592,7 @@
         }
     }
 
-    fn ended(&self, service: &Arc<str>, word: Word, state: RolloutState) {
+    fn ended(&self, service: &Arc<str>, word: KnownOrder, state: RolloutState) {
         let line = LogLine::event("rollout_ended").with("service", service);
         let line = line.with("destination", &word.order.destination);
         log::info(line.with("state", state.name()));
@@ -601,7 +601,7 @@
     }
 
     /// Reads how far a decider of before came.
-    async fn read_state(self: Rc<Self>, service: Arc<str>, word: Word) {
+    async fn read_state(self: Rc<Self>, service: Arc<str>, word: KnownOrder) {
         let page = self.store.newest(Topic::Rollouts, None).await;
         let page = page.map(|newest| newest.page);
         let status = page.as_ref().ok().and_then(|page| {
@@ -626,27 +626,27 @@
         let Some(status) = status else {
             return;
         };
-        let spent = Spent { requests: status.requests, exposed: status.exposed };
+        let spent = ExposureSpent { requests: status.requests, exposed: status.exposed };
         deciding.written = Some((status.state, spent));
         if let Some(standing) = final_standing(status.state) {
             drop(all);
-            self.ended(&service, Word { standing, ..word }, status.state);
+            self.ended(&service, KnownOrder { progress: standing, ..word }, status.state);
         } else if deciding.decider.phase() == Phase::Waiting {
             let left_ms = status.deadline_ms.saturating_sub(self.clock.now().wall_ms());
             let deadline_at = self.now() + Duration::from_millis(left_ms);
             let deadline_at = deadline_at.min(word.deadline_at);
             let RolloutSettings { share, slack } = self.settings.get();
-            let bounds = Bounds { share, slack };
-            deciding.decider = Decider::new(bounds, deadline_at, word.order.duration, spent);
+            let bounds = ExposureBudget { share, slack };
+            deciding.decider = RolloutController::new(bounds, deadline_at, word.order.duration, spent);
             drop(all);
-            self.orders.borrow_mut().learn(&service, Word { deadline_at, ..word });
+            self.orders.borrow_mut().learn(&service, KnownOrder { deadline_at, ..word });
         }
     }
 
-    fn engines(&self, service: &str, destination: &Arc<str>) -> Engines {
+    fn engines(&self, service: &str, destination: &Arc<str>) -> UpstreamCounts {
         let now = self.now();
         let directory = self.upstreams.directory();
-        let mut engines = Engines::default();
+        let mut engines = UpstreamCounts::default();
         for (_, upstream) in directory.of_service(service) {
             if !upstream.takes_work() || upstream.is_cold(now) {
                 continue;
@@ -692,7 +692,7 @@
 }
 
 impl Deciding {
-    fn sum(&self) -> Counts {
+    fn sum(&self) -> RolloutCounts {
         let mut sum = self.before_restarts.clone();
         self.reports.values().for_each(|reported| sum += &reported.counts);
         sum
@@ -707,23 +707,23 @@
     }
 
     /// Tells whether so much was spent since the last record that another decider has to know.
-    fn has_progress(&self, spent: Spent) -> bool {
+    fn has_progress(&self, spent: ExposureSpent) -> bool {
         self.written.is_none_or(|(_, written)| spent.exposed >= written.exposed.max(8) * 2)
     }
 }
 
-fn next_serial(word: &Word) -> u64 {
-    match word.standing {
-        Standing::Running { serial, .. } => serial + 1,
+fn next_serial(word: &KnownOrder) -> u64 {
+    match word.progress {
+        RolloutProgress::Running { serial, .. } => serial + 1,
         _ => 1,
     }
 }
 
-fn final_standing(state: RolloutState) -> Option<Standing> {
+fn final_standing(state: RolloutState) -> Option<RolloutProgress> {
     match state {
         RolloutState::Running => None,
-        RolloutState::Completed => Some(Standing::Completed),
-        RolloutState::RolledBack => Some(Standing::RolledBack),
+        RolloutState::Completed => Some(RolloutProgress::Completed),
+        RolloutState::RolledBack => Some(RolloutProgress::RolledBack),
     }
 }
 
--- a/crates/fernring-gateway/src/rollout/counts.rs
+++ b/crates/fernring-gateway/src/rollout/counts.rs
@@ -8,36 +8,36 @@
 };
 
 /// Classes of times. Each spans a quarter of an octave from a millisecond on, so that the last begins at a minute.
-pub const TIME_CLASSES: usize = 64;
+pub const LATENCY_BUCKETS: usize = 64;
 /// Classes to an octave.
 const CLASSES_PER_OCTAVE: f64 = 4.0;
 
 /// Returns the class of a time.
-pub fn time_class(time: Duration) -> usize {
+pub fn latency_bucket(time: Duration) -> usize {
     let ms = (time.as_secs_f64() * 1_000.0).max(1.0);
-    ((ms.log2() * CLASSES_PER_OCTAVE) as usize).min(TIME_CLASSES - 1)
+    ((ms.log2() * CLASSES_PER_OCTAVE) as usize).min(LATENCY_BUCKETS - 1)
 }
 
 /// Answers of one version on one route.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Answers {
+pub struct AnswerStats {
     /// Failures.
     pub failed: u64,
     /// The others, by the class of the time that they took.
-    pub times: [u32; TIME_CLASSES],
+    pub times: [u32; LATENCY_BUCKETS],
 }
 
-impl Default for Answers {
+impl Default for AnswerStats {
     fn default() -> Self {
-        Self { failed: 0, times: [0; TIME_CLASSES] }
+        Self { failed: 0, times: [0; LATENCY_BUCKETS] }
     }
 }
 
-impl Answers {
+impl AnswerStats {
     /// Counts an answer; `None` stands for a failure.
     pub fn add(&mut self, took: Option<Duration>) {
         match took {
-            Some(took) => self.times[time_class(took)] += 1,
+            Some(took) => self.times[latency_bucket(took)] += 1,
             None => self.failed += 1,
         }
     }
@@ -71,7 +71,7 @@
     }
 }
 
-impl AddAssign<&Answers> for Answers {
+impl AddAssign<&AnswerStats> for AnswerStats {
     fn add_assign(&mut self, other: &Self) {
         self.failed += other.failed;
         for (own, others) in self.times.iter_mut().zip(&other.times) {
@@ -80,46 +80,46 @@
     }
 }
 
-impl Sub for &Answers {
-    type Output = Answers;
+impl Sub for &AnswerStats {
+    type Output = AnswerStats;
 
-    fn sub(self, other: Self) -> Answers {
+    fn sub(self, other: Self) -> AnswerStats {
         let times =
             std::array::from_fn(|class| self.times[class].saturating_sub(other.times[class]));
-        Answers { failed: self.failed.saturating_sub(other.failed), times }
+        AnswerStats { failed: self.failed.saturating_sub(other.failed), times }
     }
 }
 
 /// Answers on one route.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct RouteAnswers {
+pub struct RouteStats {
     /// Those of the ordered version.
-    pub ordered: Answers,
+    pub destination: AnswerStats,
     /// Those of the others.
-    pub others: Answers,
+    pub others: AnswerStats,
 }
 
 /// What a node, or all nodes together, count since an order was given.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct RolloutCounts {
     /// Requests sent to the service.
     pub requests: u64,
     /// Sends to the ordered version, repeats included.
     pub exposed: u64,
     /// Requests in hand at other versions.
-    pub at_others: u64,
+    pub in_flight_at_others: u64,
     /// Answers by route.
-    pub routes: BTreeMap<Arc<str>, RouteAnswers>,
+    pub routes: BTreeMap<Arc<str>, RouteStats>,
 }
 
-impl AddAssign<&Counts> for Counts {
+impl AddAssign<&RolloutCounts> for RolloutCounts {
     fn add_assign(&mut self, other: &Self) {
         self.requests += other.requests;
         self.exposed += other.exposed;
-        self.at_others += other.at_others;
+        self.in_flight_at_others += other.in_flight_at_others;
         for (route, answers) in &other.routes {
             let own = self.routes.entry(route.clone()).or_default();
-            own.ordered += &answers.ordered;
+            own.destination += &answers.destination;
             own.others += &answers.others;
         }
     }
--- a/crates/fernring-gateway/src/rollout/mod.rs
+++ b/crates/fernring-gateway/src/rollout/mod.rs
@@ -18,8 +18,8 @@
 //! ```
 
 pub mod counts;
-pub mod decider;
-pub mod meter;
+pub mod controller;
+pub mod sampler;
 pub mod orders;
-pub mod shell;
-pub mod verdict;
+pub mod coordinator;
+pub mod comparison;
--- a/crates/fernring-gateway/src/rollout/orders.rs
+++ b/crates/fernring-gateway/src/rollout/orders.rs
@@ -17,7 +17,7 @@
 
 /// An operator's order.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Order {
+pub struct RolloutOrder {
     /// The version that is to serve.
     pub destination: Arc<str>,
     /// Time in which it is to be done.
@@ -26,7 +26,7 @@
 
 /// How far a roll-out is.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Standing {
+pub enum RolloutProgress {
     /// The order was found in the store, and its state isn't read yet.
     Unknown,
     /// It is under way.
@@ -36,7 +36,7 @@
         /// Rises with each word of a decider.
         serial: u64,
         /// When the decider said so.
-        said_at: Duration,
+        announced_at: Duration,
     },
     /// The ordered version serves alone.
     Completed,
@@ -44,9 +44,9 @@
     RolledBack,
 }
 
-impl Standing {
+impl RolloutProgress {
     /// The standing of an order that nobody has decided on.
-    pub const ORDERED: Self = Self::Running { share: 0.0, serial: 0, said_at: Duration::ZERO };
+    pub const INITIAL: Self = Self::Running { share: 0.0, serial: 0, announced_at: Duration::ZERO };
 
     /// Tells whether it stays so.
     pub fn is_final(&self) -> bool {
@@ -66,20 +66,20 @@
 
 /// What is known of a service's newest order.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Word {
+pub struct KnownOrder {
     /// The order.
-    pub order: Order,
+    pub order: RolloutOrder,
     /// Where it lies in the store.
     pub at: Position,
     /// When it is to be done.
     pub deadline_at: Duration,
     /// How far it is.
-    pub standing: Standing,
+    pub progress: RolloutProgress,
 }
 
 /// Which versions of a service get requests.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Admits {
+pub enum AdmittedVersions {
     /// All but the ordered one.
     Others,
     /// All but the ordered one; that one if no other is there.
@@ -94,16 +94,16 @@
 
 /// What an order makes of the upstreams of its service.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Rule {
+pub struct VersionRule {
     /// The ordered version.
     pub destination: Arc<str>,
     /// Which versions get requests.
-    pub admits: Admits,
+    pub admits: AdmittedVersions,
     /// Versions that were ordered before and are over.
     pub barred: BTreeSet<Arc<str>>,
 }
 
-impl Rule {
+impl VersionRule {
     /// Tells whether upstreams of a version may get requests. `has_others` tells whether upstreams of other versions than the
     /// ordered one are there.
     pub fn admits(&self, version: &str, has_others: bool) -> bool {
@@ -112,17 +112,17 @@
             return false;
         }
         match self.admits {
-            Admits::Others => !is_destination,
-            Admits::OthersFirst => !is_destination || !has_others,
-            Admits::Share(_) | Admits::DestinationFirst => true,
-            Admits::Destination => is_destination,
+            AdmittedVersions::Others => !is_destination,
+            AdmittedVersions::OthersFirst => !is_destination || !has_others,
+            AdmittedVersions::Share(_) | AdmittedVersions::DestinationFirst => true,
+            AdmittedVersions::Destination => is_destination,
         }
     }
 }
 
 #[derive(Debug, Clone)]
 struct Known {
-    word: Word,
+    word: KnownOrder,
     /// Versions that were ordered before and are over.
     barred: BTreeSet<Arc<str>>,
     is_withdrawn: bool,
@@ -130,14 +130,14 @@
 
 /// The newest order of each service.
 #[derive(Debug, Clone, Default)]
-pub struct Orders {
+pub struct RolloutOrders {
     /// Invariant: at most [`SERVICES_MAX`] entries.
     by_service: BTreeMap<Arc<str>, Known>,
 }
 
-impl Orders {
+impl RolloutOrders {
     /// Takes in a word on a service, from anywhere; tells whether it is news.
-    pub fn learn(&mut self, service: &Arc<str>, word: Word) -> bool {
+    pub fn learn(&mut self, service: &Arc<str>, word: KnownOrder) -> bool {
         let Some(known) = self.by_service.get_mut(service) else {
             if self.by_service.len() >= SERVICES_MAX {
                 return false;
@@ -152,7 +152,7 @@
         if word.at > known.word.at {
             let before = std::mem::replace(&mut known.word, word);
             known.is_withdrawn = false;
-            if before.standing != Standing::Completed {
+            if before.progress != RolloutProgress::Completed {
                 known.barred.insert(before.order.destination);
             }
             known.barred.remove(&known.word.order.destination);
@@ -160,9 +160,9 @@
         }
         // Who heard of it first knows best when it was given.
         known.word.deadline_at = known.word.deadline_at.min(word.deadline_at);
-        let is_newer = word.standing.is_newer_than(&known.word.standing);
+        let is_newer = word.progress.is_newer_than(&known.word.progress);
         if is_newer {
-            known.word.standing = word.standing;
+            known.word.progress = word.progress;
         }
         is_newer
     }
@@ -172,7 +172,7 @@
         let Some(known) = self.by_service.get_mut(service) else {
             return false;
         };
-        let is_over = known.word.standing.is_final() || known.is_withdrawn;
+        let is_over = known.word.progress.is_final() || known.is_withdrawn;
         if is_over || at <= known.word.at {
             return false;
         }
@@ -193,7 +193,7 @@
     }
 
     /// Returns what is known of a service's order.
-    pub fn word(&self, service: &str) -> Option<&Word> {
+    pub fn word(&self, service: &str) -> Option<&KnownOrder> {
         self.by_service.get(service).map(|known| &known.word)
     }
 
@@ -203,7 +203,7 @@
     }
 
     /// Lists all words.
-    pub fn words(&self) -> impl Iterator<Item = (&Arc<str>, &Word)> {
+    pub fn words(&self) -> impl Iterator<Item = (&Arc<str>, &KnownOrder)> {
         self.by_service.iter().map(|(service, known)| (service, &known.word))
     }
 
@@ -213,25 +213,25 @@
     }
 
     /// Returns what a service's order makes of its upstreams now.
-    pub fn rule(&self, now: Duration, service: &str) -> Option<Rule> {
+    pub fn rule(&self, now: Duration, service: &str) -> Option<VersionRule> {
         let known = self.by_service.get(service)?;
-        let admits = match known.word.standing {
-            Standing::Completed => Admits::Destination,
-            Standing::RolledBack => Admits::Others,
-            Standing::Unknown => Admits::OthersFirst,
-            Standing::Running { .. } if known.is_withdrawn => Admits::Others,
-            Standing::Running { share, said_at, .. } => {
+        let admits = match known.word.progress {
+            RolloutProgress::Completed => AdmittedVersions::Destination,
+            RolloutProgress::RolledBack => AdmittedVersions::Others,
+            RolloutProgress::Unknown => AdmittedVersions::OthersFirst,
+            RolloutProgress::Running { .. } if known.is_withdrawn => AdmittedVersions::Others,
+            RolloutProgress::Running { share, announced_at: said_at, .. } => {
                 let is_fresh = now < said_at + SHARE_LIFETIME;
                 match is_fresh {
-                    true if share >= 1.0 => Admits::Destination,
-                    true if share > 0.0 => Admits::Share(share),
+                    true if share >= 1.0 => AdmittedVersions::Destination,
+                    true if share > 0.0 => AdmittedVersions::Share(share),
                     // The others may have been stopped since.
-                    false if share >= 1.0 => Admits::DestinationFirst,
-                    _ => Admits::Others,
+                    false if share >= 1.0 => AdmittedVersions::DestinationFirst,
+                    _ => AdmittedVersions::Others,
                 }
             }
         };
         let destination = known.word.order.destination.clone();
-        Some(Rule { destination, admits, barred: known.barred.clone() })
+        Some(VersionRule { destination, admits, barred: known.barred.clone() })
     }
 }
--- a/crates/fernring-gateway/src/rollout/meter.rs
+++ b/crates/fernring-gateway/src/rollout/sampler.rs
@@ -6,12 +6,12 @@
 
 /// Counts towards the next request for the ordered version.
 #[derive(Debug, Clone, Copy)]
-pub struct Meter {
+pub struct ShareSampler {
     /// Invariant: from 0 to 1 between two requests.
     credit: f64,
 }
 
-impl Meter {
+impl ShareSampler {
     /// Starts at a point from 0 to 1, which is drawn.
     pub fn new(draw: f64) -> Self {
         Self { credit: draw.clamp(0.0, 0.999) }
--- a/crates/fernring-gateway/src/serving/context.rs
+++ b/crates/fernring-gateway/src/serving/context.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         alarm::Alarm, blame::Blame, config::ConfigState, peers::Peers, reading::ReadingSpeeds,
-        retries::Retries, rollout::shell::Rollouts, settings::DecideSettings, stages::Stages,
+        retries::Retries, rollout::coordinator::Rollouts, settings::DecideSettings, stages::Stages,
         upstreams::Upstreams, wire::Wire,
     },
     fernring_core::clock::Clock,
--- a/crates/fernring-gateway/src/serving/exchange/mod.rs
+++ b/crates/fernring-gateway/src/serving/exchange/mod.rs
@@ -19,7 +19,7 @@
         model::{Repeat, RequestFields, Route, UpstreamKey, Workspace},
         refusal::Refusal,
         residency::Residency,
-        rollout::shell::Trial,
+        rollout::coordinator::TrackedSend,
         stage_plan::StagePlan,
         upstreams::{LoadGuard, Target},
     },
@@ -65,7 +65,7 @@
     load: LoadGuard,
     _held: Held,
     /// Its part in comparing versions, if its service has an order.
-    trial: Option<Trial>,
+    trial: Option<TrackedSend>,
     /// What a model engine reads before its first event, until that has come.
     reads: Option<Reads>,
 }
@@ -411,7 +411,7 @@
     /// Takes in that what came of the answer is good.
     pub fn is_whole_so_far(&self) {
         if let Some(trial) = self.trial.as_ref().filter(|_| !self.is_failure()) {
-            trial.whole();
+            trial.record_success();
         }
     }
 
--- a/crates/fernring-gateway/src/serving/exchange/sending.rs
+++ b/crates/fernring-gateway/src/serving/exchange/sending.rs
@@ -8,7 +8,7 @@
         log, measures,
         model::{UpstreamFields, UpstreamKey},
         refusal::Refusal,
-        rollout::orders::Admits,
+        rollout::orders::AdmittedVersions,
         selection::{Candidate, PromptNeed, choose, choose_model},
         upstreams::{Sending, Target},
     },
@@ -106,7 +106,7 @@
     pub fn send_broke(&mut self, opened: &Opened, why: &BreakOff) {
         self.attempts.ended(SendEnd::Unknown);
         if let Some(trial) = &opened.trial {
-            trial.failed();
+            trial.record_failure();
         }
         self.serving.upstreams.failed(self.serving.now(), opened.key());
         self.note_break(&opened.target, why);
@@ -212,9 +212,9 @@
         let is_first = self.tried.is_empty();
         match admits {
             // The others missing is no reason to send more to a version that may be bad.
-            Admits::Share(_) if is_first && self.draws_ordered() => ordered,
-            Admits::Share(_) => others,
-            Admits::DestinationFirst if !is_first && !others.is_empty() => others,
+            AdmittedVersions::Share(_) if is_first && self.draws_ordered() => ordered,
+            AdmittedVersions::Share(_) => others,
+            AdmittedVersions::DestinationFirst if !is_first && !others.is_empty() => others,
             _ => ordered,
         }
     }
@@ -222,7 +222,7 @@
     /// Tells whether the request was drawn for the version that is rolled out.
     fn draws_ordered(&self) -> bool {
         self.takes_ordered.get().unwrap_or_else(|| {
-            let takes_ordered = self.serving.rollouts.takes_ordered(&self.service);
+            let takes_ordered = self.serving.rollouts.sample_destination(&self.service);
             self.takes_ordered.set(Some(takes_ordered));
             takes_ordered
         })
@@ -296,10 +296,10 @@
         let held = self.serving.blame.hold(target, self.request.content);
         let is_first = self.tried.len() <= 1;
         let (service, route) = (&self.service, &self.route.name);
-        let trial = self.serving.rollouts.began(service, target, route, is_first);
+        let trial = self.serving.rollouts.track_send(service, target, route, is_first);
         let failed = |unanswered: Unanswered| {
             if let Some(trial) = trial.as_ref().filter(|_| unanswered.end == SendEnd::Unknown) {
-                trial.failed();
+                trial.record_failure();
             }
             unanswered
         };
@@ -342,7 +342,7 @@
             return Err(failed(Unanswered::without_break(end, why)));
         }
         if let Some(trial) = trial.as_ref().filter(|_| opened.is_failure()) {
-            trial.failed();
+            trial.record_failure();
         }
         opened.trial = trial;
         Ok(opened)
--- a/crates/fernring-gateway/src/serving/exchange/staging.rs
+++ b/crates/fernring-gateway/src/serving/exchange/staging.rs
@@ -5,7 +5,7 @@
     crate::{
         backlog::rank,
         model::{PieceInput, StageSpec},
-        owner::{Work, WorkEnd},
+        owner::{Work, WorkOutcome},
         refusal::Refusal,
         stage_plan::StagePlan,
     },
@@ -71,20 +71,20 @@
         }
         for _ in 0..STAGE_ROUNDS_MAX {
             match self.run_stages().await {
-                WorkEnd::Made(_) => {
+                WorkOutcome::Completed(_) => {
                     self.inputs = self.plan.final_handles();
                     return Ok(());
                 }
-                WorkEnd::InputGone => {
+                WorkOutcome::InputGone => {
                     self.release_all();
                     let counts = &self.request.fields.piece_counts;
                     self.plan = StagePlan::new(&self.route.stages, counts);
                 }
-                WorkEnd::TurnedAway => {
+                WorkOutcome::Quarantined => {
                     return Err(self.give_up(ResultCode::NoUpstream, "a stage failed"));
                 }
-                WorkEnd::Late => return Err(self.give_up(ResultCode::ExpiredInQueue, "stage")),
-                WorkEnd::Failed | WorkEnd::OwnerLost | WorkEnd::NoMakers => {
+                WorkOutcome::Late => return Err(self.give_up(ResultCode::ExpiredInQueue, "stage")),
+                WorkOutcome::Failed | WorkOutcome::OwnerLost | WorkOutcome::NoWorkers => {
                     let code = if self.evacuated_service().is_some() {
                         ResultCode::Evacuated
                     } else if self.outside_service().is_some() {
@@ -99,14 +99,14 @@
         Err(self.give_up(ResultCode::NoUpstream, "results of stages were lost"))
     }
 
-    async fn run_stages(&mut self) -> WorkEnd {
+    async fn run_stages(&mut self) -> WorkOutcome {
         let serving = self.serving.clone();
         let lead = self.chain_lead();
         let mut running = FuturesUnordered::new();
         loop {
             for stage in self.plan.start_ready(lead) {
                 let Some(work) = self.stage_work(stage) else {
-                    return WorkEnd::NoMakers;
+                    return WorkOutcome::NoWorkers;
                 };
                 self.promises.remove(&stage);
                 let stages = &serving.stages;
@@ -114,10 +114,10 @@
             }
             let Some((stage, end)) = running.next().await else {
                 debug_assert!(self.plan.is_done());
-                return WorkEnd::Made(Vec::new());
+                return WorkOutcome::Completed(Vec::new());
             };
             match end {
-                WorkEnd::Made(handles) => self.plan.finish(stage, handles),
+                WorkOutcome::Completed(handles) => self.plan.finish(stage, handles),
                 other => return other,
             }
             for (stage, handles) in self.plan.take_spent() {
@@ -157,19 +157,19 @@
         Some(Work {
             pool,
             request_id: self.request.id.clone(),
-            content: self.request.content,
+            fingerprint: self.request.content,
             stage: stage as u32,
             pieces: self.plan.count(stage),
             input,
             due_at: self.due_at(stage),
-            near,
+            consumer_domain: near,
             deadline_at: self
                 .hold_until
                 .saturating_sub(self.time_after(stage) + self.reading_time()),
             priority: self.priority(),
             result_bytes: spec.result_bytes,
             residency: self.residency.clone(),
-            asker: self.serving.peers.address(),
+            requester: self.serving.peers.address(),
         })
     }
 
--- a/crates/fernring-gateway/src/stages.rs
+++ b/crates/fernring-gateway/src/stages.rs
@@ -7,7 +7,7 @@
         content::ContentKey,
         log, measures,
         model::PieceInput,
-        owner::{Owner, Work, WorkEnd},
+        owner::{Owner, Work, WorkOutcome},
         peers::Peers,
         pools::{MakerPool, Splits, draw_domain},
         residency::Residency,
@@ -35,7 +35,7 @@
 #[derive(Debug)]
 struct Pending {
     owner: SocketAddr,
-    reply: oneshot::Sender<WorkEnd>,
+    reply: oneshot::Sender<WorkOutcome>,
 }
 
 /// The stages that this node has asked for, and those that peers have asked of it.
@@ -163,7 +163,7 @@
         if !self.is_by_domain(service, residency) {
             return Some(whole);
         }
-        let mut makers = self.owner.makers_by_domain(service);
+        let mut makers = self.owner.workers_by_domain(service);
         makers.retain(|(domain, _)| self.upstreams.allows(residency, domain));
         let near = near.filter(|near| makers.iter().any(|(domain, _)| domain == *near)).cloned();
         let failure_domain = near.or_else(|| draw_domain(&makers, request_id));
@@ -181,7 +181,7 @@
 
     /// Lists the services, by their short hashes, that are to be split by what this node carries of them.
     pub fn to_be_split(&self, link_bytes_per_s: f64) -> Vec<u32> {
-        let services = self.owner.to_be_split(|pool| self.owns(pool), link_bytes_per_s);
+        let services = self.owner.services_to_shard(|pool| self.owns(pool), link_bytes_per_s);
         services.iter().for_each(|service| self.said_split(*service));
         services
     }
@@ -215,17 +215,17 @@
     }
 
     /// Has the pieces of a stage made. Dropping the future cancels them.
-    pub async fn make(&self, mut work: Work) -> WorkEnd {
+    pub async fn make(&self, mut work: Work) -> WorkOutcome {
         let started = self.clock.now().monotonic;
         for _ in 0..OWNERS_MAX {
             let owner = self.owner_of(&work.pool);
             let (sender, receiver) = oneshot::channel();
             let cancel = self.ask(owner, &work, sender);
             let mut guard = CancelGuard { stages: self, cancel: Some(cancel) };
-            let end = receiver.await.unwrap_or(WorkEnd::OwnerLost);
+            let end = receiver.await.unwrap_or(WorkOutcome::OwnerLost);
             guard.cancel = None;
             drop(guard);
-            if end == WorkEnd::NoMakers {
+            if end == WorkOutcome::NoWorkers {
                 self.log_end(&work, owner, started, &end);
                 let service = work.pool.service.clone();
                 let pool = self.pool_for(&service, None, &work.request_id, &work.residency);
@@ -235,17 +235,17 @@
                 work.pool = pool;
                 continue;
             }
-            if end != WorkEnd::OwnerLost {
+            if end != WorkOutcome::OwnerLost {
                 self.log_end(&work, owner, started, &end);
                 return end;
             }
             let line = LogLine::event("stage_owner_lost").with("request", &work.request_id);
             log::warn(line.with("stage", work.stage).with("owner", owner));
         }
-        WorkEnd::Failed
+        WorkOutcome::Failed
     }
 
-    fn log_end(&self, work: &Work, owner: SocketAddr, started: Duration, end: &WorkEnd) {
+    fn log_end(&self, work: &Work, owner: SocketAddr, started: Duration, end: &WorkOutcome) {
         let now = self.clock.now().monotonic;
         measures::stage_ended(&work.pool.service, end.name(), now.saturating_sub(started));
         let line = LogLine::event("stage_ended")
@@ -272,7 +272,7 @@
         }
         let mut by_owner: HashMap<SocketAddr, Vec<Arc<str>>> = HashMap::new();
         for handle in handles {
-            let failure_domain = self.owner.domain_of_maker(service, &handle);
+            let failure_domain = self.owner.domain_of_worker(service, &handle);
             let pool = MakerPool { service: service.clone(), failure_domain };
             by_owner.entry(self.owner_address(&pool)).or_default().push(handle);
         }
@@ -307,14 +307,14 @@
             tickets.into_iter().filter_map(|ticket| pending.remove(&ticket)).collect()
         };
         for pending in lost {
-            drop(pending.reply.send(WorkEnd::OwnerLost));
+            drop(pending.reply.send(WorkOutcome::OwnerLost));
         }
         let asked: Vec<_> =
             self.foreign.borrow().keys().filter(|(asker, _)| *asker == peer).copied().collect();
         for (asker, ticket) in asked {
             self.cancel(asker, ticket);
         }
-        self.owner.release_of(peer);
+        self.owner.release_results_of(peer);
     }
 
     /// Takes in pieces that a peer asks for.
@@ -330,7 +330,7 @@
             if stages.foreign.borrow_mut().remove(&(sender, ticket)).is_none() {
                 return;
             }
-            let done = done_message(ticket, end.unwrap_or(WorkEnd::Failed));
+            let done = done_message(ticket, end.unwrap_or(WorkOutcome::Failed));
             stages.peers.send(sender, GatewayBody::WorkDone(done));
         });
     }
@@ -352,12 +352,12 @@
         }
         let handles = done.handles.iter().map(|handle| Arc::from(handle.as_str())).collect();
         let end = match done.outcome {
-            0 => WorkEnd::Made(handles),
-            1 => WorkEnd::Late,
-            2 => WorkEnd::InputGone,
-            4 => WorkEnd::TurnedAway,
-            5 => WorkEnd::NoMakers,
-            _ => WorkEnd::Failed,
+            0 => WorkOutcome::Completed(handles),
+            1 => WorkOutcome::Late,
+            2 => WorkOutcome::InputGone,
+            4 => WorkOutcome::Quarantined,
+            5 => WorkOutcome::NoWorkers,
+            _ => WorkOutcome::Failed,
         };
         drop(pending.reply.send(end));
     }
@@ -368,7 +368,7 @@
         self.owner.release(&release.service, handles);
     }
 
-    fn ask(&self, owner: SocketAddr, work: &Work, reply: oneshot::Sender<WorkEnd>) -> Cancel {
+    fn ask(&self, owner: SocketAddr, work: &Work, reply: oneshot::Sender<WorkOutcome>) -> Cancel {
         if owner == self.peers.address() {
             return Cancel::Here(self.owner.submit(work.clone(), reply));
         }
@@ -402,8 +402,8 @@
             due_ms: due_ms as i32,
             priority: work.priority,
             result_bytes: work.result_bytes,
-            near: work.near.as_deref().unwrap_or_default().to_owned(),
-            content: Bytes::copy_from_slice(work.content.bytes()),
+            near: work.consumer_domain.as_deref().unwrap_or_default().to_owned(),
+            content: Bytes::copy_from_slice(work.fingerprint.bytes()),
             allowed_regions: work.residency.regions().map(|region| region.to_string()).collect(),
         }
     }
@@ -431,11 +431,11 @@
             priority: message.priority,
             result_bytes: message.result_bytes,
             residency: residency_from(message.allowed_regions),
-            asker: sender,
+            requester: sender,
             // A node of before says nothing; what it asks for is alike to nobody's.
-            content: ContentKey::from_bytes(&message.content)
+            fingerprint: ContentKey::from_bytes(&message.content)
                 .unwrap_or_else(|| ContentKey::of(None, "", message.request_id.as_bytes())),
-            near: (!message.near.is_empty()).then(|| message.near.into()),
+            consumer_domain: (!message.near.is_empty()).then(|| message.near.into()),
         }
     }
 }
@@ -445,14 +445,14 @@
     if regions.is_empty() { Residency::default() } else { Residency::within(regions) }
 }
 
-fn done_message(ticket: u64, end: WorkEnd) -> StageDone {
+fn done_message(ticket: u64, end: WorkOutcome) -> StageDone {
     let (outcome, handles) = match end {
-        WorkEnd::Made(handles) => (0, handles),
-        WorkEnd::Late => (1, Vec::new()),
-        WorkEnd::InputGone => (2, Vec::new()),
-        WorkEnd::Failed | WorkEnd::OwnerLost => (3, Vec::new()),
-        WorkEnd::TurnedAway => (4, Vec::new()),
-        WorkEnd::NoMakers => (5, Vec::new()),
+        WorkOutcome::Completed(handles) => (0, handles),
+        WorkOutcome::Late => (1, Vec::new()),
+        WorkOutcome::InputGone => (2, Vec::new()),
+        WorkOutcome::Failed | WorkOutcome::OwnerLost => (3, Vec::new()),
+        WorkOutcome::Quarantined => (4, Vec::new()),
+        WorkOutcome::NoWorkers => (5, Vec::new()),
     };
     StageDone { ticket, outcome, handles: handles.iter().map(|h| h.to_string()).collect() }
 }
--- a/crates/fernring-gateway/src/store/records.rs
+++ b/crates/fernring-gateway/src/store/records.rs
@@ -7,8 +7,8 @@
         model::{UpstreamRecord, UpstreamState},
         position::Position,
         rollout::{
-            counts::{Answers, Counts, RouteAnswers, TIME_CLASSES},
-            orders::{Order, Standing, Word as OrderWord},
+            counts::{AnswerStats, RolloutCounts, RouteStats, LATENCY_BUCKETS},
+            orders::{RolloutOrder, RolloutProgress, KnownOrder as OrderWord},
         },
     },
     fernring_core::clock::saturating_ms,
@@ -120,11 +120,11 @@
     };
     let with =
         |standing: RolloutStanding| RolloutWord { standing: standing.into(), ..told.clone() };
-    match word.standing {
-        Standing::Unknown => with(RolloutStanding::Unknown),
-        Standing::Completed => with(RolloutStanding::Completed),
-        Standing::RolledBack => with(RolloutStanding::RolledBack),
-        Standing::Running { share, serial, said_at } => RolloutWord {
+    match word.progress {
+        RolloutProgress::Unknown => with(RolloutStanding::Unknown),
+        RolloutProgress::Completed => with(RolloutStanding::Completed),
+        RolloutProgress::RolledBack => with(RolloutStanding::RolledBack),
+        RolloutProgress::Running { share, serial, announced_at: said_at } => RolloutWord {
             share,
             serial,
             said_ms: age_ms(said_at),
@@ -137,38 +137,38 @@
 pub(crate) fn rollout_word_from(now: Duration, word: &RolloutWord) -> (Arc<str>, OrderWord) {
     let ago = |ms: u32| now.saturating_sub(Duration::from_millis(ms.into()));
     let standing = match word.standing() {
-        RolloutStanding::Unknown => Standing::Unknown,
-        RolloutStanding::Completed => Standing::Completed,
-        RolloutStanding::RolledBack => Standing::RolledBack,
-        RolloutStanding::Running => Standing::Running {
+        RolloutStanding::Unknown => RolloutProgress::Unknown,
+        RolloutStanding::Completed => RolloutProgress::Completed,
+        RolloutStanding::RolledBack => RolloutProgress::RolledBack,
+        RolloutStanding::Running => RolloutProgress::Running {
             share: word.share.clamp(0.0, 1.0),
             serial: word.serial,
-            said_at: ago(word.said_ms),
+            announced_at: ago(word.said_ms),
         },
     };
-    let order = Order {
+    let order = RolloutOrder {
         destination: word.destination.as_str().into(),
         duration: Duration::from_millis(word.duration_ms),
     };
     let at = Position::new(word.era, word.offset);
     let deadline_at = now + Duration::from_millis(word.left_ms);
-    (word.service.as_str().into(), OrderWord { order, at, deadline_at, standing })
+    (word.service.as_str().into(), OrderWord { order, at, deadline_at, progress: standing })
 }
 
 /// Encodes what a node counts of an order. Its own run is left to be named.
 pub(crate) fn rollout_report(
     service: &str,
     at: Position,
-    counts: &Counts,
+    counts: &RolloutCounts,
     is_drained: bool,
 ) -> RolloutReport {
-    let answers = |answers: &Answers| VersionAnswers {
+    let answers = |answers: &AnswerStats| VersionAnswers {
         failed: answers.failed,
         times: answers.times.to_vec(),
     };
     let routes = counts.routes.iter().map(|(route, of_route)| RouteReport {
         route: route.to_string(),
-        ordered: answers(&of_route.ordered),
+        ordered: answers(&of_route.destination),
         others: answers(&of_route.others),
     });
     RolloutReport {
@@ -178,27 +178,27 @@
         incarnation: 0,
         requests: counts.requests,
         exposed: counts.exposed,
-        at_others: counts.at_others,
+        at_others: counts.in_flight_at_others,
         is_drained,
         routes: routes.collect(),
     }
 }
 
 /// Decodes what a node counts of an order.
-pub(crate) fn rollout_counts(report: RolloutReport) -> Counts {
+pub(crate) fn rollout_counts(report: RolloutReport) -> RolloutCounts {
     let answers = |answers: VersionAnswers| {
         let time = |class: usize| answers.times.get(class).copied().unwrap_or(0);
-        Answers { failed: answers.failed, times: std::array::from_fn::<_, TIME_CLASSES, _>(time) }
+        AnswerStats { failed: answers.failed, times: std::array::from_fn::<_, LATENCY_BUCKETS, _>(time) }
     };
     let routes = report.routes.into_iter().map(|route| {
         let of_route =
-            RouteAnswers { ordered: answers(route.ordered), others: answers(route.others) };
+            RouteStats { destination: answers(route.ordered), others: answers(route.others) };
         (route.route.into(), of_route)
     });
-    Counts {
+    RolloutCounts {
         requests: report.requests,
         exposed: report.exposed,
-        at_others: report.at_others,
+        in_flight_at_others: report.at_others,
         routes: routes.collect(),
     }
 }
--- a/crates/fernring-gateway/src/store/store_loops/listing.rs
+++ b/crates/fernring-gateway/src/store/store_loops/listing.rs
@@ -104,7 +104,7 @@
     pub(super) fn upstreams_changed(&self, effects: &[Effect]) {
         self.log_changes(effects);
         self.blame.upstreams_changed(effects);
-        self.owner.upstreams_changed(effects);
+        self.owner.handle_upstream_changes(effects);
     }
 
     fn log_changes(&self, effects: &[Effect]) {
--- a/crates/fernring-gateway/src/store/store_loops/mod.rs
+++ b/crates/fernring-gateway/src/store/store_loops/mod.rs
@@ -23,7 +23,7 @@
         owner::Owner,
         peers::Peers,
         position::Position,
-        rollout::shell::Rollouts,
+        rollout::coordinator::Rollouts,
         starting::Starting,
         upstreams::Upstreams,
         whole::WholeReading,
--- a/crates/fernring-gateway/src/store/store_loops/operators.rs
+++ b/crates/fernring-gateway/src/store/store_loops/operators.rs
@@ -47,7 +47,7 @@
                 self.take_evacuation(failure_domain, word, "store");
             }
         }
-        self.rollouts.take_records(rollouts, is_whole, page.end_position());
+        self.rollouts.apply_records(rollouts, is_whole, page.end_position());
         for (record, at) in configs {
             if let Some(value) = &record.value {
                 self.take_config(value, pack(value), at.next(), "store");
@@ -83,7 +83,7 @@
         let line = LogLine::event("evacuation_taken").with("failure_domain", failure_domain);
         let line = line.with("is_in_force", is_in_force).with("source", source).with("record", at);
         log::info(line.with("upstreams", upstreams));
-        self.owner.pump_all();
+        self.owner.dispatch_all();
     }
 
     /// Takes in a configuration from anywhere: its record, the same packed, and the store's number after it.
--- a/crates/fernring-gateway/src/upstreams/versions.rs
+++ b/crates/fernring-gateway/src/upstreams/versions.rs
@@ -4,7 +4,7 @@
     super::Upstreams,
     crate::{
         model::UpstreamKey,
-        rollout::orders::{Admits, Rule},
+        rollout::orders::{AdmittedVersions, VersionRule},
     },
     std::{collections::HashMap, sync::Arc},
 };
@@ -17,16 +17,16 @@
 
 #[derive(Debug)]
 struct Held {
-    rule: Rule,
+    rule: VersionRule,
     /// Whether upstreams of other versions than the ordered one are there.
     has_others: bool,
 }
 
 impl Upstreams {
     /// Sets which versions of the services that have orders get requests.
-    pub fn set_version_rules(&self, rules: HashMap<Arc<str>, Rule>) {
+    pub fn set_version_rules(&self, rules: HashMap<Arc<str>, VersionRule>) {
         let directory = self.directory.borrow();
-        let held = |(service, rule): (Arc<str>, Rule)| {
+        let held = |(service, rule): (Arc<str>, VersionRule)| {
             let mut upstreams = directory.of_service(&service);
             let has_others = upstreams.any(|(_, u)| u.record.version != rule.destination);
             drop(upstreams);
@@ -36,7 +36,7 @@
     }
 
     /// Returns which versions of a service get requests, if it has an order.
-    pub fn admits(&self, service: &str) -> Option<Admits> {
+    pub fn admits(&self, service: &str) -> Option<AdmittedVersions> {
         let rules = self.versions.borrow();
         rules.by_service.get(service).map(|held| held.rule.admits.clone())
     }
--- a/crates/fernring-gateway/src/wire.rs
+++ b/crates/fernring-gateway/src/wire.rs
@@ -9,7 +9,7 @@
             ServingConfig, UpstreamFields,
         },
         position::Position,
-        rollout::orders::Order,
+        rollout::orders::RolloutOrder,
     },
     async_trait::async_trait,
     bytes::Bytes,
@@ -38,7 +38,7 @@
     /// The service.
     pub service: Arc<str>,
     /// The order; `None` if it was taken back, an error if it can't be read.
-    pub order: Result<Option<Order>, Malformed>,
+    pub order: Result<Option<RolloutOrder>, Malformed>,
 }
 
 /// How far a roll-out is, as it lies in the store.
--- a/crates/fernring-gateway/tests/testsuite/rollouts.rs
+++ b/crates/fernring-gateway/tests/testsuite/rollouts.rs
@@ -8,18 +8,18 @@
     fernring_gateway::{
         position::Position,
         rollout::{
-            counts::{Answers, Counts, time_class},
-            decider::{Bounds, Decider, Engines, Phase, Reason, Seen, Spent},
-            meter::Meter,
-            orders::{Admits, Order, Orders, Standing, Word},
-            verdict::{Comparison, Verdict},
+            counts::{AnswerStats, RolloutCounts, latency_bucket},
+            controller::{ExposureBudget, RolloutController, UpstreamCounts, Phase, RollbackReason, Observation, ExposureSpent},
+            sampler::ShareSampler,
+            orders::{AdmittedVersions, RolloutOrder, RolloutOrders, RolloutProgress, KnownOrder},
+            comparison::{Comparison, Verdict},
         },
     },
     rand::{RngExt, SeedableRng, rngs::StdRng},
     std::{collections::BTreeMap, sync::Arc, time::Duration},
 };
 
-const BOUNDS: Bounds = Bounds { share: 0.1, slack: 50.0 };
+const BOUNDS: ExposureBudget = ExposureBudget { share: 0.1, slack: 50.0 };
 const ROLLBACK: Duration = Duration::from_secs(5);
 const ROUND: Duration = Duration::from_millis(200);
 /// Time from a decider's word or a node's report until it is taken in: a heartbeat and the way.
@@ -145,12 +145,12 @@
 }
 
 struct Node {
-    meter: Meter,
-    counts: Counts,
+    meter: ShareSampler,
+    counts: RolloutCounts,
     /// The share that it was told, and when that was said.
     share: (f64, Duration),
     /// What it reported last, and when.
-    reported: Option<(Duration, Counts, bool)>,
+    reported: Option<(Duration, RolloutCounts, bool)>,
     /// Ends of requests in hand: when, of which version, on which route, and how.
     in_hand: Vec<(Duration, bool, usize, Option<Duration>)>,
 }
@@ -158,8 +158,8 @@
 impl Node {
     fn new(rng: &mut StdRng) -> Self {
         Self {
-            meter: Meter::new(rng.random()),
-            counts: Counts::default(),
+            meter: ShareSampler::new(rng.random()),
+            counts: RolloutCounts::default(),
             share: (0.0, Duration::ZERO),
             reported: None,
             in_hand: Vec::new(),
@@ -171,21 +171,21 @@
     format!("route-{number}").into()
 }
 
-fn word(share: f64, said_at: Duration, duration: Duration) -> Orders {
-    let mut orders = Orders::default();
-    let order = Order { destination: "v2".into(), duration };
-    let standing = Standing::Running { share, serial: 1, said_at };
+fn word(share: f64, said_at: Duration, duration: Duration) -> RolloutOrders {
+    let mut orders = RolloutOrders::default();
+    let order = RolloutOrder { destination: "v2".into(), duration };
+    let standing = RolloutProgress::Running { share, serial: 1, announced_at: said_at };
     let at = Position::new(0, 1);
-    orders.learn(&"s".into(), Word { order, at, deadline_at: duration, standing });
+    orders.learn(&"s".into(), KnownOrder { order, at, deadline_at: duration, progress: standing });
     orders
 }
 
 fn play(seed: u64, play: Play) -> Played {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut nodes: Vec<Node> = (0..play.nodes).map(|_| Node::new(&mut rng)).collect();
-    let new_decider = |spent| Decider::new(BOUNDS, play.duration, play.duration, spent);
-    let mut decider = new_decider(Spent::default());
-    let mut written = Spent::default();
+    let new_decider = |spent| RolloutController::new(BOUNDS, play.duration, play.duration, spent);
+    let mut decider = new_decider(ExposureSpent::default());
+    let mut written = ExposureSpent::default();
     let mut played = Played::default();
     let mut bad_answers: Vec<Duration> = Vec::new();
     let mut words: Vec<(Duration, f64)> = Vec::new();
@@ -219,9 +219,9 @@
             let is_ordered = match (&played.phase, rule.admits) {
                 (Some(Phase::Completed), _) => true,
                 (Some(Phase::RolledBack(_)), _) => false,
-                (None, Admits::Share(share)) => node.meter.take(share),
-                (None, Admits::Destination | Admits::DestinationFirst) => true,
-                (None, Admits::Others | Admits::OthersFirst) => false,
+                (None, AdmittedVersions::Share(share)) => node.meter.take(share),
+                (None, AdmittedVersions::Destination | AdmittedVersions::DestinationFirst) => true,
+                (None, AdmittedVersions::Others | AdmittedVersions::OthersFirst) => false,
                 (Some(_), _) => unreachable!("only ends are kept"),
             };
             played.requests += 1;
@@ -251,7 +251,7 @@
                 let fiftieth = bad_answers.get(49).filter(|at| **at + ROLLBACK < now);
                 played.was_late |= fiftieth.is_some() && play.bad != Bad::Nothing;
             } else {
-                node.counts.at_others += 1;
+                node.counts.in_flight_at_others += 1;
             }
             let ends_at = now + took.unwrap_or(usual);
             node.in_hand.push((ends_at, is_ordered, of_route, took));
@@ -264,10 +264,10 @@
                 }
                 let answers = counts.routes.entry(route(*of_route)).or_default();
                 match is_ordered {
-                    true => answers.ordered.add(*took),
+                    true => answers.destination.add(*took),
                     false => {
                         answers.others.add(*took);
-                        counts.at_others -= 1;
+                        counts.in_flight_at_others -= 1;
                     }
                 }
                 false
@@ -284,13 +284,13 @@
             if let Some((said_at, share)) = heard {
                 node.share = (*share, *said_at);
             }
-            let is_drained = node.share.0 >= 1.0 && node.counts.at_others == 0;
+            let is_drained = node.share.0 >= 1.0 && node.counts.in_flight_at_others == 0;
             node.reported = Some((now, node.counts.clone(), is_drained));
         }
         if played.phase.is_some() {
             continue;
         }
-        let mut sum = Counts::default();
+        let mut sum = RolloutCounts::default();
         let mut is_drained = true;
         let mut is_complete = true;
         for (index, node) in nodes.iter().enumerate() {
@@ -302,8 +302,8 @@
                 None => is_complete = is_cut(index),
             }
         }
-        let engines = Engines { ordered: usize::from(now > ms(600)) * 6, others: 6 };
-        let seen = Seen {
+        let engines = UpstreamCounts { ordered: usize::from(now > ms(600)) * 6, others: 6 };
+        let seen = Observation {
             counts: &sum,
             engines,
             is_complete,
@@ -405,7 +405,7 @@
         let fault = Some(faults[seed as usize % faults.len()]);
         let good = Play { fault, ..Play::of(nodes, rate) };
         let played = play(seed, good);
-        if played.phase == Some(Phase::RolledBack(Reason::Worse)) {
+        if played.phase == Some(Phase::RolledBack(RollbackReason::Worse)) {
             alarms.push(seed);
         }
     }
@@ -435,8 +435,8 @@
 
 #[test]
 fn an_order_that_is_taken_back_or_has_no_upstreams_ends() {
-    let counts = Counts::default();
-    let seen = |engines, is_withdrawn| Seen {
+    let counts = RolloutCounts::default();
+    let seen = |engines, is_withdrawn| Observation {
         counts: &counts,
         engines,
         is_complete: true,
@@ -445,84 +445,84 @@
         is_withdrawn,
     };
     let duration = Duration::from_secs(20);
-    let mut decider = Decider::new(BOUNDS, duration, duration, Spent::default());
-    assert_eq!(decider.step(ms(200), seen(Engines { ordered: 0, others: 3 }, false)), 0.0);
+    let mut decider = RolloutController::new(BOUNDS, duration, duration, ExposureSpent::default());
+    assert_eq!(decider.step(ms(200), seen(UpstreamCounts { ordered: 0, others: 3 }, false)), 0.0);
     assert_eq!(decider.phase(), Phase::Waiting);
-    assert_eq!(decider.step(duration, seen(Engines { ordered: 0, others: 3 }, false)), 0.0);
-    assert_eq!(decider.phase(), Phase::RolledBack(Reason::Late));
-    let mut decider = Decider::new(BOUNDS, duration, duration, Spent::default());
-    let engines = Engines { ordered: 3, others: 3 };
+    assert_eq!(decider.step(duration, seen(UpstreamCounts { ordered: 0, others: 3 }, false)), 0.0);
+    assert_eq!(decider.phase(), Phase::RolledBack(RollbackReason::Late));
+    let mut decider = RolloutController::new(BOUNDS, duration, duration, ExposureSpent::default());
+    let engines = UpstreamCounts { ordered: 3, others: 3 };
     decider.step(ms(200), seen(engines, false));
     assert_eq!(decider.phase(), Phase::Trial);
     assert_eq!(decider.step(ms(400), seen(engines, true)), 0.0);
-    assert_eq!(decider.phase(), Phase::RolledBack(Reason::Withdrawn));
+    assert_eq!(decider.phase(), Phase::RolledBack(RollbackReason::Withdrawn));
 }
 
-fn ordered(destination: &str, offset: u64, standing: Standing) -> Word {
-    let order = Order { destination: destination.into(), duration: Duration::from_secs(20) };
+fn ordered(destination: &str, offset: u64, standing: RolloutProgress) -> KnownOrder {
+    let order = RolloutOrder { destination: destination.into(), duration: Duration::from_secs(20) };
     let deadline_at = Duration::from_secs(20);
-    Word { order, at: Position::new(0, offset), deadline_at, standing }
+    KnownOrder { order, at: Position::new(0, offset), deadline_at, progress: standing }
 }
 
-fn running(share: f64, serial: u64) -> Standing {
-    Standing::Running { share, serial, said_at: ms(1_000) }
+fn running(share: f64, serial: u64) -> RolloutProgress {
+    RolloutProgress::Running { share, serial, announced_at: ms(1_000) }
 }
 
 #[test]
 fn a_share_that_is_not_said_again_is_none() {
-    let mut orders = Orders::default();
+    let mut orders = RolloutOrders::default();
     let service: Arc<str> = "s".into();
     assert!(orders.rule(ms(0), "s").is_none());
-    assert!(orders.learn(&service, ordered("v2", 1, Standing::ORDERED)));
-    let admits = |orders: &Orders, now| orders.rule(now, "s").unwrap().admits;
-    assert_eq!(admits(&orders, ms(100)), Admits::Others);
+    assert!(orders.learn(&service, ordered("v2", 1, RolloutProgress::INITIAL)));
+    let admits = |orders: &RolloutOrders, now| orders.rule(now, "s").unwrap().admits;
+    assert_eq!(admits(&orders, ms(100)), AdmittedVersions::Others);
     assert!(orders.learn(&service, ordered("v2", 1, running(0.1, 5))));
-    assert_eq!(admits(&orders, ms(1_100)), Admits::Share(0.1));
+    assert_eq!(admits(&orders, ms(1_100)), AdmittedVersions::Share(0.1));
     assert!(!orders.learn(&service, ordered("v2", 1, running(0.9, 4))), "an earlier word");
-    assert_eq!(admits(&orders, ms(4_000)), Admits::Others);
+    assert_eq!(admits(&orders, ms(4_000)), AdmittedVersions::Others);
     assert!(orders.learn(&service, ordered("v2", 1, running(1.0, 6))));
-    assert_eq!(admits(&orders, ms(1_100)), Admits::Destination);
-    assert_eq!(admits(&orders, ms(4_000)), Admits::DestinationFirst, "the others may have ended");
+    assert_eq!(admits(&orders, ms(1_100)), AdmittedVersions::Destination);
+    assert_eq!(admits(&orders, ms(4_000)), AdmittedVersions::DestinationFirst, "the others may have ended");
 }
 
 #[test]
 fn an_end_stays_until_another_order() {
-    let mut orders = Orders::default();
+    let mut orders = RolloutOrders::default();
     let service: Arc<str> = "s".into();
-    orders.learn(&service, ordered("v2", 1, Standing::Unknown));
+    orders.learn(&service, ordered("v2", 1, RolloutProgress::Unknown));
     let rule = orders.rule(ms(0), "s").unwrap();
     assert!(rule.admits("v1", true) && !rule.admits("v2", true) && rule.admits("v2", false));
-    assert!(orders.learn(&service, ordered("v2", 1, Standing::RolledBack)));
+    assert!(orders.learn(&service, ordered("v2", 1, RolloutProgress::RolledBack)));
     assert!(!orders.learn(&service, ordered("v2", 1, running(0.5, 99))));
-    assert!(!orders.learn(&service, ordered("v2", 1, Standing::Completed)));
+    assert!(!orders.learn(&service, ordered("v2", 1, RolloutProgress::Completed)));
     let rule = orders.rule(ms(0), "s").unwrap();
     assert!(rule.admits("v1", true) && !rule.admits("v2", false));
     // Another version: the one that was rolled back gets nothing still.
     assert!(orders.learn(&service, ordered("v3", 7, running(0.5, 1))));
     let rule = orders.rule(ms(1_000), "s").unwrap();
     assert!(rule.admits("v1", true) && !rule.admits("v2", true) && rule.admits("v3", true));
-    assert!(orders.learn(&service, ordered("v3", 7, Standing::Completed)));
+    assert!(orders.learn(&service, ordered("v3", 7, RolloutProgress::Completed)));
     let rule = orders.rule(ms(0), "s").unwrap();
     assert!(!rule.admits("v1", true) && rule.admits("v3", true));
     // The order is repeated: as a new one.
-    assert!(orders.learn(&service, ordered("v3", 9, Standing::ORDERED)));
-    assert!(!orders.learn(&service, ordered("v3", 7, Standing::Completed)), "an earlier order");
+    assert!(orders.learn(&service, ordered("v3", 9, RolloutProgress::INITIAL)));
+    assert!(!orders.learn(&service, ordered("v3", 7, RolloutProgress::Completed)), "an earlier order");
 }
 
 #[test]
 fn an_order_that_is_gone_from_the_store_was_taken_back() {
-    let mut orders = Orders::default();
+    let mut orders = RolloutOrders::default();
     let (one, other): (Arc<str>, Arc<str>) = ("one".into(), "other".into());
     orders.learn(&one, ordered("v2", 1, running(0.5, 1)));
-    orders.learn(&other, ordered("v2", 2, Standing::Completed));
+    orders.learn(&other, ordered("v2", 2, RolloutProgress::Completed));
     let end = Position::new(0, 9);
     assert_eq!(orders.retain(std::slice::from_ref(&other), end), std::slice::from_ref(&one));
     assert!(orders.is_withdrawn("one") && !orders.is_withdrawn("other"));
-    assert_eq!(orders.rule(ms(1_000), "one").unwrap().admits, Admits::Others);
+    assert_eq!(orders.rule(ms(1_000), "one").unwrap().admits, AdmittedVersions::Others);
     assert!(orders.retain(&[], end).is_empty(), "what is completed stays so");
-    assert_eq!(orders.rule(ms(1_000), "other").unwrap().admits, Admits::Destination);
+    assert_eq!(orders.rule(ms(1_000), "other").unwrap().admits, AdmittedVersions::Destination);
     // A copy of the store lacks it: nothing is known to be taken back.
-    let mut orders = Orders::default();
+    let mut orders = RolloutOrders::default();
     orders.learn(&one, ordered("v2", 1, running(0.5, 1)));
     assert!(orders.retain(&[], Position::new(1, 9)).is_empty());
 }
@@ -532,29 +532,29 @@
     let mut rng = StdRng::seed_from_u64(7);
     let mut exposed = 0;
     for _ in 0..10_000 {
-        let mut meter = Meter::new(rng.random());
+        let mut meter = ShareSampler::new(rng.random());
         exposed += usize::from(meter.take(0.1));
     }
     assert!((900..=1_100).contains(&exposed), "{exposed} of 10000");
-    let mut meter = Meter::new(0.5);
+    let mut meter = ShareSampler::new(0.5);
     (0..100).for_each(|_| meter.count(0.1));
     assert!(meter.has_turn() && meter.spend() && !meter.has_turn(), "nothing piles up");
 }
 
 #[test]
 fn times_are_classed_by_quarters_of_octaves() {
-    assert_eq!(time_class(Duration::ZERO), 0);
-    assert_eq!(time_class(ms(100)) + 4, time_class(ms(200)));
-    assert_eq!(time_class(Duration::from_secs(100_000)), 63);
-    let mut answers = Answers::default();
+    assert_eq!(latency_bucket(Duration::ZERO), 0);
+    assert_eq!(latency_bucket(ms(100)) + 4, latency_bucket(ms(200)));
+    assert_eq!(latency_bucket(Duration::from_secs(100_000)), 63);
+    let mut answers = AnswerStats::default();
     assert_eq!(answers.median_class(1), None);
     for took in [10, 20, 30, 40, 1_000] {
         answers.add(Some(ms(took)));
     }
     answers.add(None);
     assert_eq!((answers.all(), answers.whole()), (6, 5));
-    assert_eq!(answers.median_class(5), Some(time_class(ms(30))));
-    assert_eq!(answers.slower(time_class(ms(40))), 2);
+    assert_eq!(answers.median_class(5), Some(latency_bucket(ms(30))));
+    assert_eq!(answers.slower(latency_bucket(ms(40))), 2);
 }
 
 /// Answers of a version that are as slow as those of the others aren't bad, and a few of a kind prove nothing.
@@ -563,16 +563,16 @@
     let compared = |ordered: [u64; 2], others: [u64; 2]| {
         let mut comparison = Comparison::default();
         let answers = |[good, failed]: [u64; 2]| {
-            let mut answers = Answers { failed, ..Answers::default() };
+            let mut answers = AnswerStats { failed, ..AnswerStats::default() };
             answers.times[20] = good as u32;
             answers
         };
-        let of_route = fernring_gateway::rollout::counts::RouteAnswers {
-            ordered: answers(ordered),
+        let of_route = fernring_gateway::rollout::counts::RouteStats {
+            destination: answers(ordered),
             others: answers(others),
         };
         let routes = BTreeMap::from([(Arc::from("r"), of_route)]);
-        comparison.slice(&Counts { routes, ..Counts::default() });
+        comparison.slice(&RolloutCounts { routes, ..RolloutCounts::default() });
         comparison.verdict()
     };
     assert_eq!(compared([40, 0], [400, 0]), Verdict::Alike);
