--- a/crates/fernring-gateway/src/owner/calls.rs
+++ b/crates/fernring-gateway/src/owner/calls.rs
@@ -171,7 +171,7 @@
             connections_max,
         };
         let expected = usual_time(shape, tasks.len());
-        let trial = self.rollouts.began_call(&pool.service, target);
+        let trial = self.rollouts.track_call(&pool.service, target);
         let exchange = async {
             let answer = self.upstreams.send(target, sending).await?;
             let fields = self.wire.decode_answer(answer.head.status, &answer.head.headers);
--- a/crates/fernring-gateway/src/rollout/controller.rs
+++ b/crates/fernring-gateway/src/rollout/controller.rs
@@ -1,92 +1,94 @@
-//! How far a roll-out goes: the share of the ordered version, and its end. No I/O.
+//! State machine of a roll-out: which share the destination version gets, and when the roll-out ends. No I/O.
 //!
-//! The load that this answers: a version that fails a part of its requests, from the first on, only under load, on one route, or
-//! late, before hundreds of nodes. It may get a bounded part of all requests until the deadline. What it gets in the trial is
-//! counted against a part of that bound, so that the rest is there for what shows only when it serves more; the later it
-//! serves all, the less of the bound is spent if it turns bad then. So it is advanced as late as the time for
-//! requests in hand at the others allows.
+//! Handles versions that fail a part of their requests: from the first request on, only under load, on one route only, or
+//! only after a while, in a fleet of hundreds of nodes. A bad version may get a bounded part of all requests until the
+//! deadline, the exposure budget. The trial may use only a part of that budget, so that the rest is left for faults that show
+//! only when the version serves more. The later the version serves all requests, the less of the budget is spent if it turns
+//! bad then. So it is advanced as late as the time for requests in flight at the other versions allows.
 //!
-//! Inputs: what nodes counted until their last reports, a fifth of a second old or two; the upstreams that the decider knows.
+//! Inputs: what nodes counted until their last reports, which are one or two fifths of a second old, and the upstreams that
+//! the controller knows.
 
 use {
     super::{
-        counts::RolloutCounts,
         comparison::{Comparison, Verdict},
+        counts::RolloutCounts,
     },
     std::time::Duration,
 };
 
-/// Part of the bound that the trial may use.
-const TRIAL_PART: f64 = 0.7;
-/// How many times the requests that are expected until the deadline have to be within the bound, and which part of it, for a version
-/// to be advanced without a verdict.
-const COMING_MARGIN: f64 = 1.3;
-const BOUND_PART: f64 = 0.85;
-/// Answers of the ordered version that a trial aims at.
-const TRIAL_ANSWERS: f64 = 30.0;
-/// Shares of the trial: what even a crowd sends, so that a late change shows, and where a comparison still has both sides.
+/// Part of the exposure budget that the trial may use.
+const TRIAL_BUDGET_PART: f64 = 0.7;
+/// Safety factor on the requests that are expected until the deadline: with it, they must fit into [`ADVANCE_BUDGET_PART`] of the
+/// budget for a version to be advanced without a verdict.
+const FORECAST_MARGIN: f64 = 1.3;
+const ADVANCE_BUDGET_PART: f64 = 0.85;
+/// Number of responses of the destination version that a trial aims at.
+const TRIAL_RESPONSES: f64 = 30.0;
+/// Range of the share in a trial: at least what is sent even under a burst of requests, so that a late change shows; at most what
+/// leaves the comparison responses of both sides.
 const TRIAL_SHARES: (f64, f64) = (0.01, 0.8);
-/// Time that a share is set for; what is counted comes late by less.
-const HORIZON: Duration = Duration::from_secs(2);
-/// The shares on the way to all.
-const STEPS: [f64; 3] = [0.15, 0.4, 0.8];
-/// Time on a step, as a part of the time of the order, and its bounds.
-const STEP_PART: f64 = 0.04;
-const STEP_TIMES: (Duration, Duration) = (Duration::from_millis(600), Duration::from_secs(3));
-/// Steps that a version serves all requests for before the others are stopped.
+/// Time for which a share is computed; counts arrive with a shorter delay.
+const SHARE_HORIZON: Duration = Duration::from_secs(2);
+/// Shares of the destination version on the steps between the trial and all requests.
+const STEP_SHARES: [f64; 3] = [0.15, 0.4, 0.8];
+/// Duration of a step as a part of the order's duration, and the range of that duration.
+const STEP_DURATION_PART: f64 = 0.04;
+const STEP_DURATIONS: (Duration, Duration) = (Duration::from_millis(600), Duration::from_secs(3));
+/// Number of step durations for which a version serves all requests before the others are stopped.
 const HOLD_STEPS: u32 = 3;
-/// Most of the order's time that is kept for requests in hand at the others.
+/// Largest part of the order's duration that is kept for requests in flight at the others.
 const DRAIN_PART_MAX: f64 = 0.4;
-/// Part of the order's time kept for writing the end.
-const END_PART: f64 = 0.08;
-/// Length of a slice of time in which the versions are compared.
-const SLICE: Duration = Duration::from_millis(200);
-/// Window over which the rate of requests is taken.
+/// Part of the order's duration that is kept for writing the final state.
+const FINAL_WRITE_PART: f64 = 0.08;
+/// Length of the intervals in which the versions are compared.
+const COMPARISON_INTERVAL: Duration = Duration::from_millis(200);
+/// Window over which the rate of requests is measured.
 const RATE_WINDOW: Duration = Duration::from_secs(1);
 
-/// What the ordered version may get if it is bad.
+/// Number of requests that the destination version may get if it is bad.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ExposureBudget {
     /// Part of the requests to the service between the order and its deadline.
     pub share: f64,
-    /// Requests besides.
+    /// Number of requests on top of that part.
     pub slack: f64,
 }
 
-/// Upstreams that take work.
+/// Number of upstreams that accept work, by version.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct UpstreamCounts {
-    /// Of the ordered version.
-    pub ordered: usize,
-    /// Of the others.
+    /// Upstreams of the destination version.
+    pub destination: usize,
+    /// Upstreams of the other versions.
     pub others: usize,
 }
 
-/// What a decider sees.
+/// What the controller observes at one step.
 #[derive(Debug, Clone, Copy)]
 pub struct Observation<'a> {
-    /// What all nodes have counted.
+    /// Sum of the counts of all nodes.
     pub counts: &'a RolloutCounts,
-    /// The upstreams.
-    pub engines: UpstreamCounts,
+    /// The upstreams that accept work.
+    pub upstreams: UpstreamCounts,
     /// Whether all live nodes have reported.
     pub is_complete: bool,
-    /// Whether all live nodes know that the ordered version serves alone and have nothing in hand at others.
+    /// Whether all live nodes know that the destination version serves alone and have nothing in flight at others.
     pub is_drained: bool,
-    /// The longest time of a request to the service.
+    /// The longest time that a request to the service may take.
     pub longest_request: Duration,
-    /// Whether the order was taken back.
+    /// Whether the order was withdrawn.
     pub is_withdrawn: bool,
 }
 
 /// Why a version was rolled back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RollbackReason {
-    /// It is worse than the others.
+    /// The version is worse than the others.
     Worse,
-    /// It was not shown to be good in time.
+    /// The version wasn't shown to be good in time.
     Late,
-    /// The order was taken back.
+    /// The order was withdrawn.
     Withdrawn,
 }
 
@@ -101,28 +103,28 @@
     }
 }
 
-/// Where a roll-out is.
+/// Phase of a roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// The decider waits for upstreams of the ordered version and for the nodes' reports.
+    /// The controller waits for upstreams of the destination version and for the nodes' reports.
     Waiting,
-    /// The ordered version gets little.
+    /// The destination version gets a small share.
     Trial,
-    /// It gets more and more.
+    /// The share of the destination version rises step by step.
     Advancing {
         /// Index of the step.
         step: usize,
-        /// When it began.
+        /// When the step began.
         since: Duration,
     },
-    /// It gets all that is new; requests in hand at the others end.
+    /// The destination version gets all new requests, while requests in flight at the others end.
     Draining {
-        /// When that began.
+        /// When the phase began.
         since: Duration,
     },
-    /// It serves alone.
+    /// The destination version serves alone.
     Completed,
-    /// It gets nothing.
+    /// The destination version gets nothing.
     RolledBack(RollbackReason),
 }
 
@@ -140,122 +142,133 @@
     }
 }
 
-/// What was spent before a decider took over, by the store.
+/// Exposure of the destination version so far. A controller that takes over reads it from the store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ExposureSpent {
     /// Requests to the service.
     pub requests: u64,
-    /// Sends to the ordered version.
+    /// Sends to the destination version.
     pub exposed: u64,
 }
 
-/// Decides on one order.
+/// Decides on the roll-out of one order.
 #[derive(Debug, Clone)]
 pub struct RolloutController {
-    bounds: ExposureBudget,
+    budget: ExposureBudget,
     deadline_at: Duration,
     duration: Duration,
     phase: Phase,
-    /// What the nodes that report don't know of.
-    spent: ExposureSpent,
-    is_counted: bool,
+    /// Exposure that isn't contained in the counts of the nodes that report.
+    unreported: ExposureSpent,
+    has_all_reports: bool,
     comparison: Comparison,
-    sliced_at: Duration,
+    compared_at: Duration,
     rate_from: (Duration, u64),
     rate_per_s: f64,
 }
 
 impl RolloutController {
-    /// Starts on an order that is to be done at `deadline_at`, `duration` after it was given.
-    pub fn new(bounds: ExposureBudget, deadline_at: Duration, duration: Duration, spent: ExposureSpent) -> Self {
+    /// Creates the controller of an order that must be completed by `deadline_at` and was given `duration` before that.
+    pub fn new(
+        budget: ExposureBudget,
+        deadline_at: Duration,
+        duration: Duration,
+        spent: ExposureSpent,
+    ) -> Self {
         Self {
-            bounds,
+            budget,
             deadline_at,
             duration,
             phase: Phase::Waiting,
-            spent,
-            is_counted: false,
+            unreported: spent,
+            has_all_reports: false,
             comparison: Comparison::default(),
-            sliced_at: Duration::ZERO,
+            compared_at: Duration::ZERO,
             rate_from: (Duration::ZERO, 0),
             rate_per_s: 0.0,
         }
     }
 
-    /// Returns where the roll-out is.
+    /// Returns the phase of the roll-out.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Returns what was spent so far.
+    /// Returns the exposure so far, given what all nodes have counted.
     pub fn spent(&self, counts: &RolloutCounts) -> ExposureSpent {
         ExposureSpent {
-            requests: self.spent.requests + counts.requests,
-            exposed: self.spent.exposed + counts.exposed,
+            requests: self.unreported.requests + counts.requests,
+            exposed: self.unreported.exposed + counts.exposed,
         }
     }
 
-    /// Lets time pass; returns the share of the ordered version from now on.
-    pub fn step(&mut self, now: Duration, seen: Observation<'_>) -> f64 {
-        self.count(now, &seen);
-        let next = self.next_phase(now, &seen);
+    /// Moves to the phase that an observation calls for, and returns the share of the destination version from now on.
+    pub fn step(&mut self, now: Duration, observed: Observation<'_>) -> f64 {
+        self.record(now, &observed);
+        let next = self.next_phase(now, &observed);
         if next != self.phase {
             self.comparison.restart();
         }
         self.phase = next;
         match self.phase {
             Phase::Waiting | Phase::RolledBack(_) => 0.0,
-            Phase::Trial => self.trial_share(now, &seen),
-            Phase::Advancing { step, .. } => STEPS[step],
+            Phase::Trial => self.trial_share(now, &observed),
+            Phase::Advancing { step, .. } => STEP_SHARES[step],
             Phase::Draining { .. } | Phase::Completed => 1.0,
         }
     }
 
-    fn count(&mut self, now: Duration, seen: &Observation<'_>) {
-        if !self.is_counted && seen.is_complete {
-            self.is_counted = true;
-            // The nodes tell again what they told the decider of before, which wrote it.
-            self.spent.requests = self.spent.requests.saturating_sub(seen.counts.requests);
-            self.spent.exposed = self.spent.exposed.saturating_sub(seen.counts.exposed);
-            self.rate_from = (now, seen.counts.requests);
+    fn record(&mut self, now: Duration, observed: &Observation<'_>) {
+        if !self.has_all_reports && observed.is_complete {
+            self.has_all_reports = true;
+            // The nodes report again what they reported to the previous controller, which wrote it to the store.
+            self.unreported.requests =
+                self.unreported.requests.saturating_sub(observed.counts.requests);
+            self.unreported.exposed =
+                self.unreported.exposed.saturating_sub(observed.counts.exposed);
+            self.rate_from = (now, observed.counts.requests);
         }
-        if now >= self.sliced_at + SLICE {
-            self.comparison.slice(seen.counts);
-            self.sliced_at = now;
+        if now >= self.compared_at + COMPARISON_INTERVAL {
+            self.comparison.add_interval(observed.counts);
+            self.compared_at = now;
         }
         let (from, requests) = self.rate_from;
         if now >= from + RATE_WINDOW {
-            let passed = now.saturating_sub(from).as_secs_f64();
-            let came = seen.counts.requests.saturating_sub(requests);
-            self.rate_per_s = came as f64 / passed;
-            self.rate_from = (now, seen.counts.requests);
+            let elapsed_s = now.saturating_sub(from).as_secs_f64();
+            let arrived = observed.counts.requests.saturating_sub(requests);
+            self.rate_per_s = arrived as f64 / elapsed_s;
+            self.rate_from = (now, observed.counts.requests);
         }
     }
 
-    fn next_phase(&self, now: Duration, seen: &Observation<'_>) -> Phase {
+    fn next_phase(&self, now: Duration, observed: &Observation<'_>) -> Phase {
         if matches!(self.phase, Phase::Completed | Phase::RolledBack(_)) {
             return self.phase;
         }
-        if seen.is_withdrawn {
+        if observed.is_withdrawn {
             return Phase::RolledBack(RollbackReason::Withdrawn);
         }
         if self.comparison.verdict() == Verdict::Worse {
             return Phase::RolledBack(RollbackReason::Worse);
         }
         if let Phase::Draining { since } = self.phase
-            && seen.is_drained
-            && now >= self.completed_from(since)
+            && observed.is_drained
+            && now >= self.earliest_completion(since)
         {
             return Phase::Completed;
         }
-        if now + self.duration.mul_f64(END_PART / 2.0) >= self.deadline_at {
+        if now + self.duration.mul_f64(FINAL_WRITE_PART / 2.0) >= self.deadline_at {
             return Phase::RolledBack(RollbackReason::Late);
         }
         match self.phase {
-            Phase::Waiting if seen.engines.ordered > 0 && self.is_counted => Phase::Trial,
-            Phase::Trial if self.may_advance(now, seen) => Phase::Advancing { step: 0, since: now },
-            Phase::Advancing { step, since } if now >= since + self.step_time() => {
-                let is_last = step + 1 == STEPS.len();
+            Phase::Waiting if observed.upstreams.destination > 0 && self.has_all_reports => {
+                Phase::Trial
+            }
+            Phase::Trial if self.may_advance(now, observed) => {
+                Phase::Advancing { step: 0, since: now }
+            }
+            Phase::Advancing { step, since } if now >= since + self.step_duration() => {
+                let is_last = step + 1 == STEP_SHARES.len();
                 let next = Phase::Advancing { step: step + 1, since: now };
                 if is_last { Phase::Draining { since: now } } else { next }
             }
@@ -263,52 +276,53 @@
         }
     }
 
-    fn step_time(&self) -> Duration {
-        let (least, most) = STEP_TIMES;
-        self.duration.mul_f64(STEP_PART).clamp(least, most)
+    fn step_duration(&self) -> Duration {
+        let (least, most) = STEP_DURATIONS;
+        self.duration.mul_f64(STEP_DURATION_PART).clamp(least, most)
     }
 
-    /// Returns when a roll-out that is drained may be completed: what shows only under all requests has to show while the others
-    /// are there.
-    fn completed_from(&self, drains_since: Duration) -> Duration {
-        let latest = self.deadline_at.saturating_sub(self.duration.mul_f64(END_PART));
-        (drains_since + self.step_time() * HOLD_STEPS).min(latest)
+    /// Returns when a drained roll-out may be completed at the earliest: a fault that shows only under all requests must show
+    /// while the upstreams of the other versions are still there.
+    fn earliest_completion(&self, draining_since: Duration) -> Duration {
+        let latest = self.deadline_at.saturating_sub(self.duration.mul_f64(FINAL_WRITE_PART));
+        (draining_since + self.step_duration() * HOLD_STEPS).min(latest)
     }
 
-    /// Returns when the ordered version begins to get more, if all goes well.
+    /// Returns when the trial is to end and the share begins to rise.
     fn advance_at(&self, longest_request: Duration) -> Duration {
         let drain = longest_request.min(self.duration.mul_f64(DRAIN_PART_MAX));
-        let drain = drain.max(self.step_time() * HOLD_STEPS);
-        let steps = self.step_time() * STEPS.len() as u32;
-        let after = drain + steps + self.duration.mul_f64(END_PART);
-        self.deadline_at.saturating_sub(after)
+        let drain = drain.max(self.step_duration() * HOLD_STEPS);
+        let steps = self.step_duration() * STEP_SHARES.len() as u32;
+        let remaining = drain + steps + self.duration.mul_f64(FINAL_WRITE_PART);
+        self.deadline_at.saturating_sub(remaining)
     }
 
-    fn may_advance(&self, now: Duration, seen: &Observation<'_>) -> bool {
-        if now < self.advance_at(seen.longest_request) {
+    fn may_advance(&self, now: Duration, observed: &Observation<'_>) -> bool {
+        if now < self.advance_at(observed.longest_request) {
             return false;
         }
-        let spent = self.spent(seen.counts);
-        let left = self.deadline_at.saturating_sub(now).as_secs_f64();
-        let coming = self.rate_per_s * left;
-        let bound = self.bounds.share * (spent.requests as f64 + coming) + self.bounds.slack;
-        // Even if it is bad, what comes until the deadline is within the bound.
-        let is_within = spent.exposed as f64 + coming * COMING_MARGIN <= bound * BOUND_PART;
-        self.comparison.verdict() == Verdict::Alike || is_within
+        let spent = self.spent(observed.counts);
+        let left_s = self.deadline_at.saturating_sub(now).as_secs_f64();
+        let forecast = self.rate_per_s * left_s;
+        let budget = self.budget.share * (spent.requests as f64 + forecast) + self.budget.slack;
+        // Even a bad version stays within the budget if it gets all requests until the deadline.
+        let is_within =
+            spent.exposed as f64 + forecast * FORECAST_MARGIN <= budget * ADVANCE_BUDGET_PART;
+        self.comparison.verdict() == Verdict::NotWorse || is_within
     }
 
-    fn trial_share(&self, now: Duration, seen: &Observation<'_>) -> f64 {
-        let spent = self.spent(seen.counts);
-        let bound = self.bounds.share * spent.requests as f64 + self.bounds.slack;
-        let left = bound * TRIAL_PART - spent.exposed as f64;
+    fn trial_share(&self, now: Duration, observed: &Observation<'_>) -> f64 {
+        let spent = self.spent(observed.counts);
+        let budget = self.budget.share * spent.requests as f64 + self.budget.slack;
+        let left = budget * TRIAL_BUDGET_PART - spent.exposed as f64;
         let rate = self.rate_per_s.max(1.0);
-        let affordable = left / (rate * HORIZON.as_secs_f64());
-        let time = self.advance_at(seen.longest_request).saturating_sub(now);
-        let missing = (TRIAL_ANSWERS - spent.exposed as f64).max(0.0);
-        let wanted = missing / (rate * time.max(HORIZON).as_secs_f64());
-        let UpstreamCounts { ordered, others } = seen.engines;
-        let of_engines = ordered as f64 / (ordered + others).max(1) as f64;
+        let affordable = left / (rate * SHARE_HORIZON.as_secs_f64());
+        let time = self.advance_at(observed.longest_request).saturating_sub(now);
+        let missing = (TRIAL_RESPONSES - spent.exposed as f64).max(0.0);
+        let wanted = missing / (rate * time.max(SHARE_HORIZON).as_secs_f64());
+        let UpstreamCounts { destination, others } = observed.upstreams;
+        let of_upstreams = destination as f64 / (destination + others).max(1) as f64;
         let (least, most) = TRIAL_SHARES;
-        wanted.clamp(least, most).min(of_engines).min(affordable).max(0.0)
+        wanted.clamp(least, most).min(of_upstreams).min(affordable).max(0.0)
     }
 }
--- a/crates/fernring-gateway/src/rollout/coordinator.rs
+++ b/crates/fernring-gateway/src/rollout/coordinator.rs
@@ -1,11 +1,14 @@
-//! The roll-outs of a node: what it sends to either version, what it tells the deciders, and the ones it decides.
+//! Coordinates the roll-outs of a node: counts its sends to each version, reports them to the controllers, and runs the
+//! controllers of the orders for which this node is responsible.
 
 use {
     super::{
+        controller::{
+            ExposureBudget, ExposureSpent, Observation, Phase, RolloutController, UpstreamCounts,
+        },
         counts::RolloutCounts,
-        controller::{ExposureBudget, RolloutController, UpstreamCounts, Phase, Observation, ExposureSpent},
+        orders::{AdmittedVersions, KnownOrder, RolloutOrder, RolloutOrders, RolloutProgress},
         sampler::ShareSampler,
-        orders::{AdmittedVersions, RolloutOrder, RolloutOrders, RolloutProgress, KnownOrder},
     },
     crate::{
         config::ConfigState,
@@ -34,47 +37,49 @@
     tokio::{task::spawn_local, time::sleep},
 };
 
-/// Pause between two rounds, in which nodes report and deciders decide.
-const ROUND: Duration = Duration::from_millis(200);
-/// Time for which a node that has fallen silent still counts as having requests in hand: it may be cut off for a moment.
-const SILENT_TIME: Duration = Duration::from_secs(5);
-/// What the time of a call on pieces is told as, for one that takes as long as is usual.
-const USUAL_CALL: Duration = Duration::from_millis(100);
-/// Route that calls on pieces are counted under.
-const CALLS: &str = "";
-
-/// What this node counts of one order.
-struct Own {
+/// Pause between two rounds. In a round a node reports, and controllers decide.
+const ROUND_INTERVAL: Duration = Duration::from_millis(200);
+/// Time for which a node that has stopped reporting still counts as having requests in flight: a network partition may have cut
+/// it off for a moment.
+const SILENT_NODE_GRACE: Duration = Duration::from_secs(5);
+/// Latency that is recorded for a call on pieces that takes exactly as long as expected.
+const NOMINAL_CALL_LATENCY: Duration = Duration::from_millis(100);
+/// Name of the route under which calls on pieces are counted.
+const CALLS_ROUTE: &str = "";
+
+/// What this node counts for one order.
+struct OwnCounts {
     at: Position,
-    meter: ShareSampler,
+    sampler: ShareSampler,
     counts: RolloutCounts,
 }
 
 /// The last report of a node.
-struct Reported {
+struct NodeReport {
     counts: RolloutCounts,
     incarnation: u64,
     is_drained: bool,
-    heard_at: Duration,
+    received_at: Duration,
 }
 
-/// An order that this node decides.
-struct Deciding {
+/// An order whose roll-out this node controls.
+struct ControlledOrder {
     at: Position,
-    decider: RolloutController,
-    reports: HashMap<SocketAddr, Reported>,
-    /// What nodes had counted that have started again since.
+    controller: RolloutController,
+    reports: HashMap<SocketAddr, NodeReport>,
+    /// What nodes that have restarted since had counted before.
     before_restarts: RolloutCounts,
-    /// Whether the state in the store was read.
-    is_read: bool,
-    /// Number that the next record of the state gets; `None` if that is to be read again.
-    end: Option<u64>,
-    /// What of the state is in the store.
+    /// Whether the state was read from the store.
+    is_state_read: bool,
+    /// Number that the next record of the topic gets; `None` if the topic must be read again.
+    next_offset: Option<u64>,
+    /// The state and the exposure that the store holds.
     written: Option<(RolloutState, ExposureSpent)>,
-    is_busy: bool,
+    /// Whether the state is being read or written.
+    is_store_busy: bool,
 }
 
-/// The roll-outs of a node.
+/// The roll-outs that a node takes part in.
 pub struct Rollouts {
     clock: Rc<dyn Clock>,
     wire: Rc<dyn Wire>,
@@ -84,74 +89,80 @@
     peers: Rc<Peers>,
     settings: Cell<RolloutSettings>,
     orders: RefCell<RolloutOrders>,
-    own: RefCell<BTreeMap<Arc<str>, Own>>,
-    deciding: RefCell<BTreeMap<Arc<str>, Deciding>>,
+    own_counts: RefCell<BTreeMap<Arc<str>, OwnCounts>>,
+    controlled: RefCell<BTreeMap<Arc<str>, ControlledOrder>>,
 }
 
-/// A send to a service that has an order, until its end.
+/// A send to a service with an order under way; counts as in flight until it is dropped.
 pub struct TrackedSend {
     rollouts: Rc<Rollouts>,
     service: Arc<str>,
     at: Position,
     route: Arc<str>,
-    is_ordered: bool,
-    /// Whether times say something: those of a cold upstream don't.
-    is_timed: bool,
-    began_at: Duration,
-    judged: Cell<Judged>,
+    is_destination: bool,
+    /// Whether the latency counts; that of a cold upstream doesn't.
+    has_latency: bool,
+    started_at: Duration,
+    outcome: Cell<RecordedOutcome>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Judged {
-    Open,
-    Whole,
+enum RecordedOutcome {
+    Pending,
+    Succeeded,
     Failed,
 }
 
 impl std::fmt::Debug for TrackedSend {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Trial").field("is_ordered", &self.is_ordered).finish_non_exhaustive()
+        f.debug_struct("TrackedSend")
+            .field("is_ordered", &self.is_destination)
+            .finish_non_exhaustive()
     }
 }
 
 impl TrackedSend {
-    /// Takes in that the answer is good so far.
+    /// Records that the response is good so far.
     pub fn record_success(&self) {
-        let took = self.rollouts.now().saturating_sub(self.began_at);
-        self.judge(Judged::Whole, Some(took));
+        let latency = self.rollouts.now().saturating_sub(self.started_at);
+        self.record(RecordedOutcome::Succeeded, Some(latency));
     }
 
-    /// Takes in that a call on pieces ended well, after `took` where `usual` is expected.
-    pub fn record_call_success(&self, took: Duration, usual: Duration) {
-        let factor = took.as_secs_f64() / usual.as_secs_f64().max(1e-3);
-        self.judge(Judged::Whole, Some(USUAL_CALL.mul_f64(factor.min(1_000.0))));
+    /// Records that a call on pieces succeeded after `elapsed`, where `expected` was expected.
+    pub fn record_call_success(&self, elapsed: Duration, expected: Duration) {
+        let factor = elapsed.as_secs_f64() / expected.as_secs_f64().max(1e-3);
+        self.record(
+            RecordedOutcome::Succeeded,
+            Some(NOMINAL_CALL_LATENCY.mul_f64(factor.min(1_000.0))),
+        );
     }
 
-    /// Takes in that it failed.
+    /// Records that the send failed. A failure may follow a recorded success, but not the other way round.
     pub fn record_failure(&self) {
-        self.judge(Judged::Failed, None);
+        self.record(RecordedOutcome::Failed, None);
     }
 
-    fn judge(&self, judged: Judged, took: Option<Duration>) {
-        if judged <= self.judged.get() {
+    fn record(&self, outcome: RecordedOutcome, latency: Option<Duration>) {
+        if outcome <= self.outcome.get() {
             return;
         }
-        self.judged.set(judged);
-        if took.is_some() && !self.is_timed {
+        self.outcome.set(outcome);
+        if latency.is_some() && !self.has_latency {
             return;
         }
-        self.rollouts.with_own(&self.service, self.at, |own| {
-            let answers = own.counts.routes.entry(self.route.clone()).or_default();
-            let answers = if self.is_ordered { &mut answers.destination } else { &mut answers.others };
-            answers.add(took);
+        self.rollouts.with_own_counts(&self.service, self.at, |own| {
+            let stats = own.counts.routes.entry(self.route.clone()).or_default();
+            let stats =
+                if self.is_destination { &mut stats.destination } else { &mut stats.others };
+            stats.record(latency);
         });
     }
 }
 
 impl Drop for TrackedSend {
     fn drop(&mut self) {
-        if !self.is_ordered {
-            self.rollouts.with_own(&self.service, self.at, |own| {
+        if !self.is_destination {
+            self.rollouts.with_own_counts(&self.service, self.at, |own| {
                 own.counts.in_flight_at_others = own.counts.in_flight_at_others.saturating_sub(1);
             });
         }
@@ -159,7 +170,7 @@
 }
 
 impl Rollouts {
-    /// Creates the roll-outs of a node, none so far.
+    /// Creates the state of a node that knows of no orders yet.
     pub fn new(
         clock: Rc<dyn Clock>,
         wire: Rc<dyn Wire>,
@@ -178,32 +189,32 @@
             peers,
             settings: Cell::new(settings),
             orders: RefCell::default(),
-            own: RefCell::default(),
-            deciding: RefCell::default(),
+            own_counts: RefCell::default(),
+            controlled: RefCell::default(),
         }
     }
 
-    /// Sets what an ordered version may get if it is bad; for the orders that begin from now on.
+    /// Sets the exposure budget of the controllers that are created from now on.
     pub fn set_settings(&self, settings: RolloutSettings) {
         self.settings.set(settings);
     }
 
-    /// Returns how far the newest order of a service is, if it has one.
+    /// Returns the progress of the newest order of a service; `None` if it has none.
     pub fn progress(&self, service: &str) -> Option<RolloutProgress> {
-        self.orders.borrow().word(service).map(|word| word.progress)
+        self.orders.borrow().newest(service).map(|known| known.progress)
     }
 
-    /// Takes in the operators' orders of a page of records. `is_whole` tells whether there are no others up to `end`.
+    /// Applies the operators' orders of a page of records. `is_full_read` says whether there are no others up to `end`.
     pub fn apply_records(
         &self,
         records: Vec<(Position, RolloutRecord)>,
-        is_whole: bool,
+        is_full_read: bool,
         end: Position,
     ) {
         let present: Vec<_> = records.iter().map(|(_, record)| record.service.clone()).collect();
         for (at, RolloutRecord { service, order }) in records {
             match order {
-                Ok(Some(order)) => self.take_order(&service, order, at, is_whole),
+                Ok(Some(order)) => self.apply_order(&service, order, at, is_full_read),
                 Ok(None) => self.withdraw(&service, at),
                 Err(error) => {
                     let line = LogLine::event("rollout_refused").with("service", &service);
@@ -211,22 +222,29 @@
                 }
             }
         }
-        if is_whole {
+        if is_full_read {
             let withdrawn = self.orders.borrow_mut().retain(&present, end);
             withdrawn.iter().for_each(|service| self.log_withdrawn(service));
         }
-        self.apply();
+        self.apply_rules();
     }
 
-    fn take_order(&self, service: &Arc<str>, order: RolloutOrder, at: Position, is_whole: bool) {
-        // One among all records may be long done.
-        let standing = if is_whole { RolloutProgress::Unknown } else { RolloutProgress::INITIAL };
+    fn apply_order(
+        &self,
+        service: &Arc<str>,
+        order: RolloutOrder,
+        at: Position,
+        is_full_read: bool,
+    ) {
+        // An order that is found by a full read may have ended long ago.
+        let progress =
+            if is_full_read { RolloutProgress::Unknown } else { RolloutProgress::INITIAL };
         let line = LogLine::event("rollout_ordered").with("service", service);
         let line = line.with("destination", &order.destination).with("record", at);
         let line = line.with("duration_ms", order.duration.as_millis());
         let deadline_at = self.now() + order.duration;
-        let word = KnownOrder { order, at, deadline_at, progress: standing };
-        if self.orders.borrow_mut().learn(service, word) {
+        let known = KnownOrder { order, at, deadline_at, progress };
+        if self.orders.borrow_mut().update(service, known) {
             log::info(line);
         }
     }
@@ -241,108 +259,120 @@
         log::info(LogLine::event("rollout_withdrawn").with("service", service));
     }
 
-    /// Takes in what a peer says of orders.
-    pub fn handle_messages(&self, words: &[RolloutWord]) {
-        if words.is_empty() {
+    /// Handles the orders and their progress that a peer sends.
+    pub fn handle_messages(&self, messages: &[RolloutWord]) {
+        if messages.is_empty() {
             return;
         }
         let now = self.now();
-        for told in words {
-            let (service, word) = rollout_word_from(now, told);
+        for message in messages {
+            let (service, known) = rollout_word_from(now, message);
             let before = self.progress(&service);
-            let (standing, at) = (word.progress, word.at);
-            if self.orders.borrow_mut().learn(&service, word) {
-                self.log_standing(&service, before, standing);
+            let (progress, at) = (known.progress, known.at);
+            if self.orders.borrow_mut().update(&service, known) {
+                self.log_progress(&service, before, progress);
             }
-            if told.is_withdrawn {
+            if message.is_withdrawn {
                 self.withdraw(&service, at.next());
             }
         }
-        self.apply();
+        self.apply_rules();
     }
 
-    fn log_standing(&self, service: &Arc<str>, before: Option<RolloutProgress>, standing: RolloutProgress) {
-        let share = |standing| match standing {
+    fn log_progress(
+        &self,
+        service: &Arc<str>,
+        before: Option<RolloutProgress>,
+        progress: RolloutProgress,
+    ) {
+        let share = |progress| match progress {
             RolloutProgress::Running { share, .. } => share,
             RolloutProgress::Completed => 1.0,
             RolloutProgress::Unknown | RolloutProgress::RolledBack => 0.0,
         };
-        if before.is_some_and(|before| share(before) == share(standing)) && !standing.is_final() {
+        if before.is_some_and(|before| share(before) == share(progress)) && !progress.is_final() {
             return;
         }
         let line = LogLine::event("rollout_taken").with("service", service);
-        let line = line.with("share", share(standing)).with("is_final", standing.is_final());
+        let line = line.with("share", share(progress)).with("is_final", progress.is_final());
         log::info(line);
     }
 
-    /// Returns what is to be told to peers.
+    /// Returns the messages that publish the known orders to peers.
     pub fn messages(&self) -> Vec<RolloutWord> {
         let now = self.now();
         let orders = self.orders.borrow();
-        let word = |(service, word): (&Arc<str>, &KnownOrder)| {
-            rollout_word(now, service, word, orders.is_withdrawn(service))
+        let message = |(service, known): (&Arc<str>, &KnownOrder)| {
+            rollout_word(now, service, known, orders.is_withdrawn(service))
         };
-        orders.words().map(word).collect()
+        orders.iter().map(message).collect()
     }
 
-    /// Puts what is known in force.
-    fn apply(&self) {
+    /// Puts the version rules that follow from the known orders in force.
+    fn apply_rules(&self) {
         let orders = self.orders.borrow();
         if orders.is_empty() {
             return;
         }
         let now = self.now();
-        let rules = orders.words().filter_map(|(service, _)| {
+        let rules = orders.iter().filter_map(|(service, _)| {
             let rule = orders.rule(now, service)?;
             Some((service.clone(), rule))
         });
         self.upstreams.set_version_rules(rules.collect());
     }
 
-    /// Tells whether a new request to a service goes to the ordered version, and counts it.
+    /// Counts a new request to a service and returns whether it goes to the destination version.
     pub fn sample_destination(&self, service: &Arc<str>) -> bool {
         match self.upstreams.admits(service) {
-            Some(AdmittedVersions::Share(share)) => self.with_meter(service, |meter| meter.take(share)),
+            Some(AdmittedVersions::Share(share)) => {
+                self.with_sampler(service, |sampler| sampler.sample(share))
+            }
             _ => false,
         }
     }
 
-    /// Tells whether a call on pieces may go to an upstream now.
+    /// Returns whether a call on pieces may go to an upstream now.
     pub fn admits_call(&self, service: &Arc<str>, target: &Target) -> bool {
         match self.upstreams.admits(service) {
-            Some(AdmittedVersions::Share(_)) if self.is_ordered(service, target) => {
-                self.with_meter(service, |meter| meter.has_turn())
+            Some(AdmittedVersions::Share(_)) if self.is_destination(service, target) => {
+                self.with_sampler(service, |sampler| sampler.has_credit())
             }
             _ => true,
         }
     }
 
-    /// Counts a call on pieces.
+    /// Counts a call on pieces towards the share of the destination version.
     pub fn count_call(&self, service: &Arc<str>, target: &Target) {
         if let Some(AdmittedVersions::Share(share)) = self.upstreams.admits(service) {
-            let is_ordered = self.is_ordered(service, target);
-            self.with_meter(service, |meter| {
-                meter.count(share);
-                is_ordered && meter.spend()
+            let is_destination = self.is_destination(service, target);
+            self.with_sampler(service, |sampler| {
+                sampler.add_credit(share);
+                is_destination && sampler.spend()
             });
         }
     }
 
-    fn with_meter(&self, service: &Arc<str>, change: impl FnOnce(&mut ShareSampler) -> bool) -> bool {
-        let Some(at) = self.orders.borrow().word(service).map(|word| word.at) else {
+    fn with_sampler(
+        &self,
+        service: &Arc<str>,
+        change: impl FnOnce(&mut ShareSampler) -> bool,
+    ) -> bool {
+        let Some(at) = self.orders.borrow().newest(service).map(|known| known.at) else {
             return false;
         };
-        let mut answer = false;
-        self.with_own(service, at, |own| answer = change(&mut own.meter));
-        answer
+        let mut result = false;
+        self.with_own_counts(service, at, |own| result = change(&mut own.sampler));
+        result
     }
 
-    fn is_ordered(&self, service: &str, target: &Target) -> bool {
+    fn is_destination(&self, service: &str, target: &Target) -> bool {
         let orders = self.orders.borrow();
-        orders.word(service).is_some_and(|word| word.order.destination == target.version)
+        orders.newest(service).is_some_and(|known| known.order.destination == target.version)
     }
 
-    /// Counts a send to a service, if it has an order under way. `is_first` tells whether the request was sent before.
+    /// Counts a send to a service; `None` if the service has no order under way. `is_first` says whether this is the first send
+    /// of its request.
     pub fn track_send(
         self: &Rc<Self>,
         service: &Arc<str>,
@@ -351,38 +381,47 @@
         is_first: bool,
     ) -> Option<TrackedSend> {
         let orders = self.orders.borrow();
-        let word = orders.word(service).filter(|word| !word.progress.is_final())?;
-        let (at, is_ordered) = (word.at, word.order.destination == target.version);
+        let known = orders.newest(service).filter(|known| !known.progress.is_final())?;
+        let (at, is_destination) = (known.at, known.order.destination == target.version);
         drop(orders);
-        self.with_own(service, at, |own| {
+        self.with_own_counts(service, at, |own| {
             own.counts.requests += u64::from(is_first);
-            own.counts.exposed += u64::from(is_ordered);
-            own.counts.in_flight_at_others += u64::from(!is_ordered);
+            own.counts.exposed += u64::from(is_destination);
+            own.counts.in_flight_at_others += u64::from(!is_destination);
         });
         Some(TrackedSend {
             rollouts: self.clone(),
             service: service.clone(),
             at,
             route: route.clone(),
-            is_ordered,
-            is_timed: !self.upstreams.is_cold(target.key),
-            began_at: self.now(),
-            judged: Cell::new(Judged::Open),
+            is_destination,
+            has_latency: !self.upstreams.is_cold(target.key),
+            started_at: self.now(),
+            outcome: Cell::new(RecordedOutcome::Pending),
         })
     }
 
-    /// Counts a call on pieces like a request.
-    pub fn began_call(self: &Rc<Self>, service: &Arc<str>, target: &Target) -> Option<TrackedSend> {
+    /// Counts a call on pieces as one request; `None` if the service has no order under way.
+    pub fn track_call(self: &Rc<Self>, service: &Arc<str>, target: &Target) -> Option<TrackedSend> {
         if self.orders.borrow().is_empty() {
             return None;
         }
-        self.track_send(service, target, &CALLS.into(), true)
+        self.track_send(service, target, &CALLS_ROUTE.into(), true)
     }
 
-    /// Changes what is counted of an order, unless that is over.
-    fn with_own(&self, service: &Arc<str>, at: Position, change: impl FnOnce(&mut Own)) {
-        let mut own = self.own.borrow_mut();
-        let new = || Own { at, meter: ShareSampler::new(rand::random()), counts: RolloutCounts::default() };
+    /// Changes what this node counts for the order at a position, unless a newer order has replaced it.
+    fn with_own_counts(
+        &self,
+        service: &Arc<str>,
+        at: Position,
+        change: impl FnOnce(&mut OwnCounts),
+    ) {
+        let mut own = self.own_counts.borrow_mut();
+        let new = || OwnCounts {
+            at,
+            sampler: ShareSampler::new(rand::random()),
+            counts: RolloutCounts::default(),
+        };
         let own = own.entry(service.clone()).or_insert_with(new);
         if own.at < at {
             *own = new();
@@ -392,125 +431,132 @@
         }
     }
 
-    /// Reports and decides, for as long as the process runs.
+    /// Sends reports and runs this node's controllers, for as long as the process runs.
     pub async fn run(self: Rc<Self>) {
         loop {
-            sleep(ROUND).await;
+            sleep(ROUND_INTERVAL).await;
             if !self.orders.borrow().is_empty() {
-                self.round();
+                self.run_round();
             }
         }
     }
 
-    fn round(self: &Rc<Self>) {
+    fn run_round(self: &Rc<Self>) {
         let open: Vec<_> = {
             let orders = self.orders.borrow();
-            let open = orders.words().filter(|(_, word)| !word.progress.is_final());
-            open.map(|(service, word)| (service.clone(), word.clone())).collect()
+            let open = orders.iter().filter(|(_, known)| !known.progress.is_final());
+            open.map(|(service, known)| (service.clone(), known.clone())).collect()
         };
-        let is_open = |service: &Arc<str>, deciding: &mut Deciding| {
-            open.iter().any(|(other, word)| other == service && word.at == deciding.at)
+        let is_open = |service: &Arc<str>, controlled: &mut ControlledOrder| {
+            open.iter().any(|(other, known)| other == service && known.at == controlled.at)
         };
-        self.deciding.borrow_mut().retain(is_open);
-        for (service, word) in &open {
-            let decider = self.peers.owner(&format!("rollout {service}"));
-            let report = self.report(service, word);
-            if decider == self.peers.address() {
-                self.handle_report(decider, report);
-                self.decide(service, word);
+        self.controlled.borrow_mut().retain(is_open);
+        for (service, known) in &open {
+            let controller = self.peers.owner(&format!("rollout {service}"));
+            let report = self.own_report(service, known);
+            if controller == self.peers.address() {
+                self.handle_report(controller, report);
+                self.run_controller(service, known);
             } else {
-                self.deciding.borrow_mut().remove(service);
-                self.peers.send(decider, GatewayBody::RolloutReport(report));
+                self.controlled.borrow_mut().remove(service);
+                self.peers.send(controller, GatewayBody::RolloutReport(report));
             }
         }
-        self.apply();
+        self.apply_rules();
     }
 
-    fn report(&self, service: &Arc<str>, word: &KnownOrder) -> RolloutReport {
+    fn own_report(&self, service: &Arc<str>, known: &KnownOrder) -> RolloutReport {
         let mut report = None;
-        let serves_alone = matches!(word.progress, RolloutProgress::Running { share, .. } if share >= 1.0);
-        // Requests from before the order aren't counted with it.
+        let serves_alone =
+            matches!(known.progress, RolloutProgress::Running { share, .. } if share >= 1.0);
+        // The order's counts don't contain requests from before the order.
         let is_idle =
-            serves_alone && !self.upstreams.has_work_at_others(service, &word.order.destination);
-        self.with_own(service, word.at, |own| {
+            serves_alone && !self.upstreams.has_work_at_others(service, &known.order.destination);
+        self.with_own_counts(service, known.at, |own| {
             let is_drained = is_idle && own.counts.in_flight_at_others == 0;
-            report = Some(rollout_report(service, word.at, &own.counts, is_drained));
+            report = Some(rollout_report(service, known.at, &own.counts, is_drained));
         });
         let incarnation = self.peers.incarnation();
         RolloutReport { incarnation, ..report.unwrap_or_default() }
     }
 
-    /// Takes in a node's report.
+    /// Handles the report of a node to the controller of an order.
     pub fn handle_report(&self, sender: SocketAddr, report: RolloutReport) {
         let service: Arc<str> = report.service.as_str().into();
         let at = Position::new(report.era, report.offset);
-        let word = self.orders.borrow().word(&service).cloned();
-        let Some(word) = word.filter(|word| word.at == at) else {
+        let known = self.orders.borrow().newest(&service).cloned();
+        let Some(known) = known.filter(|known| known.at == at) else {
             return;
         };
         let now = self.now();
-        let mut deciding = self.deciding.borrow_mut();
-        let new = || self.start_deciding(&word);
-        let deciding = deciding.entry(service).or_insert_with(new);
-        if deciding.at != at {
-            *deciding = new();
+        let mut controlled = self.controlled.borrow_mut();
+        let new = || self.new_controlled(&known);
+        let controlled = controlled.entry(service).or_insert_with(new);
+        if controlled.at != at {
+            *controlled = new();
         }
         let (incarnation, is_drained) = (report.incarnation, report.is_drained);
         let counts = rollout_counts(report);
-        let reported = Reported { counts, incarnation, is_drained, heard_at: now };
-        if let Some(before) = deciding.reports.insert(sender, reported)
+        let report = NodeReport { counts, incarnation, is_drained, received_at: now };
+        if let Some(before) = controlled.reports.insert(sender, report)
             && before.incarnation != incarnation
         {
-            deciding.before_restarts += &RolloutCounts { in_flight_at_others: 0, ..before.counts };
+            controlled.before_restarts +=
+                &RolloutCounts { in_flight_at_others: 0, ..before.counts };
         }
     }
 
-    fn start_deciding(&self, word: &KnownOrder) -> Deciding {
+    fn new_controlled(&self, known: &KnownOrder) -> ControlledOrder {
         let RolloutSettings { share, slack } = self.settings.get();
-        let bounds = ExposureBudget { share, slack };
-        let duration = word.order.duration;
-        Deciding {
-            at: word.at,
-            decider: RolloutController::new(bounds, word.deadline_at, duration, ExposureSpent::default()),
+        let budget = ExposureBudget { share, slack };
+        let duration = known.order.duration;
+        ControlledOrder {
+            at: known.at,
+            controller: RolloutController::new(
+                budget,
+                known.deadline_at,
+                duration,
+                ExposureSpent::default(),
+            ),
             reports: HashMap::new(),
             before_restarts: RolloutCounts::default(),
-            is_read: false,
-            end: None,
+            is_state_read: false,
+            next_offset: None,
             written: None,
-            is_busy: false,
+            is_store_busy: false,
         }
     }
 
-    fn decide(self: &Rc<Self>, service: &Arc<str>, word: &KnownOrder) {
+    fn run_controller(self: &Rc<Self>, service: &Arc<str>, known: &KnownOrder) {
         let now = self.now();
-        let mut all = self.deciding.borrow_mut();
-        let Some(deciding) = all.get_mut(service) else {
+        let mut all = self.controlled.borrow_mut();
+        let Some(controlled) = all.get_mut(service) else {
             return;
         };
-        if deciding.end.is_none() && !deciding.is_busy {
-            deciding.is_busy = true;
-            spawn_local(self.clone().read_state(service.clone(), word.clone()));
+        if controlled.next_offset.is_none() && !controlled.is_store_busy {
+            controlled.is_store_busy = true;
+            spawn_local(self.clone().read_state(service.clone(), known.clone()));
         }
-        if !deciding.is_read {
-            // A decider of before may have written how far it is.
+        if !controlled.is_state_read {
+            // The previous controller may have written its progress.
             return;
         }
-        let counts = deciding.sum();
-        let seen = Observation {
+        let counts = controlled.sum();
+        let observed = Observation {
             counts: &counts,
-            engines: self.engines(service, &word.order.destination),
-            is_complete: self.is_complete(deciding),
-            is_drained: self.is_drained(now, deciding),
+            upstreams: self.upstream_counts(service, &known.order.destination),
+            is_complete: self.is_complete(controlled),
+            is_drained: self.is_drained(now, controlled),
             longest_request: self.longest_request(service),
             is_withdrawn: self.orders.borrow().is_withdrawn(service),
         };
-        let before = deciding.decider.phase();
-        let share = deciding.decider.step(now, seen);
-        let phase = deciding.decider.phase();
-        let spent = deciding.decider.spent(&counts);
+        let before = controlled.controller.phase();
+        let share = controlled.controller.step(now, observed);
+        let phase = controlled.controller.phase();
+        let spent = controlled.controller.spent(&counts);
         if phase != before {
             let line = LogLine::event("rollout_step").with("service", service);
-            let line = line.with("destination", &word.order.destination);
+            let line = line.with("destination", &known.order.destination);
             let line = line.with("phase", phase.name()).with("share", share);
             let line = line.with("requests", spent.requests).with("exposed", spent.exposed);
             let reason = match phase {
@@ -520,69 +566,70 @@
             log::info(line.with_some("reason", reason));
         }
         let is_over = matches!(phase, Phase::Completed | Phase::RolledBack(_));
-        if !deciding.is_busy && (is_over || deciding.has_progress(spent)) {
-            self.write_state(service, word, deciding, spent);
+        if !controlled.is_store_busy && (is_over || controlled.has_progress(spent)) {
+            self.write_state(service, known, controlled, spent);
         }
         drop(all);
-        // An end is one when the store holds it: another decider may have written the other.
-        let standing = RolloutProgress::Running { share, serial: next_serial(word), announced_at: now };
-        self.orders.borrow_mut().learn(service, KnownOrder { progress: standing, ..word.clone() });
+        // The end counts only once the store holds it: another controller may have written the opposite end.
+        let progress =
+            RolloutProgress::Running { share, serial: next_serial(known), announced_at: now };
+        self.orders.borrow_mut().update(service, KnownOrder { progress, ..known.clone() });
     }
 
     fn write_state(
         self: &Rc<Self>,
         service: &Arc<str>,
-        word: &KnownOrder,
-        deciding: &mut Deciding,
+        known: &KnownOrder,
+        controlled: &mut ControlledOrder,
         spent: ExposureSpent,
     ) {
-        let state = deciding.state();
-        let Some(end) = deciding.end else {
+        let state = controlled.state();
+        let Some(next_offset) = controlled.next_offset else {
             return;
         };
-        deciding.is_busy = true;
+        controlled.is_store_busy = true;
         let status = RolloutStatus {
             state,
-            destination: word.order.destination.clone(),
-            order_at: word.at,
-            deadline_ms: self.wall_ms_of(word.deadline_at),
+            destination: known.order.destination.clone(),
+            order_at: known.at,
+            deadline_ms: self.wall_ms_of(known.deadline_at),
             requests: spent.requests,
             exposed: spent.exposed,
         };
-        spawn_local(self.clone().write(service.clone(), word.clone(), status, spent, end));
+        spawn_local(self.clone().write(service.clone(), known.clone(), status, spent, next_offset));
     }
 
     async fn write(
         self: Rc<Self>,
         service: Arc<str>,
-        word: KnownOrder,
+        known: KnownOrder,
         status: RolloutStatus,
         spent: ExposureSpent,
-        end: u64,
+        next_offset: u64,
     ) {
         let (key, value) = self.wire.encode_rollout_status(&service, &status);
-        let written = self.store.write_if(Topic::Rollouts, &key, &value, end).await;
+        let written = self.store.write_if(Topic::Rollouts, &key, &value, next_offset).await;
         let state = status.state;
         {
-            let mut all = self.deciding.borrow_mut();
-            let Some(deciding) = all.get_mut(&service).filter(|d| d.at == word.at) else {
+            let mut all = self.controlled.borrow_mut();
+            let Some(controlled) = all.get_mut(&service).filter(|c| c.at == known.at) else {
                 return;
             };
-            deciding.is_busy = false;
+            controlled.is_store_busy = false;
             match &written {
                 Ok(()) => {
-                    deciding.end = Some(end + 1);
-                    deciding.written = Some((state, spent));
+                    controlled.next_offset = Some(next_offset + 1);
+                    controlled.written = Some((state, spent));
                 }
-                // It is read again before anything else is written: another decider may have ended it, and a write without an
-                // answer may have taken effect.
-                Err(_) => deciding.end = None,
+                // The state is read again before anything else is written: another controller may have ended the roll-out, and a
+                // write that got no answer may have taken effect.
+                Err(_) => controlled.next_offset = None,
             }
         }
         match written {
             Ok(()) => {
-                if let Some(standing) = final_standing(state) {
-                    self.ended(&service, KnownOrder { progress: standing, ..word }, state);
+                if let Some(progress) = final_progress(state) {
+                    self.record_end(&service, KnownOrder { progress, ..known }, state);
                 }
             }
             Err(error) => {
@@ -592,34 +639,34 @@
         }
     }
 
-    fn ended(&self, service: &Arc<str>, word: KnownOrder, state: RolloutState) {
+    fn record_end(&self, service: &Arc<str>, known: KnownOrder, state: RolloutState) {
         let line = LogLine::event("rollout_ended").with("service", service);
-        let line = line.with("destination", &word.order.destination);
+        let line = line.with("destination", &known.order.destination);
         log::info(line.with("state", state.name()));
-        self.orders.borrow_mut().learn(service, word);
-        self.apply();
+        self.orders.borrow_mut().update(service, known);
+        self.apply_rules();
     }
 
-    /// Reads how far a decider of before came.
-    async fn read_state(self: Rc<Self>, service: Arc<str>, word: KnownOrder) {
+    /// Reads the state that a previous controller may have written, and continues from it.
+    async fn read_state(self: Rc<Self>, service: Arc<str>, known: KnownOrder) {
         let page = self.store.newest(Topic::Rollouts, None).await;
         let page = page.map(|newest| newest.page);
         let status = page.as_ref().ok().and_then(|page| {
             let of_service = |record| {
                 let (named, status) = self.wire.decode_rollout_status(record)?;
-                (named == service && status.order_at == word.at).then_some(status)
+                (named == service && status.order_at == known.at).then_some(status)
             };
             page.records.iter().find_map(of_service)
         });
-        let mut all = self.deciding.borrow_mut();
-        let Some(deciding) = all.get_mut(&service).filter(|d| d.at == word.at) else {
+        let mut all = self.controlled.borrow_mut();
+        let Some(controlled) = all.get_mut(&service).filter(|c| c.at == known.at) else {
             return;
         };
-        deciding.is_busy = false;
+        controlled.is_store_busy = false;
         match page {
             Ok(page) => {
-                deciding.end = Some(page.end);
-                deciding.is_read = true;
+                controlled.next_offset = Some(page.end);
+                controlled.is_state_read = true;
             }
             Err(error) => return log_unread(&service, &error),
         }
@@ -627,51 +674,52 @@
             return;
         };
         let spent = ExposureSpent { requests: status.requests, exposed: status.exposed };
-        deciding.written = Some((status.state, spent));
-        if let Some(standing) = final_standing(status.state) {
+        controlled.written = Some((status.state, spent));
+        if let Some(progress) = final_progress(status.state) {
             drop(all);
-            self.ended(&service, KnownOrder { progress: standing, ..word }, status.state);
-        } else if deciding.decider.phase() == Phase::Waiting {
+            self.record_end(&service, KnownOrder { progress, ..known }, status.state);
+        } else if controlled.controller.phase() == Phase::Waiting {
             let left_ms = status.deadline_ms.saturating_sub(self.clock.now().wall_ms());
             let deadline_at = self.now() + Duration::from_millis(left_ms);
-            let deadline_at = deadline_at.min(word.deadline_at);
+            let deadline_at = deadline_at.min(known.deadline_at);
             let RolloutSettings { share, slack } = self.settings.get();
-            let bounds = ExposureBudget { share, slack };
-            deciding.decider = RolloutController::new(bounds, deadline_at, word.order.duration, spent);
+            let budget = ExposureBudget { share, slack };
+            controlled.controller =
+                RolloutController::new(budget, deadline_at, known.order.duration, spent);
             drop(all);
-            self.orders.borrow_mut().learn(&service, KnownOrder { deadline_at, ..word });
+            self.orders.borrow_mut().update(&service, KnownOrder { deadline_at, ..known });
         }
     }
 
-    fn engines(&self, service: &str, destination: &Arc<str>) -> UpstreamCounts {
+    fn upstream_counts(&self, service: &str, destination: &Arc<str>) -> UpstreamCounts {
         let now = self.now();
         let directory = self.upstreams.directory();
-        let mut engines = UpstreamCounts::default();
+        let mut counts = UpstreamCounts::default();
         for (_, upstream) in directory.of_service(service) {
             if !upstream.takes_work() || upstream.is_cold(now) {
                 continue;
             }
             match upstream.record.version == *destination {
-                true => engines.ordered += 1,
-                false => engines.others += 1,
+                true => counts.destination += 1,
+                false => counts.others += 1,
             }
         }
-        engines
+        counts
     }
 
-    /// Tells whether all live nodes have reported.
-    fn is_complete(&self, deciding: &Deciding) -> bool {
-        self.peers.live().iter().all(|peer| deciding.reports.contains_key(peer))
+    /// Returns whether all live nodes have reported.
+    fn is_complete(&self, controlled: &ControlledOrder) -> bool {
+        self.peers.live().iter().all(|peer| controlled.reports.contains_key(peer))
     }
 
-    fn is_drained(&self, now: Duration, deciding: &Deciding) -> bool {
+    fn is_drained(&self, now: Duration, controlled: &ControlledOrder) -> bool {
         let live = self.peers.live();
-        let counts = |address: &SocketAddr, reported: &Reported| {
-            live.contains(address) || now < reported.heard_at + SILENT_TIME
+        let counts = |address: &SocketAddr, report: &NodeReport| {
+            live.contains(address) || now < report.received_at + SILENT_NODE_GRACE
         };
         let mut counted =
-            deciding.reports.iter().filter(|(address, reported)| counts(address, reported));
-        self.is_complete(deciding) && counted.all(|(_, reported)| reported.is_drained)
+            controlled.reports.iter().filter(|(address, report)| counts(address, report));
+        self.is_complete(controlled) && counted.all(|(_, report)| report.is_drained)
     }
 
     fn longest_request(&self, service: &str) -> Duration {
@@ -691,35 +739,35 @@
     }
 }
 
-impl Deciding {
+impl ControlledOrder {
     fn sum(&self) -> RolloutCounts {
         let mut sum = self.before_restarts.clone();
-        self.reports.values().for_each(|reported| sum += &reported.counts);
+        self.reports.values().for_each(|report| sum += &report.counts);
         sum
     }
 
     fn state(&self) -> RolloutState {
-        match self.decider.phase() {
+        match self.controller.phase() {
             Phase::Completed => RolloutState::Completed,
             Phase::RolledBack(_) => RolloutState::RolledBack,
             _ => RolloutState::Running,
         }
     }
 
-    /// Tells whether so much was spent since the last record that another decider has to know.
+    /// Returns whether the exposure has grown so much since the last record that it must be written for the next controller.
     fn has_progress(&self, spent: ExposureSpent) -> bool {
         self.written.is_none_or(|(_, written)| spent.exposed >= written.exposed.max(8) * 2)
     }
 }
 
-fn next_serial(word: &KnownOrder) -> u64 {
-    match word.progress {
+fn next_serial(known: &KnownOrder) -> u64 {
+    match known.progress {
         RolloutProgress::Running { serial, .. } => serial + 1,
         _ => 1,
     }
 }
 
-fn final_standing(state: RolloutState) -> Option<RolloutProgress> {
+fn final_progress(state: RolloutState) -> Option<RolloutProgress> {
     match state {
         RolloutState::Running => None,
         RolloutState::Completed => Some(RolloutProgress::Completed),
--- a/crates/fernring-gateway/src/rollout/counts.rs
+++ b/crates/fernring-gateway/src/rollout/counts.rs
@@ -1,4 +1,4 @@
-//! What nodes count of a roll-out. No I/O.
+//! Requests and responses that nodes count for a roll-out. No I/O.
 
 use std::{
     collections::BTreeMap,
@@ -7,108 +7,109 @@
     time::Duration,
 };
 
-/// Classes of times. Each spans a quarter of an octave from a millisecond on, so that the last begins at a minute.
+/// Number of latency buckets. Each spans a quarter of an octave; the first begins at a millisecond, the last at a minute.
 pub const LATENCY_BUCKETS: usize = 64;
-/// Classes to an octave.
-const CLASSES_PER_OCTAVE: f64 = 4.0;
+/// Latency buckets per octave, that is, per doubling of the latency.
+const BUCKETS_PER_OCTAVE: f64 = 4.0;
 
-/// Returns the class of a time.
-pub fn latency_bucket(time: Duration) -> usize {
-    let ms = (time.as_secs_f64() * 1_000.0).max(1.0);
-    ((ms.log2() * CLASSES_PER_OCTAVE) as usize).min(LATENCY_BUCKETS - 1)
+/// Returns the index of the bucket that a latency falls into.
+pub fn latency_bucket(latency: Duration) -> usize {
+    let ms = (latency.as_secs_f64() * 1_000.0).max(1.0);
+    ((ms.log2() * BUCKETS_PER_OCTAVE) as usize).min(LATENCY_BUCKETS - 1)
 }
 
-/// Answers of one version on one route.
+/// Responses of one version on one route.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct AnswerStats {
-    /// Failures.
+pub struct ResponseStats {
+    /// Number of failures.
     pub failed: u64,
-    /// The others, by the class of the time that they took.
-    pub times: [u32; LATENCY_BUCKETS],
+    /// Histogram of the latencies of the responses that aren't failures.
+    pub latency_counts: [u32; LATENCY_BUCKETS],
 }
 
-impl Default for AnswerStats {
+impl Default for ResponseStats {
     fn default() -> Self {
-        Self { failed: 0, times: [0; LATENCY_BUCKETS] }
+        Self { failed: 0, latency_counts: [0; LATENCY_BUCKETS] }
     }
 }
 
-impl AnswerStats {
-    /// Counts an answer; `None` stands for a failure.
-    pub fn add(&mut self, took: Option<Duration>) {
-        match took {
-            Some(took) => self.times[latency_bucket(took)] += 1,
+impl ResponseStats {
+    /// Counts a response by its latency; `None` stands for a failure.
+    pub fn record(&mut self, latency: Option<Duration>) {
+        match latency {
+            Some(latency) => self.latency_counts[latency_bucket(latency)] += 1,
             None => self.failed += 1,
         }
     }
 
-    /// Returns the number of answers, failures included.
-    pub fn all(&self) -> u64 {
-        self.failed + self.whole()
+    /// Returns the number of responses, failures included.
+    pub fn total(&self) -> u64 {
+        self.failed + self.succeeded()
     }
 
-    /// Returns the number of answers that are no failures.
-    pub fn whole(&self) -> u64 {
-        self.times.iter().map(|count| u64::from(*count)).sum()
+    /// Returns the number of responses that aren't failures.
+    pub fn succeeded(&self) -> u64 {
+        self.latency_counts.iter().map(|count| u64::from(*count)).sum()
     }
 
-    /// Returns the number of those that took as long as a class or longer.
-    pub fn slower(&self, class: usize) -> u64 {
-        self.times.iter().skip(class).map(|count| u64::from(*count)).sum()
+    /// Returns the number of successful responses whose latency lies in the given bucket or a higher one.
+    pub fn count_from_bucket(&self, bucket: usize) -> u64 {
+        self.latency_counts.iter().skip(bucket).map(|count| u64::from(*count)).sum()
     }
 
-    /// Returns the class of the median time; `None` of fewer than `least` answers.
-    pub fn median_class(&self, least: u64) -> Option<usize> {
-        let whole = self.whole();
-        if whole < least.max(1) {
+    /// Returns the bucket of the median latency; `None` if fewer than `responses_min` responses succeeded.
+    pub fn median_bucket(&self, responses_min: u64) -> Option<usize> {
+        let succeeded = self.succeeded();
+        if succeeded < responses_min.max(1) {
             return None;
         }
-        let mut below = 0;
-        self.times.iter().position(|count| {
-            below += u64::from(*count);
-            below * 2 >= whole
+        let mut cumulative = 0;
+        self.latency_counts.iter().position(|count| {
+            cumulative += u64::from(*count);
+            cumulative * 2 >= succeeded
         })
     }
 }
 
-impl AddAssign<&AnswerStats> for AnswerStats {
+impl AddAssign<&ResponseStats> for ResponseStats {
     fn add_assign(&mut self, other: &Self) {
         self.failed += other.failed;
-        for (own, others) in self.times.iter_mut().zip(&other.times) {
+        for (own, others) in self.latency_counts.iter_mut().zip(&other.latency_counts) {
             *own = own.saturating_add(*others);
         }
     }
 }
 
-impl Sub for &AnswerStats {
-    type Output = AnswerStats;
+impl Sub for &ResponseStats {
+    type Output = ResponseStats;
 
-    fn sub(self, other: Self) -> AnswerStats {
-        let times =
-            std::array::from_fn(|class| self.times[class].saturating_sub(other.times[class]));
-        AnswerStats { failed: self.failed.saturating_sub(other.failed), times }
+    fn sub(self, other: Self) -> ResponseStats {
+        let latency_counts = std::array::from_fn(|bucket| {
+            self.latency_counts[bucket].saturating_sub(other.latency_counts[bucket])
+        });
+        ResponseStats { failed: self.failed.saturating_sub(other.failed), latency_counts }
     }
 }
 
-/// Answers on one route.
+/// Responses on one route.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RouteStats {
-    /// Those of the ordered version.
-    pub destination: AnswerStats,
-    /// Those of the others.
-    pub others: AnswerStats,
+    /// Responses of the destination version.
+    pub destination: ResponseStats,
+    /// Responses of all other versions.
+    pub others: ResponseStats,
 }
 
-/// What a node, or all nodes together, count since an order was given.
+/// Counts of one node, or the sum over all nodes, since an order was given.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RolloutCounts {
-    /// Requests sent to the service.
+    /// Requests to the service; retries aren't counted.
     pub requests: u64,
-    /// Sends to the ordered version, repeats included.
+    /// Sends to the destination version, retries included.
     pub exposed: u64,
-    /// Requests in hand at other versions.
+    /// Requests in flight at other versions.
     pub in_flight_at_others: u64,
-    /// Answers by route.
+    /// Responses by route.
     pub routes: BTreeMap<Arc<str>, RouteStats>,
 }
 
@@ -117,10 +118,10 @@
         self.requests += other.requests;
         self.exposed += other.exposed;
         self.in_flight_at_others += other.in_flight_at_others;
-        for (route, answers) in &other.routes {
+        for (route, stats) in &other.routes {
             let own = self.routes.entry(route.clone()).or_default();
-            own.destination += &answers.destination;
-            own.others += &answers.others;
+            own.destination += &stats.destination;
+            own.others += &stats.others;
         }
     }
 }
--- a/crates/fernring-gateway/src/rollout/orders.rs
+++ b/crates/fernring-gateway/src/rollout/orders.rs
@@ -1,4 +1,4 @@
-//! What a node knows of the orders to roll out, and what follows for the upstreams of a service. No I/O.
+//! Roll-out orders that a node knows, and which versions of a service get requests because of them. No I/O.
 
 use {
     crate::position::Position,
@@ -9,46 +9,46 @@
     },
 };
 
-/// Time for which a share holds that isn't said again: several heartbeats, well below the time in which a version that is
-/// rolled back may still get requests.
+/// Time after which a share expires unless it is announced again: several heartbeats, but well below the time for which a
+/// version that is rolled back may still get requests.
 pub const SHARE_LIFETIME: Duration = Duration::from_secs(2);
-/// Services that orders are kept of.
+/// Largest number of services whose orders are kept.
 const SERVICES_MAX: usize = 256;
 
-/// An operator's order.
+/// An operator's order to move a service's requests to a version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutOrder {
     /// The version that is to serve.
     pub destination: Arc<str>,
-    /// Time in which it is to be done.
+    /// Time within which the roll-out must end.
     pub duration: Duration,
 }
 
-/// How far a roll-out is.
+/// Progress of a roll-out.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum RolloutProgress {
-    /// The order was found in the store, and its state isn't read yet.
+    /// The order was found in the store, but its state hasn't been read yet.
     Unknown,
-    /// It is under way.
+    /// The roll-out is under way.
     Running {
-        /// Part of the requests that the ordered version gets.
+        /// Part of the requests that the destination version gets.
         share: f64,
-        /// Rises with each word of a decider.
+        /// Rises with each announcement of a controller.
         serial: u64,
-        /// When the decider said so.
+        /// When the controller announced the share.
         announced_at: Duration,
     },
-    /// The ordered version serves alone.
+    /// The destination version serves alone.
     Completed,
-    /// The ordered version gets nothing.
+    /// The destination version gets nothing.
     RolledBack,
 }
 
 impl RolloutProgress {
-    /// The standing of an order that nobody has decided on.
+    /// Progress of an order on which no controller has decided yet.
     pub const INITIAL: Self = Self::Running { share: 0.0, serial: 0, announced_at: Duration::ZERO };
 
-    /// Tells whether it stays so.
+    /// Returns whether the roll-out has ended.
     pub fn is_final(&self) -> bool {
         matches!(self, Self::Completed | Self::RolledBack)
     }
@@ -64,54 +64,54 @@
     }
 }
 
-/// What is known of a service's newest order.
+/// The newest known order of a service and its progress.
 #[derive(Debug, Clone, PartialEq)]
 pub struct KnownOrder {
     /// The order.
     pub order: RolloutOrder,
-    /// Where it lies in the store.
+    /// Position of the order in the store.
     pub at: Position,
-    /// When it is to be done.
+    /// When the roll-out must have ended.
     pub deadline_at: Duration,
-    /// How far it is.
+    /// Progress of the roll-out.
     pub progress: RolloutProgress,
 }
 
-/// Which versions of a service get requests.
+/// Versions of a service that get requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AdmittedVersions {
-    /// All but the ordered one.
+    /// All but the destination.
     Others,
-    /// All but the ordered one; that one if no other is there.
+    /// All but the destination, or the destination if the service has upstreams of no other version.
     OthersFirst,
-    /// Both: the ordered one this share of the requests.
+    /// All; the destination gets this share of the requests.
     Share(f64),
-    /// The ordered one; others if it doesn't take a request.
+    /// The destination, or others if it doesn't accept a request.
     DestinationFirst,
-    /// The ordered one alone.
+    /// The destination alone.
     Destination,
 }
 
-/// What an order makes of the upstreams of its service.
+/// Rule by which upstreams of a service get requests, as the service's order demands.
 #[derive(Debug, Clone, PartialEq)]
 pub struct VersionRule {
-    /// The ordered version.
+    /// The destination version of the newest order.
     pub destination: Arc<str>,
-    /// Which versions get requests.
-    pub admits: AdmittedVersions,
-    /// Versions that were ordered before and are over.
-    pub barred: BTreeSet<Arc<str>>,
+    /// Versions that get requests.
+    pub admitted: AdmittedVersions,
+    /// Destinations of earlier orders that weren't completed; they get no requests.
+    pub ineligible: BTreeSet<Arc<str>>,
 }
 
 impl VersionRule {
-    /// Tells whether upstreams of a version may get requests. `has_others` tells whether upstreams of other versions than the
-    /// ordered one are there.
+    /// Returns whether upstreams of a version may get requests. `has_others` says whether the service has upstreams of
+    /// versions other than the destination.
     pub fn admits(&self, version: &str, has_others: bool) -> bool {
         let is_destination = *self.destination == *version;
-        if !is_destination && self.barred.contains(version) {
+        if !is_destination && self.ineligible.contains(version) {
             return false;
         }
-        match self.admits {
+        match self.admitted {
             AdmittedVersions::Others => !is_destination,
             AdmittedVersions::OthersFirst => !is_destination || !has_others,
             AdmittedVersions::Share(_) | AdmittedVersions::DestinationFirst => true,
@@ -121,10 +121,10 @@
 }
 
 #[derive(Debug, Clone)]
-struct Known {
-    word: KnownOrder,
-    /// Versions that were ordered before and are over.
-    barred: BTreeSet<Arc<str>>,
+struct ServiceEntry {
+    newest: KnownOrder,
+    /// Destinations of earlier orders that weren't completed.
+    ineligible: BTreeSet<Arc<str>>,
     is_withdrawn: bool,
 }
 
@@ -132,59 +132,61 @@
 #[derive(Debug, Clone, Default)]
 pub struct RolloutOrders {
     /// Invariant: at most [`SERVICES_MAX`] entries.
-    by_service: BTreeMap<Arc<str>, Known>,
+    by_service: BTreeMap<Arc<str>, ServiceEntry>,
 }
 
 impl RolloutOrders {
-    /// Takes in a word on a service, from anywhere; tells whether it is news.
-    pub fn learn(&mut self, service: &Arc<str>, word: KnownOrder) -> bool {
-        let Some(known) = self.by_service.get_mut(service) else {
+    /// Merges an order and its progress, from the store, a peer or this node's controller. Returns whether anything that
+    /// is known about the service has changed.
+    pub fn update(&mut self, service: &Arc<str>, update: KnownOrder) -> bool {
+        let Some(entry) = self.by_service.get_mut(service) else {
             if self.by_service.len() >= SERVICES_MAX {
                 return false;
             }
-            let known = Known { word, barred: BTreeSet::new(), is_withdrawn: false };
-            self.by_service.insert(service.clone(), known);
+            let entry =
+                ServiceEntry { newest: update, ineligible: BTreeSet::new(), is_withdrawn: false };
+            self.by_service.insert(service.clone(), entry);
             return true;
         };
-        if word.at < known.word.at {
+        if update.at < entry.newest.at {
             return false;
         }
-        if word.at > known.word.at {
-            let before = std::mem::replace(&mut known.word, word);
-            known.is_withdrawn = false;
-            if before.progress != RolloutProgress::Completed {
-                known.barred.insert(before.order.destination);
+        if update.at > entry.newest.at {
+            let previous = std::mem::replace(&mut entry.newest, update);
+            entry.is_withdrawn = false;
+            if previous.progress != RolloutProgress::Completed {
+                entry.ineligible.insert(previous.order.destination);
             }
-            known.barred.remove(&known.word.order.destination);
+            entry.ineligible.remove(&entry.newest.order.destination);
             return true;
         }
-        // Who heard of it first knows best when it was given.
-        known.word.deadline_at = known.word.deadline_at.min(word.deadline_at);
-        let is_newer = word.progress.is_newer_than(&known.word.progress);
+        // The node that received the order first knows best when it was given.
+        entry.newest.deadline_at = entry.newest.deadline_at.min(update.deadline_at);
+        let is_newer = update.progress.is_newer_than(&entry.newest.progress);
         if is_newer {
-            known.word.progress = word.progress;
+            entry.newest.progress = update.progress;
         }
         is_newer
     }
 
-    /// Takes in that an order was taken back at a position of the store; tells whether one was under way.
+    /// Records that an order was withdrawn at a position of the store. Returns whether its roll-out was under way.
     pub fn withdraw(&mut self, service: &str, at: Position) -> bool {
-        let Some(known) = self.by_service.get_mut(service) else {
+        let Some(entry) = self.by_service.get_mut(service) else {
             return false;
         };
-        let is_over = known.word.progress.is_final() || known.is_withdrawn;
-        if is_over || at <= known.word.at {
+        let is_over = entry.newest.progress.is_final() || entry.is_withdrawn;
+        if is_over || at <= entry.newest.at {
             return false;
         }
-        known.is_withdrawn = true;
+        entry.is_withdrawn = true;
         true
     }
 
-    /// Takes in that the store held orders for the services `present` and no others up to `end`. Returns the services whose
-    /// orders were taken back.
+    /// Records that up to `end` the store holds orders for the services `present` and for no others: older orders for other
+    /// services were withdrawn. Returns the services whose roll-out was under way.
     pub fn retain(&mut self, present: &[Arc<str>], end: Position) -> Vec<Arc<str>> {
-        let is_gone = |(service, known): &(&Arc<str>, &Known)| {
-            let is_of_era = known.word.at.era == end.era && known.word.at < end;
+        let is_gone = |(service, entry): &(&Arc<str>, &ServiceEntry)| {
+            let is_of_era = entry.newest.at.era == end.era && entry.newest.at < end;
             is_of_era && !present.contains(service)
         };
         let gone: Vec<_> =
@@ -192,46 +194,46 @@
         gone.into_iter().filter(|service| self.withdraw(service, end)).collect()
     }
 
-    /// Returns what is known of a service's order.
-    pub fn word(&self, service: &str) -> Option<&KnownOrder> {
-        self.by_service.get(service).map(|known| &known.word)
+    /// Returns the newest order of a service.
+    pub fn newest(&self, service: &str) -> Option<&KnownOrder> {
+        self.by_service.get(service).map(|entry| &entry.newest)
     }
 
-    /// Tells whether a service's order was taken back while it was under way.
+    /// Returns whether a service's newest order was withdrawn while its roll-out was under way.
     pub fn is_withdrawn(&self, service: &str) -> bool {
-        self.by_service.get(service).is_some_and(|known| known.is_withdrawn)
+        self.by_service.get(service).is_some_and(|entry| entry.is_withdrawn)
     }
 
-    /// Lists all words.
-    pub fn words(&self) -> impl Iterator<Item = (&Arc<str>, &KnownOrder)> {
-        self.by_service.iter().map(|(service, known)| (service, &known.word))
+    /// Lists the newest orders of all services.
+    pub fn iter(&self) -> impl Iterator<Item = (&Arc<str>, &KnownOrder)> {
+        self.by_service.iter().map(|(service, entry)| (service, &entry.newest))
     }
 
-    /// Tells whether there is no order at all.
+    /// Returns whether no service has an order.
     pub fn is_empty(&self) -> bool {
         self.by_service.is_empty()
     }
 
-    /// Returns what a service's order makes of its upstreams now.
+    /// Returns the rule that follows now from a service's order; `None` if the service has no order.
     pub fn rule(&self, now: Duration, service: &str) -> Option<VersionRule> {
-        let known = self.by_service.get(service)?;
-        let admits = match known.word.progress {
+        let entry = self.by_service.get(service)?;
+        let admitted = match entry.newest.progress {
             RolloutProgress::Completed => AdmittedVersions::Destination,
             RolloutProgress::RolledBack => AdmittedVersions::Others,
             RolloutProgress::Unknown => AdmittedVersions::OthersFirst,
-            RolloutProgress::Running { .. } if known.is_withdrawn => AdmittedVersions::Others,
-            RolloutProgress::Running { share, announced_at: said_at, .. } => {
-                let is_fresh = now < said_at + SHARE_LIFETIME;
+            RolloutProgress::Running { .. } if entry.is_withdrawn => AdmittedVersions::Others,
+            RolloutProgress::Running { share, announced_at, .. } => {
+                let is_fresh = now < announced_at + SHARE_LIFETIME;
                 match is_fresh {
                     true if share >= 1.0 => AdmittedVersions::Destination,
                     true if share > 0.0 => AdmittedVersions::Share(share),
-                    // The others may have been stopped since.
+                    // The upstreams of the other versions may have been stopped since.
                     false if share >= 1.0 => AdmittedVersions::DestinationFirst,
                     _ => AdmittedVersions::Others,
                 }
             }
         };
-        let destination = known.word.order.destination.clone();
-        Some(VersionRule { destination, admits, barred: known.barred.clone() })
+        let destination = entry.newest.order.destination.clone();
+        Some(VersionRule { destination, admitted, ineligible: entry.ineligible.clone() })
     }
 }
--- a/crates/fernring-gateway/src/store/records.rs
+++ b/crates/fernring-gateway/src/store/records.rs
@@ -7,7 +7,7 @@
         model::{UpstreamRecord, UpstreamState},
         position::Position,
         rollout::{
-            counts::{AnswerStats, RolloutCounts, RouteStats, LATENCY_BUCKETS},
+            counts::{ResponseStats, RolloutCounts, RouteStats, LATENCY_BUCKETS},
             orders::{RolloutOrder, RolloutProgress, KnownOrder as OrderWord},
         },
     },
@@ -162,9 +162,9 @@
     counts: &RolloutCounts,
     is_drained: bool,
 ) -> RolloutReport {
-    let answers = |answers: &AnswerStats| VersionAnswers {
+    let answers = |answers: &ResponseStats| VersionAnswers {
         failed: answers.failed,
-        times: answers.times.to_vec(),
+        times: answers.latency_counts.to_vec(),
     };
     let routes = counts.routes.iter().map(|(route, of_route)| RouteReport {
         route: route.to_string(),
@@ -188,7 +188,7 @@
 pub(crate) fn rollout_counts(report: RolloutReport) -> RolloutCounts {
     let answers = |answers: VersionAnswers| {
         let time = |class: usize| answers.times.get(class).copied().unwrap_or(0);
-        AnswerStats { failed: answers.failed, times: std::array::from_fn::<_, LATENCY_BUCKETS, _>(time) }
+        ResponseStats { failed: answers.failed, latency_counts: std::array::from_fn::<_, LATENCY_BUCKETS, _>(time) }
     };
     let routes = report.routes.into_iter().map(|route| {
         let of_route =
--- a/crates/fernring-gateway/src/upstreams/versions.rs
+++ b/crates/fernring-gateway/src/upstreams/versions.rs
@@ -38,7 +38,7 @@
     /// Returns which versions of a service get requests, if it has an order.
     pub fn admits(&self, service: &str) -> Option<AdmittedVersions> {
         let rules = self.versions.borrow();
-        rules.by_service.get(service).map(|held| held.rule.admits.clone())
+        rules.by_service.get(service).map(|held| held.rule.admitted.clone())
     }
 
     /// Tells whether a version of a service gets requests.
--- a/crates/fernring-gateway/tests/testsuite/rollouts.rs
+++ b/crates/fernring-gateway/tests/testsuite/rollouts.rs
@@ -1,168 +1,181 @@
-//! Roll-outs of versions before 1, 9 and 300 nodes, under virtual time. Nothing but the decider, the meters and the orders decides;
-//! reports and words take time on the way.
+//! Roll-outs on fleets of 1, 9 and 300 nodes, under virtual time. The decisions are made by the controller, the samplers and the
+//! orders alone; nodes report every round, announcements take
+//! time on the way.
 //!
-//! The users' bounds: a bad version gets at most a tenth of the requests between the order and its deadline, and 50 more; after
-//! its 50th bad answer nothing later than 5 s. A good one is completed before the deadline.
+//! The bounds that must hold: a bad version gets at most a tenth of the requests between the order and its deadline, plus 50;
+//! it gets nothing later than 5 s after its 50th bad response. A good version is completed before the deadline.
 
 use {
     fernring_gateway::{
         position::Position,
         rollout::{
-            counts::{AnswerStats, RolloutCounts, latency_bucket},
-            controller::{ExposureBudget, RolloutController, UpstreamCounts, Phase, RollbackReason, Observation, ExposureSpent},
-            sampler::ShareSampler,
-            orders::{AdmittedVersions, RolloutOrder, RolloutOrders, RolloutProgress, KnownOrder},
             comparison::{Comparison, Verdict},
+            controller::{
+                ExposureBudget, ExposureSpent, Observation, Phase, RollbackReason,
+                RolloutController, UpstreamCounts,
+            },
+            counts::{ResponseStats, RolloutCounts, latency_bucket},
+            orders::{AdmittedVersions, KnownOrder, RolloutOrder, RolloutOrders, RolloutProgress},
+            sampler::ShareSampler,
         },
     },
     rand::{RngExt, SeedableRng, rngs::StdRng},
     std::{collections::BTreeMap, sync::Arc, time::Duration},
 };
 
-const BOUNDS: ExposureBudget = ExposureBudget { share: 0.1, slack: 50.0 };
-const ROLLBACK: Duration = Duration::from_secs(5);
-const ROUND: Duration = Duration::from_millis(200);
-/// Time from a decider's word or a node's report until it is taken in: a heartbeat and the way.
-const WAY: Duration = Duration::from_millis(250);
-const DRAIN: Duration = Duration::from_secs(4);
+const BUDGET: ExposureBudget = ExposureBudget { share: 0.1, slack: 50.0 };
+const ROLLBACK_TIME_MAX: Duration = Duration::from_secs(5);
+const ROUND_INTERVAL: Duration = Duration::from_millis(200);
+/// Time from a controller's announcement until a node applies it: a heartbeat interval and the network delay.
+const ANNOUNCEMENT_DELAY: Duration = Duration::from_millis(250);
+const LONGEST_REQUEST: Duration = Duration::from_secs(4);
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// What is wrong with a version.
+/// Defect of a version.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Bad {
-    /// Nothing.
-    Nothing,
-    /// A part of the answers fail.
+enum Defect {
+    /// The version is good.
+    None,
+    /// A part of the responses fail.
     Fails(f64),
-    /// A part of the answers take four times as long.
+    /// A part of the responses take four times as long.
     Slow(f64),
-    /// A part of the answers fail from a part of the order's time on.
+    /// A part of the responses fail, from a part of the order's duration on.
     FailsLate(f64, f64),
-    /// A part of the answers fail while it gets more than so many requests a second.
+    /// A part of the responses fail while the version gets more than a rate of requests, per second.
     FailsUnderLoad(f64, f64),
-    /// A part of the answers on one of four routes fail.
+    /// A part of the responses on one of four routes fail.
     FailsOnOneRoute(f64),
 }
 
-impl Bad {
-    /// Tells whether an answer is bad; a failure has no time.
-    fn spoil(
+impl Defect {
+    /// Returns the latency of a response, `None` if it fails, and whether the response is bad.
+    fn apply(
         self,
         draw: f64,
-        part_of_time: f64,
+        elapsed_part: f64,
         rate: f64,
         route: usize,
-        took: Duration,
+        latency: Duration,
     ) -> (Option<Duration>, bool) {
-        let fails = |part: f64| if draw < part { (None, true) } else { (Some(took), false) };
+        let fails = |part: f64| if draw < part { (None, true) } else { (Some(latency), false) };
         match self {
-            Self::Nothing => (Some(took), false),
+            Self::None => (Some(latency), false),
             Self::Fails(part) => fails(part),
-            Self::Slow(part) if draw < part => (Some(took * 4), true),
-            Self::Slow(_) => (Some(took), false),
-            Self::FailsLate(part, from) => fails(if part_of_time >= from { part } else { 0.0 }),
-            Self::FailsUnderLoad(part, above) => fails(if rate > above { part } else { 0.0 }),
+            Self::Slow(part) if draw < part => (Some(latency * 4), true),
+            Self::Slow(_) => (Some(latency), false),
+            Self::FailsLate(part, from) => fails(if elapsed_part >= from { part } else { 0.0 }),
+            Self::FailsUnderLoad(part, rate_above) => {
+                fails(if rate > rate_above { part } else { 0.0 })
+            }
             Self::FailsOnOneRoute(part) => fails(if route == 0 { part } else { 0.0 }),
         }
     }
 }
 
-/// A fault that hits both versions in a part of the order's time.
+/// A fault of the environment that hits all versions during a part of the order's duration.
 #[derive(Debug, Clone, Copy)]
 struct Fault {
     from: f64,
     to: f64,
-    /// Part of the answers that fail.
-    fails: f64,
-    /// Factor on the times of all.
-    slower: f64,
+    /// Part of the responses that fail.
+    failed_part: f64,
+    /// Factor on the latencies of all responses.
+    slowdown: f64,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Play {
+struct Scenario {
     nodes: usize,
     rate_per_s: f64,
     duration: Duration,
-    bad: Bad,
+    defect: Defect,
     fault: Option<Fault>,
-    /// In a part of the order's time the nodes of every fifth are cut off from the others.
-    cut: Option<(f64, f64)>,
-    /// At a part of the order's time all nodes and their decider start again; the store holds what was written.
+    /// During a part of the order's duration every fifth node is partitioned from the others.
+    partition: Option<(f64, f64)>,
+    /// At a part of the order's duration all nodes and their controller restart; the store keeps what was written.
     restart: Option<f64>,
 }
 
-impl Play {
-    fn of(nodes: usize, rate_per_s: f64) -> Self {
+impl Scenario {
+    fn new(nodes: usize, rate_per_s: f64) -> Self {
         let duration = Duration::from_secs(20);
         Self {
             nodes,
             rate_per_s,
             duration,
-            bad: Bad::Nothing,
+            defect: Defect::None,
             fault: None,
-            cut: None,
+            partition: None,
             restart: None,
         }
     }
 }
 
-/// What came of a play.
+/// Outcome of a simulated roll-out.
 #[derive(Debug, Default)]
-struct Played {
+struct Outcome {
     requests: u64,
     exposed: u64,
-    /// Bad answers that are the version's own.
+    /// Number of bad responses that are due to the version's defect.
     bad: usize,
-    /// Whether something was sent to the version too long after its 50th bad answer.
+    /// Whether a request was sent to the version too long after its 50th bad response.
     was_late: bool,
-    phase: Option<Phase>,
+    final_phase: Option<Phase>,
     ended_at: Option<Duration>,
-    /// Requests in hand at the other versions when the end was decided.
-    in_hand_at_end: usize,
+    /// Requests in flight at the other versions when the end was decided.
+    in_flight_at_end: usize,
 }
 
-impl Played {
-    fn assert_bounds(&self, play: &Play) {
+impl Outcome {
+    fn assert_bounds(&self, scenario: &Scenario) {
         if self.bad == 0 {
-            // It had no occasion to be bad.
+            // No request met the conditions of the defect.
             return;
         }
-        let allowed = BOUNDS.share * self.requests as f64 + BOUNDS.slack;
-        assert!(self.exposed as f64 <= allowed, "{} of {allowed:.0}: {play:?}", self.exposed);
-        assert!(!self.was_late, "sent to after its 50th bad answer: {play:?}");
+        let allowed = BUDGET.share * self.requests as f64 + BUDGET.slack;
+        assert!(
+            self.exposed as f64 <= allowed,
+            "exposed {} of at most {allowed:.0} requests: {scenario:?}",
+            self.exposed
+        );
+        assert!(
+            !self.was_late,
+            "requests went on too long after the 50th bad response: {scenario:?}"
+        );
     }
 
     fn is_completed(&self) -> bool {
-        self.phase == Some(Phase::Completed)
+        self.final_phase == Some(Phase::Completed)
     }
 
     fn is_rolled_back(&self) -> bool {
-        matches!(self.phase, Some(Phase::RolledBack(_)))
+        matches!(self.final_phase, Some(Phase::RolledBack(_)))
     }
 }
 
 struct Node {
-    meter: ShareSampler,
+    sampler: ShareSampler,
     counts: RolloutCounts,
-    /// The share that it was told, and when that was said.
+    /// The share that was announced last, and when.
     share: (f64, Duration),
-    /// What it reported last, and when.
-    reported: Option<(Duration, RolloutCounts, bool)>,
-    /// Ends of requests in hand: when, of which version, on which route, and how.
-    in_hand: Vec<(Duration, bool, usize, Option<Duration>)>,
+    /// The last report: when it was sent, the counts, and whether the node is drained.
+    report: Option<(Duration, RolloutCounts, bool)>,
+    /// Requests in flight: when each ends, whether at the destination version, the route, and the latency (`None`: fails).
+    in_flight: Vec<(Duration, bool, usize, Option<Duration>)>,
 }
 
 impl Node {
     fn new(rng: &mut StdRng) -> Self {
         Self {
-            meter: ShareSampler::new(rng.random()),
+            sampler: ShareSampler::new(rng.random()),
             counts: RolloutCounts::default(),
             share: (0.0, Duration::ZERO),
-            reported: None,
-            in_hand: Vec::new(),
+            report: None,
+            in_flight: Vec::new(),
         }
     }
 }
@@ -171,297 +184,327 @@
     format!("route-{number}").into()
 }
 
-fn word(share: f64, said_at: Duration, duration: Duration) -> RolloutOrders {
+/// Returns the orders of a node that knows one order with an announced share.
+fn orders_with_share(share: f64, announced_at: Duration, duration: Duration) -> RolloutOrders {
     let mut orders = RolloutOrders::default();
     let order = RolloutOrder { destination: "v2".into(), duration };
-    let standing = RolloutProgress::Running { share, serial: 1, announced_at: said_at };
+    let progress = RolloutProgress::Running { share, serial: 1, announced_at };
     let at = Position::new(0, 1);
-    orders.learn(&"s".into(), KnownOrder { order, at, deadline_at: duration, progress: standing });
+    orders.update(&"s".into(), KnownOrder { order, at, deadline_at: duration, progress });
     orders
 }
 
-fn play(seed: u64, play: Play) -> Played {
+fn simulate(seed: u64, scenario: Scenario) -> Outcome {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut nodes: Vec<Node> = (0..play.nodes).map(|_| Node::new(&mut rng)).collect();
-    let new_decider = |spent| RolloutController::new(BOUNDS, play.duration, play.duration, spent);
-    let mut decider = new_decider(ExposureSpent::default());
+    let mut nodes: Vec<Node> = (0..scenario.nodes).map(|_| Node::new(&mut rng)).collect();
+    let new_controller =
+        |spent| RolloutController::new(BUDGET, scenario.duration, scenario.duration, spent);
+    let mut controller = new_controller(ExposureSpent::default());
     let mut written = ExposureSpent::default();
-    let mut played = Played::default();
-    let mut bad_answers: Vec<Duration> = Vec::new();
-    let mut words: Vec<(Duration, f64)> = Vec::new();
+    let mut outcome = Outcome::default();
+    let mut bad_responses: Vec<Duration> = Vec::new();
+    let mut announcements: Vec<(Duration, f64)> = Vec::new();
     let mut exposed_at: Vec<Duration> = Vec::new();
     let mut has_restarted = false;
     let mut now = Duration::ZERO;
     let mut next_request = Duration::ZERO;
     let step = ms(10);
-    let part = |now: Duration| now.as_secs_f64() / play.duration.as_secs_f64();
-    while now < play.duration {
+    let part = |now: Duration| now.as_secs_f64() / scenario.duration.as_secs_f64();
+    while now < scenario.duration {
         now += step;
-        let is_cut = |node: usize| {
-            play.cut.is_some_and(|(from, to)| (from..to).contains(&part(now)) && node % 5 == 4)
+        let is_partitioned = |node: usize| {
+            scenario
+                .partition
+                .is_some_and(|(from, to)| (from..to).contains(&part(now)) && node % 5 == 4)
         };
-        if play.restart.is_some_and(|at| part(now) >= at) && !has_restarted {
+        if scenario.restart.is_some_and(|at| part(now) >= at) && !has_restarted {
             has_restarted = true;
             nodes.iter_mut().for_each(|node| *node = Node::new(&mut rng));
-            words.clear();
-            if played.ended_at.is_none() {
-                decider = new_decider(written);
+            announcements.clear();
+            if outcome.ended_at.is_none() {
+                controller = new_controller(written);
             }
         }
         while next_request <= now {
             let unit: f64 = rng.random_range(1e-9..1.0);
-            next_request += Duration::from_secs_f64(-unit.ln() / play.rate_per_s);
-            let index = rng.random_range(0..play.nodes);
-            let of_route = rng.random_range(0..4);
+            next_request += Duration::from_secs_f64(-unit.ln() / scenario.rate_per_s);
+            let index = rng.random_range(0..scenario.nodes);
+            let route_index = rng.random_range(0..4);
             let node = &mut nodes[index];
-            let orders = word(node.share.0, node.share.1, play.duration);
-            let rule = orders.rule(now, "s").expect("there is an order");
-            let is_ordered = match (&played.phase, rule.admits) {
+            let orders = orders_with_share(node.share.0, node.share.1, scenario.duration);
+            let rule = orders.rule(now, "s").expect("the service has an order");
+            let is_destination = match (&outcome.final_phase, rule.admitted) {
                 (Some(Phase::Completed), _) => true,
                 (Some(Phase::RolledBack(_)), _) => false,
-                (None, AdmittedVersions::Share(share)) => node.meter.take(share),
+                (None, AdmittedVersions::Share(share)) => node.sampler.sample(share),
                 (None, AdmittedVersions::Destination | AdmittedVersions::DestinationFirst) => true,
                 (None, AdmittedVersions::Others | AdmittedVersions::OthersFirst) => false,
-                (Some(_), _) => unreachable!("only ends are kept"),
+                (Some(_), _) => unreachable!("only final phases are recorded"),
             };
-            played.requests += 1;
+            outcome.requests += 1;
             node.counts.requests += 1;
-            let fault = play.fault.filter(|f| (f.from..f.to).contains(&part(now)));
-            let usual = ms(rng.random_range(40..120) * (of_route as u64 + 1));
-            let mut took = Some(usual.mul_f64(fault.map_or(1.0, |fault| fault.slower)));
-            if fault.is_some_and(|fault| rng.random_bool(fault.fails)) {
-                took = None;
+            let fault = scenario.fault.filter(|f| (f.from..f.to).contains(&part(now)));
+            let usual = ms(rng.random_range(40..120) * (route_index as u64 + 1));
+            let mut latency = Some(usual.mul_f64(fault.map_or(1.0, |fault| fault.slowdown)));
+            if fault.is_some_and(|fault| rng.random_bool(fault.failed_part)) {
+                latency = None;
             }
-            if is_ordered {
-                played.exposed += 1;
+            if is_destination {
+                outcome.exposed += 1;
                 node.counts.exposed += 1;
                 exposed_at.push(now);
                 let recent = exposed_at.iter().rev().take_while(|at| now - **at < ms(1_000));
                 let rate = recent.count() as f64;
-                if let Some(time) = took {
+                if let Some(usual_latency) = latency {
                     let draw = rng.random();
-                    let (spoiled, is_bad) = play.bad.spoil(draw, part(now), rate, of_route, time);
-                    took = spoiled;
+                    let (affected, is_bad) =
+                        scenario.defect.apply(draw, part(now), rate, route_index, usual_latency);
+                    latency = affected;
                     if is_bad {
-                        played.bad += 1;
-                        bad_answers.push(now + time);
+                        outcome.bad += 1;
+                        bad_responses.push(now + usual_latency);
                     }
                 }
-                bad_answers.sort();
-                let fiftieth = bad_answers.get(49).filter(|at| **at + ROLLBACK < now);
-                played.was_late |= fiftieth.is_some() && play.bad != Bad::Nothing;
+                bad_responses.sort();
+                let fiftieth = bad_responses.get(49).filter(|at| **at + ROLLBACK_TIME_MAX < now);
+                outcome.was_late |= fiftieth.is_some() && scenario.defect != Defect::None;
             } else {
                 node.counts.in_flight_at_others += 1;
             }
-            let ends_at = now + took.unwrap_or(usual);
-            node.in_hand.push((ends_at, is_ordered, of_route, took));
+            let ends_at = now + latency.unwrap_or(usual);
+            node.in_flight.push((ends_at, is_destination, route_index, latency));
         }
         for node in &mut nodes {
             let counts = &mut node.counts;
-            node.in_hand.retain(|(ends_at, is_ordered, of_route, took)| {
+            node.in_flight.retain(|(ends_at, is_destination, route_index, latency)| {
                 if *ends_at > now {
                     return true;
                 }
-                let answers = counts.routes.entry(route(*of_route)).or_default();
-                match is_ordered {
-                    true => answers.destination.add(*took),
+                let stats = counts.routes.entry(route(*route_index)).or_default();
+                match is_destination {
+                    true => stats.destination.record(*latency),
                     false => {
-                        answers.others.add(*took);
+                        stats.others.record(*latency);
                         counts.in_flight_at_others -= 1;
                     }
                 }
                 false
             });
         }
-        if !now.as_millis().is_multiple_of(ROUND.as_millis()) {
+        if !now.as_millis().is_multiple_of(ROUND_INTERVAL.as_millis()) {
             continue;
         }
         for (index, node) in nodes.iter_mut().enumerate() {
-            if is_cut(index) {
+            if is_partitioned(index) {
                 continue;
             }
-            let heard = words.iter().rev().find(|(said_at, _)| *said_at + WAY <= now);
-            if let Some((said_at, share)) = heard {
-                node.share = (*share, *said_at);
+            let received = announcements
+                .iter()
+                .rev()
+                .find(|(announced_at, _)| *announced_at + ANNOUNCEMENT_DELAY <= now);
+            if let Some((announced_at, share)) = received {
+                node.share = (*share, *announced_at);
             }
             let is_drained = node.share.0 >= 1.0 && node.counts.in_flight_at_others == 0;
-            node.reported = Some((now, node.counts.clone(), is_drained));
+            node.report = Some((now, node.counts.clone(), is_drained));
         }
-        if played.phase.is_some() {
+        if outcome.final_phase.is_some() {
             continue;
         }
         let mut sum = RolloutCounts::default();
         let mut is_drained = true;
         let mut is_complete = true;
         for (index, node) in nodes.iter().enumerate() {
-            match &node.reported {
+            match &node.report {
                 Some((at, counts, drained)) => {
                     sum += counts;
-                    is_drained &= *drained || (is_cut(index) && now > *at + Duration::from_secs(5));
+                    is_drained &=
+                        *drained || (is_partitioned(index) && now > *at + Duration::from_secs(5));
                 }
-                None => is_complete = is_cut(index),
+                None => is_complete = is_partitioned(index),
             }
         }
-        let engines = UpstreamCounts { ordered: usize::from(now > ms(600)) * 6, others: 6 };
-        let seen = Observation {
+        let upstreams = UpstreamCounts { destination: usize::from(now > ms(600)) * 6, others: 6 };
+        let observed = Observation {
             counts: &sum,
-            engines,
+            upstreams,
             is_complete,
             is_drained: is_drained && is_complete,
-            longest_request: DRAIN,
+            longest_request: LONGEST_REQUEST,
             is_withdrawn: false,
         };
-        let share = decider.step(now, seen);
-        words.push((now, share));
-        let spent = decider.spent(&sum);
+        let share = controller.step(now, observed);
+        announcements.push((now, share));
+        let spent = controller.spent(&sum);
         if spent.exposed >= written.exposed.max(8) * 2 {
             written = spent;
         }
-        if let phase @ (Phase::Completed | Phase::RolledBack(_)) = decider.phase() {
-            played.phase = Some(phase);
-            played.ended_at = Some(now);
-            let in_hand = |node: &Node| node.in_hand.iter().filter(|request| !request.1).count();
-            played.in_hand_at_end = nodes.iter().map(in_hand).sum();
+        if let phase @ (Phase::Completed | Phase::RolledBack(_)) = controller.phase() {
+            outcome.final_phase = Some(phase);
+            outcome.ended_at = Some(now);
+            let in_flight =
+                |node: &Node| node.in_flight.iter().filter(|request| !request.1).count();
+            outcome.in_flight_at_end = nodes.iter().map(in_flight).sum();
         }
     }
-    played
+    outcome
 }
 
-/// Nodes, and requests a second of all of them.
+/// Number of nodes, and requests per second to all nodes together.
 const SIZES: [(usize, f64); 4] = [(1, 5.0), (1, 40.0), (9, 60.0), (300, 600.0)];
 
 #[test]
-fn a_good_version_serves_before_the_deadline_with_nothing_in_hand_at_the_others() {
+fn good_version_completes_before_deadline() {
     for (nodes, rate) in SIZES.into_iter().chain([(9, 1.0), (300, 3.0)]) {
         for seed in 1..=10 {
             for duration_s in [12, 20, 60] {
                 let duration = Duration::from_secs(duration_s);
-                let good = Play { duration, ..Play::of(nodes, rate) };
-                let played = play(seed, good);
-                assert!(played.is_completed(), "seed {seed}, {good:?}: {played:?}");
-                assert_eq!(played.in_hand_at_end, 0, "seed {seed}, {good:?}");
+                let good = Scenario { duration, ..Scenario::new(nodes, rate) };
+                let outcome = simulate(seed, good);
+                assert!(outcome.is_completed(), "seed {seed}, {good:?}: {outcome:?}");
+                assert_eq!(outcome.in_flight_at_end, 0, "seed {seed}, {good:?}");
             }
         }
     }
 }
 
 #[test]
-fn a_bad_version_is_rolled_back_within_its_bounds() {
-    let kinds = [
-        Bad::Fails(0.2),
-        Bad::Fails(0.3),
-        Bad::Fails(0.6),
-        Bad::Fails(1.0),
-        Bad::Slow(0.3),
-        Bad::Slow(1.0),
-        Bad::FailsLate(0.5, 0.3),
-        Bad::FailsOnOneRoute(0.6),
-        Bad::FailsUnderLoad(0.5, 20.0),
+fn bad_version_is_rolled_back_within_budget() {
+    let defects = [
+        Defect::Fails(0.2),
+        Defect::Fails(0.3),
+        Defect::Fails(0.6),
+        Defect::Fails(1.0),
+        Defect::Slow(0.3),
+        Defect::Slow(1.0),
+        Defect::FailsLate(0.5, 0.3),
+        Defect::FailsOnOneRoute(0.6),
+        Defect::FailsUnderLoad(0.5, 20.0),
     ];
     for (nodes, rate) in SIZES {
-        for bad in kinds {
+        for defect in defects {
             for seed in 1..=10 {
-                let bad = Play { bad, ..Play::of(nodes, rate) };
-                let played = play(seed, bad);
-                played.assert_bounds(&bad);
-                // With few requests it may fail too seldom to be told from a good one; that is within its bounds.
-                let can_be_told = rate >= 40.0 && bad.bad != Bad::FailsOnOneRoute(0.6);
+                let bad = Scenario { defect, ..Scenario::new(nodes, rate) };
+                let outcome = simulate(seed, bad);
+                outcome.assert_bounds(&bad);
+                // With few requests a version may fail too seldom to be distinguished from a good one; it then stays within its
+                // budget.
+                let is_detectable = rate >= 40.0 && bad.defect != Defect::FailsOnOneRoute(0.6);
                 assert!(
-                    played.is_rolled_back() || !can_be_told,
-                    "seed {seed}, {bad:?}: {played:?}"
+                    outcome.is_rolled_back() || !is_detectable,
+                    "seed {seed}, {bad:?}: {outcome:?}"
                 );
             }
         }
     }
 }
 
-/// What turns bad during its trial: it still has a part of its bound to lose. What turns bad after it was advanced has had more
-/// than that already.
+/// A version that turns bad during its trial still has a part of its budget left. This doesn't cover versions that turn bad after
+/// they were advanced: by then they have received more than the budget.
 #[test]
-fn a_version_that_turns_bad_late_stays_within_its_bounds() {
+fn version_turning_bad_in_trial_stays_within_budget() {
     for (nodes, rate) in SIZES {
         for from in [0.1, 0.2, 0.3, 0.4, 0.5] {
             for seed in 1..=10 {
-                let late = Play { bad: Bad::FailsLate(0.5, from), ..Play::of(nodes, rate) };
-                play(seed, late).assert_bounds(&late);
+                let late =
+                    Scenario { defect: Defect::FailsLate(0.5, from), ..Scenario::new(nodes, rate) };
+                simulate(seed, late).assert_bounds(&late);
             }
         }
     }
 }
 
-/// A thousand good roll-outs beside faults that hit both versions alike.
+/// A thousand roll-outs of good versions during faults that hit all versions alike.
 #[test]
-fn faults_of_both_versions_roll_no_good_one_back() {
+fn common_faults_dont_roll_back_good_version() {
     let faults = [
-        Fault { from: 0.1, to: 0.4, fails: 0.3, slower: 1.0 },
-        Fault { from: 0.2, to: 0.6, fails: 0.0, slower: 4.0 },
-        Fault { from: 0.3, to: 0.5, fails: 0.8, slower: 1.0 },
-        Fault { from: 0.0, to: 1.0, fails: 0.1, slower: 1.5 },
-        Fault { from: 0.4, to: 0.7, fails: 0.2, slower: 3.0 },
+        Fault { from: 0.1, to: 0.4, failed_part: 0.3, slowdown: 1.0 },
+        Fault { from: 0.2, to: 0.6, failed_part: 0.0, slowdown: 4.0 },
+        Fault { from: 0.3, to: 0.5, failed_part: 0.8, slowdown: 1.0 },
+        Fault { from: 0.0, to: 1.0, failed_part: 0.1, slowdown: 1.5 },
+        Fault { from: 0.4, to: 0.7, failed_part: 0.2, slowdown: 3.0 },
     ];
     let mut alarms = Vec::new();
     for seed in 1..=1_000 {
         let (nodes, rate) = [(1, 40.0), (9, 60.0)][seed as usize % 2];
         let fault = Some(faults[seed as usize % faults.len()]);
-        let good = Play { fault, ..Play::of(nodes, rate) };
-        let played = play(seed, good);
-        if played.phase == Some(Phase::RolledBack(RollbackReason::Worse)) {
+        let good = Scenario { fault, ..Scenario::new(nodes, rate) };
+        let outcome = simulate(seed, good);
+        if outcome.final_phase == Some(Phase::RolledBack(RollbackReason::Worse)) {
             alarms.push(seed);
         }
     }
-    // Five tests of a probability of 1e-5 each; the times in the faults' first slices are what is left to chance.
-    assert!(alarms.len() <= 5, "{} of 1000: {alarms:?}", alarms.len());
+    // Five tests with a false alarm probability of 1e-5 each; the rest is due to latencies in the first intervals of the faults,
+    // which are left to chance.
+    assert!(
+        alarms.len() <= 5,
+        "{} of 1000 good versions rolled back, seeds {alarms:?}",
+        alarms.len()
+    );
 }
 
 #[test]
-fn a_cut_and_a_restart_of_all_keep_the_bounds() {
+fn partition_and_restart_of_all_nodes_keep_budget() {
     for (nodes, rate) in [(9, 60.0), (300, 600.0)] {
         for seed in 1..=10 {
             for at in [0.2, 0.4, 0.6, 0.8] {
-                for bad in [Bad::Fails(0.3), Bad::FailsLate(0.5, 0.5)] {
-                    let cut = Play { bad, cut: Some((at, at + 0.2)), ..Play::of(nodes, rate) };
-                    play(seed, cut).assert_bounds(&cut);
-                    let restart = Play { bad, restart: Some(at), ..Play::of(nodes, rate) };
-                    play(seed, restart).assert_bounds(&restart);
+                for defect in [Defect::Fails(0.3), Defect::FailsLate(0.5, 0.5)] {
+                    let partition = Scenario {
+                        defect,
+                        partition: Some((at, at + 0.2)),
+                        ..Scenario::new(nodes, rate)
+                    };
+                    simulate(seed, partition).assert_bounds(&partition);
+                    let restart =
+                        Scenario { defect, restart: Some(at), ..Scenario::new(nodes, rate) };
+                    simulate(seed, restart).assert_bounds(&restart);
                 }
             }
-            let good = Play { cut: Some((0.2, 0.4)), ..Play::of(nodes, rate) };
-            assert!(play(seed, good).is_completed(), "seed {seed}");
-            let good = Play { restart: Some(0.3), ..Play::of(nodes, rate) };
-            assert!(play(seed, good).is_completed(), "seed {seed}");
+            let good = Scenario { partition: Some((0.2, 0.4)), ..Scenario::new(nodes, rate) };
+            assert!(simulate(seed, good).is_completed(), "seed {seed}");
+            let good = Scenario { restart: Some(0.3), ..Scenario::new(nodes, rate) };
+            assert!(simulate(seed, good).is_completed(), "seed {seed}");
         }
     }
 }
 
 #[test]
-fn an_order_that_is_taken_back_or_has_no_upstreams_ends() {
+fn withdrawn_order_or_missing_upstreams_end_roll_out() {
     let counts = RolloutCounts::default();
-    let seen = |engines, is_withdrawn| Observation {
+    let observed = |upstreams, is_withdrawn| Observation {
         counts: &counts,
-        engines,
+        upstreams,
         is_complete: true,
         is_drained: false,
-        longest_request: DRAIN,
+        longest_request: LONGEST_REQUEST,
         is_withdrawn,
     };
     let duration = Duration::from_secs(20);
-    let mut decider = RolloutController::new(BOUNDS, duration, duration, ExposureSpent::default());
-    assert_eq!(decider.step(ms(200), seen(UpstreamCounts { ordered: 0, others: 3 }, false)), 0.0);
-    assert_eq!(decider.phase(), Phase::Waiting);
-    assert_eq!(decider.step(duration, seen(UpstreamCounts { ordered: 0, others: 3 }, false)), 0.0);
-    assert_eq!(decider.phase(), Phase::RolledBack(RollbackReason::Late));
-    let mut decider = RolloutController::new(BOUNDS, duration, duration, ExposureSpent::default());
-    let engines = UpstreamCounts { ordered: 3, others: 3 };
-    decider.step(ms(200), seen(engines, false));
-    assert_eq!(decider.phase(), Phase::Trial);
-    assert_eq!(decider.step(ms(400), seen(engines, true)), 0.0);
-    assert_eq!(decider.phase(), Phase::RolledBack(RollbackReason::Withdrawn));
+    let mut controller =
+        RolloutController::new(BUDGET, duration, duration, ExposureSpent::default());
+    assert_eq!(
+        controller.step(ms(200), observed(UpstreamCounts { destination: 0, others: 3 }, false)),
+        0.0
+    );
+    assert_eq!(controller.phase(), Phase::Waiting);
+    assert_eq!(
+        controller.step(duration, observed(UpstreamCounts { destination: 0, others: 3 }, false)),
+        0.0
+    );
+    assert_eq!(controller.phase(), Phase::RolledBack(RollbackReason::Late));
+    let mut controller =
+        RolloutController::new(BUDGET, duration, duration, ExposureSpent::default());
+    let upstreams = UpstreamCounts { destination: 3, others: 3 };
+    controller.step(ms(200), observed(upstreams, false));
+    assert_eq!(controller.phase(), Phase::Trial);
+    assert_eq!(controller.step(ms(400), observed(upstreams, true)), 0.0);
+    assert_eq!(controller.phase(), Phase::RolledBack(RollbackReason::Withdrawn));
 }
 
-fn ordered(destination: &str, offset: u64, standing: RolloutProgress) -> KnownOrder {
+fn known_order(destination: &str, offset: u64, progress: RolloutProgress) -> KnownOrder {
     let order = RolloutOrder { destination: destination.into(), duration: Duration::from_secs(20) };
     let deadline_at = Duration::from_secs(20);
-    KnownOrder { order, at: Position::new(0, offset), deadline_at, progress: standing }
+    KnownOrder { order, at: Position::new(0, offset), deadline_at, progress }
 }
 
 fn running(share: f64, serial: u64) -> RolloutProgress {
@@ -469,115 +512,128 @@
 }
 
 #[test]
-fn a_share_that_is_not_said_again_is_none() {
+fn share_expires_unless_announced_again() {
     let mut orders = RolloutOrders::default();
     let service: Arc<str> = "s".into();
     assert!(orders.rule(ms(0), "s").is_none());
-    assert!(orders.learn(&service, ordered("v2", 1, RolloutProgress::INITIAL)));
-    let admits = |orders: &RolloutOrders, now| orders.rule(now, "s").unwrap().admits;
-    assert_eq!(admits(&orders, ms(100)), AdmittedVersions::Others);
-    assert!(orders.learn(&service, ordered("v2", 1, running(0.1, 5))));
-    assert_eq!(admits(&orders, ms(1_100)), AdmittedVersions::Share(0.1));
-    assert!(!orders.learn(&service, ordered("v2", 1, running(0.9, 4))), "an earlier word");
-    assert_eq!(admits(&orders, ms(4_000)), AdmittedVersions::Others);
-    assert!(orders.learn(&service, ordered("v2", 1, running(1.0, 6))));
-    assert_eq!(admits(&orders, ms(1_100)), AdmittedVersions::Destination);
-    assert_eq!(admits(&orders, ms(4_000)), AdmittedVersions::DestinationFirst, "the others may have ended");
+    assert!(orders.update(&service, known_order("v2", 1, RolloutProgress::INITIAL)));
+    let admitted = |orders: &RolloutOrders, now| orders.rule(now, "s").unwrap().admitted;
+    assert_eq!(admitted(&orders, ms(100)), AdmittedVersions::Others);
+    assert!(orders.update(&service, known_order("v2", 1, running(0.1, 5))));
+    assert_eq!(admitted(&orders, ms(1_100)), AdmittedVersions::Share(0.1));
+    assert!(
+        !orders.update(&service, known_order("v2", 1, running(0.9, 4))),
+        "an earlier announcement"
+    );
+    assert_eq!(admitted(&orders, ms(4_000)), AdmittedVersions::Others);
+    assert!(orders.update(&service, known_order("v2", 1, running(1.0, 6))));
+    assert_eq!(admitted(&orders, ms(1_100)), AdmittedVersions::Destination);
+    assert_eq!(
+        admitted(&orders, ms(4_000)),
+        AdmittedVersions::DestinationFirst,
+        "the other versions may have been stopped"
+    );
 }
 
 #[test]
-fn an_end_stays_until_another_order() {
+fn final_progress_stays_until_next_order() {
     let mut orders = RolloutOrders::default();
     let service: Arc<str> = "s".into();
-    orders.learn(&service, ordered("v2", 1, RolloutProgress::Unknown));
+    orders.update(&service, known_order("v2", 1, RolloutProgress::Unknown));
     let rule = orders.rule(ms(0), "s").unwrap();
     assert!(rule.admits("v1", true) && !rule.admits("v2", true) && rule.admits("v2", false));
-    assert!(orders.learn(&service, ordered("v2", 1, RolloutProgress::RolledBack)));
-    assert!(!orders.learn(&service, ordered("v2", 1, running(0.5, 99))));
-    assert!(!orders.learn(&service, ordered("v2", 1, RolloutProgress::Completed)));
+    assert!(orders.update(&service, known_order("v2", 1, RolloutProgress::RolledBack)));
+    assert!(!orders.update(&service, known_order("v2", 1, running(0.5, 99))));
+    assert!(!orders.update(&service, known_order("v2", 1, RolloutProgress::Completed)));
     let rule = orders.rule(ms(0), "s").unwrap();
     assert!(rule.admits("v1", true) && !rule.admits("v2", false));
-    // Another version: the one that was rolled back gets nothing still.
-    assert!(orders.learn(&service, ordered("v3", 7, running(0.5, 1))));
+    // An order for another version: the version that was rolled back still gets nothing.
+    assert!(orders.update(&service, known_order("v3", 7, running(0.5, 1))));
     let rule = orders.rule(ms(1_000), "s").unwrap();
     assert!(rule.admits("v1", true) && !rule.admits("v2", true) && rule.admits("v3", true));
-    assert!(orders.learn(&service, ordered("v3", 7, RolloutProgress::Completed)));
+    assert!(orders.update(&service, known_order("v3", 7, RolloutProgress::Completed)));
     let rule = orders.rule(ms(0), "s").unwrap();
     assert!(!rule.admits("v1", true) && rule.admits("v3", true));
-    // The order is repeated: as a new one.
-    assert!(orders.learn(&service, ordered("v3", 9, RolloutProgress::INITIAL)));
-    assert!(!orders.learn(&service, ordered("v3", 7, RolloutProgress::Completed)), "an earlier order");
+    // A repeated order counts as a new one.
+    assert!(orders.update(&service, known_order("v3", 9, RolloutProgress::INITIAL)));
+    assert!(
+        !orders.update(&service, known_order("v3", 7, RolloutProgress::Completed)),
+        "an earlier order"
+    );
 }
 
 #[test]
-fn an_order_that_is_gone_from_the_store_was_taken_back() {
+fn order_missing_from_store_is_withdrawn() {
     let mut orders = RolloutOrders::default();
     let (one, other): (Arc<str>, Arc<str>) = ("one".into(), "other".into());
-    orders.learn(&one, ordered("v2", 1, running(0.5, 1)));
-    orders.learn(&other, ordered("v2", 2, RolloutProgress::Completed));
+    orders.update(&one, known_order("v2", 1, running(0.5, 1)));
+    orders.update(&other, known_order("v2", 2, RolloutProgress::Completed));
     let end = Position::new(0, 9);
     assert_eq!(orders.retain(std::slice::from_ref(&other), end), std::slice::from_ref(&one));
     assert!(orders.is_withdrawn("one") && !orders.is_withdrawn("other"));
-    assert_eq!(orders.rule(ms(1_000), "one").unwrap().admits, AdmittedVersions::Others);
-    assert!(orders.retain(&[], end).is_empty(), "what is completed stays so");
-    assert_eq!(orders.rule(ms(1_000), "other").unwrap().admits, AdmittedVersions::Destination);
-    // A copy of the store lacks it: nothing is known to be taken back.
+    assert_eq!(orders.rule(ms(1_000), "one").unwrap().admitted, AdmittedVersions::Others);
+    assert!(orders.retain(&[], end).is_empty(), "a completed roll-out stays completed");
+    assert_eq!(orders.rule(ms(1_000), "other").unwrap().admitted, AdmittedVersions::Destination);
+    // A store that was restored from a backup lacks the order: that doesn't show that it was withdrawn.
     let mut orders = RolloutOrders::default();
-    orders.learn(&one, ordered("v2", 1, running(0.5, 1)));
+    orders.update(&one, known_order("v2", 1, running(0.5, 1)));
     assert!(orders.retain(&[], Position::new(1, 9)).is_empty());
 }
 
 #[test]
-fn nodes_with_a_request_each_keep_the_share_together() {
+fn nodes_with_one_request_each_keep_share() {
     let mut rng = StdRng::seed_from_u64(7);
     let mut exposed = 0;
     for _ in 0..10_000 {
-        let mut meter = ShareSampler::new(rng.random());
-        exposed += usize::from(meter.take(0.1));
+        let mut sampler = ShareSampler::new(rng.random());
+        exposed += usize::from(sampler.sample(0.1));
     }
-    assert!((900..=1_100).contains(&exposed), "{exposed} of 10000");
-    let mut meter = ShareSampler::new(0.5);
-    (0..100).for_each(|_| meter.count(0.1));
-    assert!(meter.has_turn() && meter.spend() && !meter.has_turn(), "nothing piles up");
+    assert!((900..=1_100).contains(&exposed), "{exposed} of 10000 requests sampled");
+    let mut sampler = ShareSampler::new(0.5);
+    (0..100).for_each(|_| sampler.add_credit(0.1));
+    assert!(
+        sampler.has_credit() && sampler.spend() && !sampler.has_credit(),
+        "unspent credit must not pile up"
+    );
 }
 
 #[test]
-fn times_are_classed_by_quarters_of_octaves() {
+fn latency_buckets_are_quarter_octaves() {
     assert_eq!(latency_bucket(Duration::ZERO), 0);
     assert_eq!(latency_bucket(ms(100)) + 4, latency_bucket(ms(200)));
     assert_eq!(latency_bucket(Duration::from_secs(100_000)), 63);
-    let mut answers = AnswerStats::default();
-    assert_eq!(answers.median_class(1), None);
-    for took in [10, 20, 30, 40, 1_000] {
-        answers.add(Some(ms(took)));
+    let mut stats = ResponseStats::default();
+    assert_eq!(stats.median_bucket(1), None);
+    for latency in [10, 20, 30, 40, 1_000] {
+        stats.record(Some(ms(latency)));
     }
-    answers.add(None);
-    assert_eq!((answers.all(), answers.whole()), (6, 5));
-    assert_eq!(answers.median_class(5), Some(latency_bucket(ms(30))));
-    assert_eq!(answers.slower(latency_bucket(ms(40))), 2);
+    stats.record(None);
+    assert_eq!((stats.total(), stats.succeeded()), (6, 5));
+    assert_eq!(stats.median_bucket(5), Some(latency_bucket(ms(30))));
+    assert_eq!(stats.count_from_bucket(latency_bucket(ms(40))), 2);
 }
 
-/// Answers of a version that are as slow as those of the others aren't bad, and a few of a kind prove nothing.
+/// A version that fails as often as the others at the same time isn't worse, and a few responses prove nothing.
 #[test]
-fn the_others_at_the_same_time_are_what_a_version_is_held_against() {
-    let compared = |ordered: [u64; 2], others: [u64; 2]| {
+fn version_is_compared_with_others_at_same_time() {
+    let compared = |destination: [u64; 2], others: [u64; 2]| {
         let mut comparison = Comparison::default();
-        let answers = |[good, failed]: [u64; 2]| {
-            let mut answers = AnswerStats { failed, ..AnswerStats::default() };
-            answers.times[20] = good as u32;
-            answers
+        let stats = |[good, failed]: [u64; 2]| {
+            let mut stats = ResponseStats { failed, ..ResponseStats::default() };
+            stats.latency_counts[20] = good as u32;
+            stats
         };
-        let of_route = fernring_gateway::rollout::counts::RouteStats {
-            destination: answers(ordered),
-            others: answers(others),
+        let route_stats = fernring_gateway::rollout::counts::RouteStats {
+            destination: stats(destination),
+            others: stats(others),
         };
-        let routes = BTreeMap::from([(Arc::from("r"), of_route)]);
-        comparison.slice(&RolloutCounts { routes, ..RolloutCounts::default() });
+        let routes = BTreeMap::from([(Arc::from("r"), route_stats)]);
+        comparison.add_interval(&RolloutCounts { routes, ..RolloutCounts::default() });
         comparison.verdict()
     };
-    assert_eq!(compared([40, 0], [400, 0]), Verdict::Alike);
-    assert_eq!(compared([10, 0], [400, 0]), Verdict::Open);
+    assert_eq!(compared([40, 0], [400, 0]), Verdict::NotWorse);
+    assert_eq!(compared([10, 0], [400, 0]), Verdict::Undecided);
     assert_eq!(compared([28, 12], [400, 0]), Verdict::Worse);
     assert_ne!(compared([28, 12], [280, 120]), Verdict::Worse);
-    assert_eq!(compared([0, 2], [400, 0]), Verdict::Open);
+    assert_eq!(compared([0, 2], [400, 0]), Verdict::Undecided);
 }
