--- a/crates/fernring-gateway/src/owner/calls.rs
+++ b/crates/fernring-gateway/src/owner/calls.rs
@@ -1,7 +1,7 @@
-//! Calls of an owner to its makers.
+//! Calls of an owner to its workers.
 
 use {
-    super::{Owner, outcomes::has_further_call},
+    super::{Owner, outcomes::may_call_again},
     crate::{
         backlog::{RANKS, rank},
         barred::Barred,
@@ -24,14 +24,13 @@
     tokio::{task::spawn_local, time::timeout},
 };
 
-/// How much longer than estimated a call may take. Upstreams differ in speed, some turn slow;
-/// beyond three times, the pieces are better off elsewhere.
-const CALL_PATIENCE: u32 = 3;
-/// Time that a call may take besides: connecting, fetching inputs, and a turn behind another
-/// node's call.
-const CALL_GRACE: Duration = Duration::from_millis(400);
-/// Longest answer of a call that is read, in bytes: a handle or reason for each piece, with room.
-const ANSWER_BYTES_MAX: usize = 1 << 20;
+/// Timeout of a call as a multiple of its expected time. Upstreams differ in speed, and some turn slow; beyond three times the
+/// expected time, another worker is likely to complete the pieces earlier.
+const CALL_TIMEOUT_FACTOR: u32 = 3;
+/// Time that is added to the timeout of a call: for connecting, fetching inputs, and waiting behind the call of another node.
+const CALL_TIMEOUT_EXTRA: Duration = Duration::from_millis(400);
+/// Longest response of a call that is read, in bytes: enough for a handle or a reason for each piece.
+const RESPONSE_BYTES_MAX: usize = 1 << 20;
 
 impl Owner {
     pub(super) fn start_call(
@@ -45,9 +44,9 @@
         let Batch { tasks, bound } = batch;
         let bytes: u64 = tasks.iter().map(|task| task.result_bytes).sum();
         let started = self.now();
-        let usual = usual_time(&shape, tasks.len());
-        if let Some(maker) = self.makers.borrow_mut().of(target.key) {
-            maker.call_began(started + usual, bytes);
+        let expected = usual_time(&shape, tasks.len());
+        if let Some(worker) = self.workers.borrow_mut().of(target.key) {
+            worker.call_began(started + expected, bytes);
         }
         let owner = self.clone();
         let connections_max = service.connections_max;
@@ -55,43 +54,44 @@
         let waiting = self.queues.borrow().get(&pool).map_or(0, BatchQueue::len);
         spawn_local(async move {
             let call = owner.call(&pool, &target, connections_max, &shape, &tasks);
-            let (end, was_overdue) = owner.watched(call, &pool, &target, &shape, &tasks).await;
+            let (result, was_overdue) =
+                owner.await_call(call, &pool, &target, &shape, &tasks).await;
             owner.log_call(&pool, &target, &tasks, started, waiting, bound);
             let now = owner.now();
-            if let Some(maker) = owner.makers.borrow_mut().get_mut(target.key) {
-                maker.call_ended(bytes);
-                if end.is_ok() {
-                    maker.took(now, now.saturating_sub(started), usual);
+            if let Some(worker) = owner.workers.borrow_mut().get_mut(target.key) {
+                worker.call_ended(bytes);
+                if result.is_ok() {
+                    worker.took(now, now.saturating_sub(started), expected);
                 }
             }
-            if end.is_ok() && matches!(bound, Bound::Places | Bound::Room) {
-                let took = now.saturating_sub(started);
-                let mut flows = owner.flows.borrow_mut();
-                flows.entry(pool.clone()).or_default().called(&shape, tasks.len(), took);
+            if result.is_ok() && matches!(bound, Bound::Places | Bound::Room) {
+                let elapsed = now.saturating_sub(started);
+                let mut throughputs = owner.throughputs.borrow_mut();
+                throughputs.entry(pool.clone()).or_default().called(&shape, tasks.len(), elapsed);
             }
-            let has_ended = match &end {
-                Err(CallFailure::Broken(why)) => owner.has_ended(&target, &tasks, why).await,
+            let has_crashed = match &result {
+                Err(CallFailure::Broken(loss)) => owner.has_crashed(&target, &tasks, loss).await,
                 _ => false,
             };
-            owner.call_ended(&pool, &target, tasks, end, was_overdue, has_ended);
-            owner.pump(&pool);
+            owner.handle_call_end(&pool, &target, tasks, result, was_overdue, has_crashed);
+            owner.dispatch(&pool);
         });
     }
 
-    /// Finds out whether a call broke off because its maker has ended.
-    async fn has_ended(&self, target: &Target, tasks: &[Task], why: &BreakOff) -> bool {
-        let Some(how) = why.how else {
+    /// Returns whether a call lost its connection because its worker has crashed.
+    async fn has_crashed(&self, target: &Target, tasks: &[Task], loss: &BreakOff) -> bool {
+        let Some(how) = loss.how else {
             return false;
         };
         let first = tasks.first().map(|task| task.content);
-        let is_alone = tasks.iter().all(|task| Some(task.content) == first);
-        self.blame.broke(target, how, first.filter(|_| is_alone));
-        how == Break::Closed && self.blame.has_upstream_ended(target.key).await
+        let is_single_request = tasks.iter().all(|task| Some(task.content) == first);
+        self.crash_attribution.broke(target, how, first.filter(|_| is_single_request));
+        how == Break::Closed && self.crash_attribution.has_upstream_ended(target.key).await
     }
 
-    /// Waits for a call's end; once it is overdue, its pieces are given to another maker as well.
-    /// Tells whether that was so.
-    async fn watched<T>(
+    /// Waits until a call ends. Once the call is overdue, copies of its pieces are queued for other workers. Returns the call's
+    /// result and whether it was overdue.
+    async fn await_call<T>(
         self: &Rc<Self>,
         call: impl Future<Output = T>,
         pool: &MakerPool,
@@ -99,21 +99,21 @@
         shape: &BatchShape,
         tasks: &[Task],
     ) -> (T, bool) {
-        if !self.rules.get().copies {
+        if !self.decide_settings.get().copies {
             return (call.await, false);
         }
         let mut call = pin!(call);
-        let patience = overdue_after(shape, tasks.len());
-        if let Ok(end) = timeout(patience, &mut call).await {
-            return (end, false);
+        let overdue_after = overdue_after(shape, tasks.len());
+        if let Ok(result) = timeout(overdue_after, &mut call).await {
+            return (result, false);
         }
         let line = LogLine::event("stage_call_overdue").with("service", &pool.service);
         let line = line.with("upstream", &target.instance).with("pieces", tasks.len());
-        log::info(line.with("after_ms", patience.as_millis()));
-        for task in tasks.iter().filter(|task| has_further_call(task)) {
-            self.put_back(pool, Task { calls: task.calls + 1, ..task.clone() });
+        log::info(line.with("after_ms", overdue_after.as_millis()));
+        for task in tasks.iter().filter(|task| may_call_again(task)) {
+            self.requeue(pool, Task { calls: task.calls + 1, ..task.clone() });
         }
-        self.pump(pool);
+        self.dispatch(pool);
         (call.await, true)
     }
 
@@ -127,7 +127,7 @@
         bound: Bound,
     ) {
         measures::batch_called(&pool.service, tasks.len(), waiting);
-        let kept = self.makers.borrow().get(target.key).map_or(0, Maker::kept_bytes);
+        let kept_bytes = self.workers.borrow().get(target.key).map_or(0, Maker::kept_bytes);
         let line = LogLine::event("stage_call")
             .with("service", &pool.service)
             .with_some("of_domain", pool.failure_domain.as_ref())
@@ -135,14 +135,14 @@
             .with("pieces", tasks.len())
             .with("waiting", waiting)
             .with("bound", bound.name())
-            .with("kept_bytes", kept)
+            .with("kept_bytes", kept_bytes)
             .with("took_ms", self.now().saturating_sub(started).as_millis());
         log::info(line);
     }
 
-    fn count_carried(&self, pool: &MakerPool, bytes: usize) {
-        let mut carried = self.carried.borrow_mut();
-        carried.entry(pool.clone()).or_default().add(self.now(), bytes);
+    fn record_traffic(&self, pool: &MakerPool, bytes: usize) {
+        let mut traffic = self.traffic.borrow_mut();
+        traffic.entry(pool.clone()).or_default().add(self.now(), bytes);
     }
 
     async fn call(
@@ -160,7 +160,7 @@
         };
         let pieces: Vec<_> = tasks.iter().map(piece).collect();
         let call = self.wire.encode_batch(&pieces);
-        self.count_carried(pool, call.body.len());
+        self.record_traffic(pool, call.body.len());
         let ranks = tasks.iter().map(|task| rank(task.priority));
         let sending = Sending {
             request: self.request(target, call.path, call.body),
@@ -171,38 +171,40 @@
             connections_max,
         };
         let expected = usual_time(shape, tasks.len());
-        let trial = self.rollouts.track_call(&pool.service, target);
+        let tracked = self.rollouts.track_call(&pool.service, target);
         let exchange = async {
-            let answer = self.upstreams.send(target, sending).await?;
-            let fields = self.wire.decode_answer(answer.head.status, &answer.head.headers);
+            let response = self.upstreams.send(target, sending).await?;
+            let fields = self.wire.decode_answer(response.head.status, &response.head.headers);
             if !fields.wrong_instance {
                 self.upstreams.said_limit(target, now, fields.limit);
             }
             if fields.not_run || fields.wrong_instance {
                 return Err(CallFailure::Refused);
             }
-            if answer.head.status != StatusCode::OK {
-                return Err(CallFailure::Failed(format!("status {}", answer.head.status)));
+            if response.head.status != StatusCode::OK {
+                return Err(CallFailure::Failed(format!("status {}", response.head.status)));
             }
-            let body = http_body_util::Limited::new(answer.body, ANSWER_BYTES_MAX);
-            let body = body.collect().await.map_err(|error| broken_body(&*error))?;
+            let body = http_body_util::Limited::new(response.body, RESPONSE_BYTES_MAX);
+            let body = body.collect().await.map_err(|error| body_failure(&*error))?;
             let outcomes = self.wire.decode_batch(&body.to_bytes());
             outcomes.map_err(|error| CallFailure::Failed(error.to_string()))
         };
-        let patience = expected * CALL_PATIENCE + CALL_GRACE;
-        let outcomes = timeout(patience, exchange).await.unwrap_or_else(|_| {
-            Err(CallFailure::Failed(format!("no answer in {} ms", patience.as_millis())))
+        let call_timeout = expected * CALL_TIMEOUT_FACTOR + CALL_TIMEOUT_EXTRA;
+        let outcomes = timeout(call_timeout, exchange).await.unwrap_or_else(|_| {
+            Err(CallFailure::Failed(format!("no response within {} ms", call_timeout.as_millis())))
         });
-        if let Some(trial) = trial {
+        if let Some(tracked) = tracked {
             match &outcomes {
-                Ok(_) => trial.record_call_success(self.now().saturating_sub(now), expected),
-                Err(CallFailure::Failed(_) | CallFailure::Broken(_)) => trial.record_failure(),
+                Ok(_) => tracked.record_call_success(self.now().saturating_sub(now), expected),
+                Err(CallFailure::Failed(_) | CallFailure::Broken(_)) => tracked.record_failure(),
                 Err(_) => {}
             }
         }
         let outcomes = outcomes?;
         if outcomes.len() != tasks.len() {
-            return Err(CallFailure::Failed("the answer has another number of pieces".to_owned()));
+            return Err(CallFailure::Failed(
+                "the response has the wrong number of outcomes".to_owned(),
+            ));
         }
         Ok(outcomes)
     }
@@ -229,50 +231,50 @@
         let sending = Sending {
             request: self.request(&target, call.path, call.body),
             rank: RANKS - 1,
-            // Handles alone go there, and nothing of a request.
+            // A release holds only handles, and no data of a request.
             residency: Residency::default(),
             connections_max: self.connections_max(key),
         };
-        let work = async {
-            let answer = self.upstreams.send_release(&target, sending).await?;
-            answer.body.collect().await.map_err(|e| SendFailure::Broken((&e).into()))
+        let exchange = async {
+            let response = self.upstreams.send_release(&target, sending).await?;
+            response.body.collect().await.map_err(|e| SendFailure::Broken((&e).into()))
         };
-        let released = timeout(CALL_GRACE, work).await;
+        let released = timeout(CALL_TIMEOUT_EXTRA, exchange).await;
         if let Ok(Err(SendFailure::Barred(_))) = released {
-            // Its upstream takes no more now: with the next ones.
+            // The upstream may get nothing now: the handles go with the next release.
             self.releases.borrow_mut().entry(key).or_default().extend(handles);
             return;
         }
         if let Ok(Err(error)) = released {
-            // The results lapse by themselves; until then they take room.
+            // The results expire by themselves; until then they take capacity.
             let line = LogLine::event("release_failed").with("upstream", &target.instance);
             log::info(line.with("error", error));
         }
     }
 }
 
-/// Why a call brought no outcomes.
+/// Reason why a call returned no outcomes.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CallFailure {
-    /// Nothing was written.
+    /// Nothing was sent.
     #[error("{0}")]
     NotSent(String),
-    /// Nothing was written, since the upstream may get nothing new.
+    /// Nothing was sent, since the upstream is ineligible for new requests.
     #[error("{0}")]
-    Barred(Barred),
-    /// The upstream refused it.
+    Ineligible(Barred),
+    /// The upstream refused the call.
     #[error("refused")]
     Refused,
-    /// Its connection broke off.
+    /// The connection was lost during the call.
     #[error("{0}")]
     Broken(BreakOff),
-    /// Anything else.
+    /// Any other failure.
     #[error("{0}")]
     Failed(String),
 }
 
-/// Tells why the body of an answer didn't come whole.
-fn broken_body(error: &(dyn std::error::Error + 'static)) -> CallFailure {
+/// Converts an error that occurred while the body of a response was read.
+fn body_failure(error: &(dyn std::error::Error + 'static)) -> CallFailure {
     match error.downcast_ref::<hyper::Error>() {
         Some(error) => CallFailure::Broken(error.into()),
         None => CallFailure::Failed(error.to_string()),
@@ -283,8 +285,8 @@
     fn from(failure: SendFailure) -> Self {
         match failure {
             SendFailure::NotSent(reason) | SendFailure::NoListener(reason) => Self::NotSent(reason),
-            SendFailure::Barred(why) => Self::Barred(why),
-            SendFailure::Broken(broke) => Self::Broken(broke),
+            SendFailure::Barred(reason) => Self::Ineligible(reason),
+            SendFailure::Broken(loss) => Self::Broken(loss),
         }
     }
 }
--- a/crates/fernring-gateway/src/owner/mod.rs
+++ b/crates/fernring-gateway/src/owner/mod.rs
@@ -1,10 +1,9 @@
-//! The owner's side of stages: the pieces of all nodes for a stage service, filled into one batch
-//! after another.
+//! The owner of a stage service: collects the pieces of all nodes for the service and fills them into batches.
 //!
-//! [`calls`] sends them to the makers, [`outcomes`] takes in what became of the pieces.
+//! [`calls`] sends the batches to the workers, [`outcomes`] handles the outcomes of the pieces.
 //!
-//! One call at a time goes to each upstream. A piece whose call failed goes into another, up to
-//! [`CALLS_MAX`] calls; pieces may be made again, so they don't draw on the retry budget.
+//! Each worker gets one call at a time. A piece whose call failed goes into another call, up to [`CALLS_MAX`] calls in all.
+//! Pieces may be computed more than once, so further calls don't draw on the retry budget.
 
 mod calls;
 mod outcomes;
@@ -44,60 +43,60 @@
     tokio::{sync::oneshot, task::spawn_local},
 };
 
-/// How often waiting pieces are looked through for those whose time is over.
+/// Interval at which waiting pieces are checked for expired ones.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(50);
-/// How long results that are given up wait for others before they are told to their maker.
+/// Pause between releases of results, so that several results of one worker are released together.
 const RELEASE_DELAY: Duration = Duration::from_millis(15);
-/// What a result takes beside its said size, which is approximate.
+/// Factor on the announced size of a result, which is approximate.
 const RESULT_SIZE_MARGIN: f64 = 1.08;
 
 /// The pieces of one stage of one request.
 #[derive(Debug, Clone)]
 pub struct Work {
-    /// The makers that may do the work.
+    /// The workers that may do the work.
     pub pool: MakerPool,
     /// The request.
     pub request_id: Arc<str>,
-    /// What the request asks.
+    /// Fingerprint of the request.
     pub fingerprint: ContentKey,
     /// Index of the stage.
     pub stage: u32,
     /// Number of pieces.
     pub pieces: u32,
-    /// What they work on.
+    /// Input of the pieces.
     pub input: PieceInput,
-    /// When the results are due for the request to be on time.
+    /// When the results must be complete for the request to be on time.
     pub due_at: Duration,
-    /// Failure domain in which the results will be read; `None` if that doesn't matter.
+    /// Failure domain in which the results will be read; `None` if it doesn't matter.
     pub consumer_domain: Option<Arc<str>>,
-    /// When the results are of no more use.
+    /// When the results become useless.
     pub deadline_at: Duration,
-    /// Rank of the request; 0 goes first.
+    /// Priority of the request; 0 goes first.
     pub priority: u32,
     /// Size of one result, in bytes.
     pub result_bytes: u64,
-    /// Where the request may be served.
+    /// Regions in which the request may be served.
     pub residency: Residency,
-    /// The node that asks.
+    /// The node that requests the results.
     pub requester: SocketAddr,
 }
 
-/// How the pieces of a stage ended.
+/// Outcome of the pieces of a stage.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WorkOutcome {
-    /// All were made; their handles in order.
+    /// All pieces are completed; holds the handles of their results, in order.
     Completed(Vec<Arc<str>>),
-    /// Their time was over.
+    /// The pieces have expired.
     Late,
-    /// A result that they need is gone.
+    /// A result that the pieces need as input is gone.
     InputGone,
-    /// They could not be made.
+    /// The pieces could not be completed.
     Failed,
-    /// Their owner can't be reached.
+    /// The owner of the pieces is unreachable.
     OwnerLost,
-    /// Upstreams ended under their request.
+    /// The request is quarantined, since upstreams crashed while they worked on it.
     Quarantined,
-    /// The failure domain that they wait for has no makers any more, and others have some.
+    /// The failure domain that the pieces wait for has no workers any more, while others have some.
     NoWorkers,
 }
 
@@ -116,22 +115,22 @@
     }
 }
 
-/// Who is told how a work ended.
-pub type Reply = oneshot::Sender<WorkOutcome>;
+/// Channel on which the outcome of a work is sent to its requester.
+pub type WorkReply = oneshot::Sender<WorkOutcome>;
 
 #[derive(Debug)]
-struct OpenWork {
-    reply: Reply,
+struct PendingWork {
+    reply: WorkReply,
     handles: Vec<Option<Arc<str>>>,
     pool: MakerPool,
-    content: ContentKey,
+    fingerprint: ContentKey,
 }
 
-/// The parts of a node that an owner works with.
+/// The parts of a node that an owner depends on.
 pub struct OwnerDependencies {
     /// The clock.
     pub clock: Rc<dyn Clock>,
-    /// The platform's formats.
+    /// The formats of the platform.
     pub wire: Rc<dyn Wire>,
     /// The configuration in force.
     pub config: Rc<RefCell<ConfigState>>,
@@ -139,109 +138,113 @@
     pub upstreams: Rc<Upstreams>,
     /// The other nodes.
     pub peers: Rc<Peers>,
-    /// The upstreams that ended, and what ran there.
+    /// Attribution of upstream crashes to requests.
     pub crash_attribution: Rc<Blame>,
-    /// Versions that are rolled out.
+    /// The roll-outs of versions.
     pub rollouts: Rc<Rollouts>,
-    /// The mechanisms of the policy that are on.
+    /// Settings that say which mechanisms of the policy are enabled.
     pub decide_settings: Rc<Cell<DecideSettings>>,
 }
 
-/// The stage services that this node owns, or did.
+/// State of the stage services that this node owns or has owned.
 pub struct Owner {
     clock: Rc<dyn Clock>,
     wire: Rc<dyn Wire>,
     config: Rc<RefCell<ConfigState>>,
     upstreams: Rc<Upstreams>,
     peers: Rc<Peers>,
-    blame: Rc<Blame>,
+    crash_attribution: Rc<Blame>,
     rollouts: Rc<Rollouts>,
-    rules: Rc<Cell<DecideSettings>>,
+    decide_settings: Rc<Cell<DecideSettings>>,
     queues: RefCell<BTreeMap<MakerPool, BatchQueue>>,
-    flows: RefCell<BTreeMap<MakerPool, Flow>>,
-    /// What the calls of each pool carry.
-    carried: RefCell<BTreeMap<MakerPool, Carried>>,
-    works: RefCell<HashMap<u64, OpenWork>>,
-    makers: RefCell<MakerSet>,
+    throughputs: RefCell<BTreeMap<MakerPool, Flow>>,
+    /// Traffic of the calls of each pool.
+    traffic: RefCell<BTreeMap<MakerPool, Carried>>,
+    works: RefCell<HashMap<u64, PendingWork>>,
+    workers: RefCell<MakerSet>,
     releases: RefCell<HashMap<UpstreamKey, Vec<Arc<str>>>>,
-    next_work: Cell<u64>,
+    next_work_id: Cell<u64>,
 }
 
 impl Owner {
-    /// Creates an owner that has nothing to do.
-    pub fn new(parts: OwnerDependencies) -> Self {
-        let OwnerDependencies { clock, wire, config, upstreams, peers, crash_attribution: blame, rollouts, decide_settings: rules } = parts;
+    /// Creates an owner without work.
+    pub fn new(dependencies: OwnerDependencies) -> Self {
+        let OwnerDependencies {
+            clock,
+            wire,
+            config,
+            upstreams,
+            peers,
+            crash_attribution,
+            rollouts,
+            decide_settings,
+        } = dependencies;
         Self {
             clock,
             wire,
             config,
             upstreams,
             peers,
-            blame,
+            crash_attribution,
             rollouts,
-            rules,
+            decide_settings,
             queues: RefCell::default(),
-            flows: RefCell::default(),
-            carried: RefCell::default(),
+            throughputs: RefCell::default(),
+            traffic: RefCell::default(),
             works: RefCell::default(),
-            makers: RefCell::default(),
+            workers: RefCell::default(),
             releases: RefCell::default(),
-            next_work: Cell::new(1),
+            next_work_id: Cell::new(1),
         }
     }
 
-    /// Takes in the pieces of a stage and returns their number here.
-    pub fn submit(self: &Rc<Self>, work: Work, reply: Reply) -> u64 {
-        let id = self.next_work.get();
-        self.next_work.set(id + 1);
+    /// Queues the pieces of a stage. Returns the number of their work at this owner.
+    pub fn submit(self: &Rc<Self>, work: Work, reply: WorkReply) -> u64 {
+        let id = self.next_work_id.get();
+        self.next_work_id.set(id + 1);
         let pieces = work.pieces as usize;
-        let open = OpenWork {
+        let pending = PendingWork {
             reply,
             handles: vec![None; pieces],
             pool: work.pool.clone(),
-            content: work.fingerprint,
+            fingerprint: work.fingerprint,
         };
-        self.works.borrow_mut().insert(id, open);
+        self.works.borrow_mut().insert(id, pending);
         let mut queues = self.queues.borrow_mut();
         let queue = queues.entry(work.pool.clone()).or_default();
         let now = self.now();
         if work.due_at > now {
-            let mut flows = self.flows.borrow_mut();
-            let flow = flows.entry(work.pool.clone()).or_default();
-            flow.came(now, rank(work.priority), work.pieces);
+            let mut throughputs = self.throughputs.borrow_mut();
+            let throughput = throughputs.entry(work.pool.clone()).or_default();
+            throughput.came(now, rank(work.priority), work.pieces);
         }
-        // A suspect has no company that would have to share the blame.
-        let is_apart = self.blame.is_suspect(work.fingerprint);
+        // A suspect goes into calls of its own, so that no other request shares the attribution of a crash.
+        let is_apart = self.crash_attribution.is_suspect(work.fingerprint);
         for number in 0..work.pieces {
             queue.push(task(id, &work, number, is_apart));
         }
         drop(queues);
-        self.pump(&work.pool);
+        self.dispatch(&work.pool);
         id
     }
 
-    /// Returns what waits for some makers; `None` if their service is no stage service.
+    /// Returns the backlog of a pool; `None` if its service isn't a stage service.
     pub fn backlog(&self, pool: &MakerPool) -> Option<Backlog> {
         let (_, shape) = self.service(&pool.service)?;
-        Some(self.backlog_before(pool, &shape, &self.usable_makers(pool)))
+        Some(self.backlog_of(pool, &shape, &self.usable_workers(pool)))
     }
 
-    fn backlog_before(
-        &self,
-        pool: &MakerPool,
-        shape: &BatchShape,
-        makers: &[UpstreamKey],
-    ) -> Backlog {
-        let makers = self.whole_makers(pool, shape, makers);
+    fn backlog_of(&self, pool: &MakerPool, shape: &BatchShape, workers: &[UpstreamKey]) -> Backlog {
+        let workers = self.effective_workers(pool, shape, workers);
         let queues = self.queues.borrow();
-        let mut flows = self.flows.borrow_mut();
-        let flow = flows.entry(pool.clone()).or_default();
-        flow.backlog(self.now(), shape, makers, queues.get(pool))
+        let mut throughputs = self.throughputs.borrow_mut();
+        let throughput = throughputs.entry(pool.clone()).or_default();
+        throughput.backlog(self.now(), shape, workers, queues.get(pool))
     }
 
-    /// Returns the backlogs of all makers that had work here, or were asked about.
+    /// Returns the backlogs of all pools for which this node had work, or whose backlog was requested.
     pub fn backlogs(&self) -> Vec<(MakerPool, Backlog)> {
-        let pools: Vec<_> = self.flows.borrow().keys().cloned().collect();
+        let pools: Vec<_> = self.throughputs.borrow().keys().cloned().collect();
         let with_backlog = |pool: MakerPool| {
             let backlog = self.backlog(&pool)?;
             Some((pool, backlog))
@@ -249,30 +252,29 @@
         pools.into_iter().filter_map(with_backlog).collect()
     }
 
-    /// Forgets pieces that nobody waits for any more. A call under way goes on; its results are
-    /// given up when it ends.
+    /// Cancels a work that nobody waits for any more. Calls in flight go on; their results are released when they end.
     pub fn cancel(&self, work: u64) {
-        let Some(open) = self.works.borrow_mut().remove(&work) else {
+        let Some(pending) = self.works.borrow_mut().remove(&work) else {
             return;
         };
-        if let Some(queue) = self.queues.borrow_mut().get_mut(&open.pool) {
+        if let Some(queue) = self.queues.borrow_mut().get_mut(&pending.pool) {
             queue.cancel(work);
         }
-        self.release(&open.pool.service, open.handles.into_iter().flatten());
+        self.release(&pending.pool.service, pending.handles.into_iter().flatten());
     }
 
-    /// Gives up all results that a lost node asked for.
-    pub fn release_results_of(&self, asker: SocketAddr) {
+    /// Releases all results that a lost node requested.
+    pub fn release_results_of(&self, requester: SocketAddr) {
         let mut releases = self.releases.borrow_mut();
-        for (key, maker) in self.makers.borrow().iter() {
-            let handles: Vec<_> = maker.asked_by(asker).cloned().collect();
+        for (key, worker) in self.workers.borrow().iter() {
+            let handles: Vec<_> = worker.asked_by(requester).cloned().collect();
             if !handles.is_empty() {
                 releases.entry(key).or_default().extend(handles);
             }
         }
     }
 
-    /// Gives results up: soon, and together with others of the same maker.
+    /// Releases results with the next releases, together with other results of the same worker.
     pub fn release(&self, service: &str, handles: impl IntoIterator<Item = Arc<str>>) {
         for handle in handles {
             let address = maker_address(&handle);
@@ -284,7 +286,7 @@
         }
     }
 
-    /// Takes in that upstreams came or went.
+    /// Handles changes of the upstreams.
     pub fn handle_upstream_changes(self: &Rc<Self>, effects: &[Effect]) {
         if effects.iter().all(|effect| *effect == Effect::None) {
             return;
@@ -292,7 +294,7 @@
         self.dispatch_all();
     }
 
-    /// Drops pieces whose time is over and sends releases, for as long as the process runs.
+    /// Drops expired pieces and starts calls at regular intervals, for as long as the process runs.
     pub async fn run(self: Rc<Self>) {
         loop {
             tokio::time::sleep(EXPIRY_INTERVAL).await;
@@ -311,17 +313,17 @@
         }
     }
 
-    /// Takes the results that are to be given up now. Those at upstreams that take no more wait.
+    /// Takes out the results that can be released now. Those at upstreams that accept no more releases wait.
     fn due_releases(&self) -> Vec<(UpstreamKey, Vec<Arc<str>>)> {
-        let takes_no_more = |key: &UpstreamKey| self.upstreams.takes_no_release(*key);
-        let due = |key: &UpstreamKey, _: &mut Vec<Arc<str>>| !takes_no_more(key);
+        let refuses_release = |key: &UpstreamKey| self.upstreams.takes_no_release(*key);
+        let due = |key: &UpstreamKey, _: &mut Vec<Arc<str>>| !refuses_release(key);
         self.releases.borrow_mut().extract_if(due).collect()
     }
 
     fn forget(&self, key: UpstreamKey, handles: &[Arc<str>]) {
-        if let Some(maker) = self.makers.borrow_mut().get_mut(key) {
+        if let Some(worker) = self.workers.borrow_mut().get_mut(key) {
             for handle in handles {
-                maker.forget(handle);
+                worker.forget(handle);
             }
         }
     }
@@ -334,16 +336,16 @@
         self.config.borrow().connections_max(&upstream.record.service)
     }
 
-    /// Starts calls of all services, as far as pieces wait and upstreams are free.
+    /// Starts calls for all pools while pieces wait and workers are free.
     pub fn dispatch_all(self: &Rc<Self>) {
         let pools: Vec<_> = self.queues.borrow().keys().cloned().collect();
         for pool in pools {
-            self.pump(&pool);
+            self.dispatch(&pool);
         }
     }
 
-    /// Starts calls while pieces wait and upstreams are free.
-    fn pump(self: &Rc<Self>, pool: &MakerPool) {
+    /// Starts calls for a pool while pieces wait and workers are free.
+    fn dispatch(self: &Rc<Self>, pool: &MakerPool) {
         let Some((service, shape)) = self.service(&pool.service) else {
             self.fail_all(pool);
             return;
@@ -351,23 +353,23 @@
         if self.queues.borrow().get(pool).is_none_or(BatchQueue::is_empty) {
             return;
         }
-        let makers = self.usable_makers(pool);
-        if makers.is_empty() {
+        let workers = self.usable_workers(pool);
+        if workers.is_empty() {
             if self.upstreams.is_evacuated(&pool.service) {
-                self.end_waiting(pool, &WorkOutcome::Failed);
+                self.finish_all_waiting(pool, &WorkOutcome::Failed);
                 return;
             }
-            // They would wait here until their time is over, while makers elsewhere may be idle.
+            // The pieces would wait here until they expire, while workers of other domains may be idle.
             if pool.failure_domain.is_some() && !self.workers_by_domain(&pool.service).is_empty() {
-                self.end_waiting(pool, &WorkOutcome::NoWorkers);
+                self.finish_all_waiting(pool, &WorkOutcome::NoWorkers);
                 return;
             }
         }
-        self.drop_turned_away();
-        self.drop_expired(pool, &shape, &makers);
-        let mut known = MakersByDomain::default();
-        let mut left = LeftAlone::default();
-        for (key, room) in self.free_makers(&makers, &shape) {
+        self.finish_quarantined();
+        self.finish_expired(pool, &shape, &workers);
+        let mut domain_workers = MakersByDomain::default();
+        let mut unserved = LeftAlone::default();
+        for (key, free_bytes) in self.free_workers(&workers, &shape) {
             let Some(target) = self.upstreams.target(key) else {
                 continue;
             };
@@ -375,30 +377,30 @@
                 continue;
             }
             let domain = target.failure_domain.clone();
-            if left.covers(&domain, room) {
+            if unserved.covers(&domain, free_bytes) {
                 continue;
             }
             let now = self.now();
             let batch = match self.queues.borrow_mut().get_mut(pool) {
                 Some(queue) if queue.is_empty() => return,
                 Some(queue) => {
-                    let makers_in =
-                        |domain: &str| known.get(domain, || self.makers_in(pool, domain));
+                    let workers_in =
+                        |domain: &str| domain_workers.get(domain, || self.workers_in(pool, domain));
                     let taker = Taker {
                         failure_domain: &target.failure_domain,
-                        room_bytes: room,
-                        makers: makers.len(),
+                        room_bytes: free_bytes,
+                        makers: workers.len(),
                     };
-                    queue.take(now, &shape, taker, &self.rules.get(), makers_in)
+                    queue.take(now, &shape, taker, &self.decide_settings.get(), workers_in)
                 }
                 None => return,
             };
             if batch.tasks.is_empty() {
-                left.nothing_for(domain, room);
+                unserved.nothing_for(domain, free_bytes);
                 continue;
             }
-            // One more of them is busy.
-            known.forget(&domain);
+            // One more worker of the domain is busy now, so its workers must be counted again.
+            domain_workers.forget(&domain);
             self.rollouts.count_call(&pool.service, &target);
             self.start_call(pool, &service, shape, target, batch);
         }
@@ -418,79 +420,87 @@
             return;
         }
         let mut works = self.works.borrow_mut();
-        let lost: Vec<_> =
+        let failed: Vec<_> =
             works.iter().filter(|(_, w)| w.pool == *pool).map(|(id, _)| *id).collect();
-        for id in lost {
+        for id in failed {
             if let Some(work) = works.remove(&id) {
-                reply(work.reply, WorkOutcome::Failed);
+                send_reply(work.reply, WorkOutcome::Failed);
             }
         }
     }
 
-    /// Ends the works of which pieces wait: nobody may make them here, and who asked is told now.
-    fn end_waiting(&self, pool: &MakerPool, end: &WorkOutcome) {
+    /// Finishes all works with waiting pieces, since no worker may complete them here, and replies to their requesters at once.
+    fn finish_all_waiting(&self, pool: &MakerPool, outcome: &WorkOutcome) {
         let waiting = self.queues.borrow().get(pool).map(BatchQueue::works).unwrap_or_default();
         for work in waiting {
-            self.end_work(work, end.clone());
+            self.finish_work(work, outcome.clone());
         }
     }
 
-    /// Drops the pieces of requests that are turned away: no call is to hold one.
-    fn drop_turned_away(&self) {
-        if !self.blame.turns_any_away() {
+    /// Finishes the works of quarantined requests, so that none of their pieces goes into a call.
+    fn finish_quarantined(&self) {
+        if !self.crash_attribution.turns_any_away() {
             return;
         }
         let works = self.works.borrow();
-        let is_turned_away = |work: &&u64| self.blame.is_turned_away(works[*work].content);
-        let turned_away: Vec<_> = works.keys().filter(is_turned_away).copied().collect();
+        let is_quarantined =
+            |work: &&u64| self.crash_attribution.is_turned_away(works[*work].fingerprint);
+        let quarantined: Vec<_> = works.keys().filter(is_quarantined).copied().collect();
         drop(works);
-        for work in turned_away {
-            self.end_work(work, WorkOutcome::Quarantined);
+        for work in quarantined {
+            self.finish_work(work, WorkOutcome::Quarantined);
         }
     }
 
-    fn drop_expired(&self, pool: &MakerPool, shape: &BatchShape, makers: &[UpstreamKey]) {
+    fn finish_expired(&self, pool: &MakerPool, shape: &BatchShape, workers: &[UpstreamKey]) {
         let now = self.now();
-        let backlog = self.backlog_before(pool, shape, makers);
+        let backlog = self.backlog_of(pool, shape, workers);
         let expired = match self.queues.borrow_mut().get_mut(pool) {
-            Some(queue) => queue.take_expired(now, shape, &backlog, &self.rules.get()),
+            Some(queue) => queue.take_expired(now, shape, &backlog, &self.decide_settings.get()),
             None => return,
         };
         let works: HashSet<_> = expired.into_iter().map(|task| task.work).collect();
         for work in works {
-            self.end_work(work, WorkOutcome::Late);
+            self.finish_work(work, WorkOutcome::Late);
         }
     }
 
-    /// Lists those of some makers that could start a call, and the room that each has for results.
-    fn free_makers(&self, makers: &[UpstreamKey], shape: &BatchShape) -> Vec<(UpstreamKey, u64)> {
-        let mut free = self.makers.borrow_mut().free(self.now(), makers, shape);
+    /// Lists the workers among `workers` that could start a call, each with its free bytes for results.
+    fn free_workers(&self, workers: &[UpstreamKey], shape: &BatchShape) -> Vec<(UpstreamKey, u64)> {
+        let mut free = self.workers.borrow_mut().free(self.now(), workers, shape);
         free.shuffle(&mut rand::rng());
         free
     }
 
-    /// Lists the makers that take work. Others that are merely busy come free soon, so one that is
-    /// avoided or cold waits for them.
-    fn usable_makers(&self, pool: &MakerPool) -> Vec<UpstreamKey> {
-        let is_silent = |domain: &str| self.peers.is_silent(domain);
+    /// Lists the workers that may get work. A worker that is avoided or cold gets none while there are others, even if these are
+    /// busy: they become free soon.
+    fn usable_workers(&self, pool: &MakerPool) -> Vec<UpstreamKey> {
+        let is_unreachable = |domain: &str| self.peers.is_silent(domain);
         let anywhere = Residency::default();
         let mut candidates =
-            self.upstreams.candidates(self.now(), &pool.service, 0, &anywhere, is_silent);
+            self.upstreams.candidates(self.now(), &pool.service, 0, &anywhere, is_unreachable);
         if pool.failure_domain.is_some() {
             let directory = self.upstreams.directory();
             let domain_of = |key| directory.get(key).map(|u| u.record.failure_domain.clone());
             candidates.retain(|c| domain_of(c.key).is_some_and(|domain| pool.covers(&domain)));
         }
-        let is_sound = |candidate: &&Candidate| !candidate.is_avoided && !candidate.is_cold;
-        let any_sound = candidates.iter().any(|candidate| is_sound(&candidate));
-        let usable = candidates.iter().filter(|candidate| is_sound(candidate) || !any_sound);
+        let is_preferred = |candidate: &&Candidate| !candidate.is_avoided && !candidate.is_cold;
+        let any_preferred = candidates.iter().any(|candidate| is_preferred(&candidate));
+        let usable =
+            candidates.iter().filter(|candidate| is_preferred(candidate) || !any_preferred);
         usable.map(|candidate| candidate.key).collect()
     }
 
-    /// Returns how many makers without a limit make as much as those that are usable, and those whose limit is used up now. A
-    /// limit that counted as a whole maker would have requests promised that wait for its turns until they are late.
-    fn whole_makers(&self, pool: &MakerPool, shape: &BatchShape, usable: &[UpstreamKey]) -> f64 {
-        let call_s = usual_time(shape, shape.pieces_max).as_secs_f64();
+    /// Returns how many workers without a limit would complete as much as the usable ones together with those whose limit is
+    /// used up now. If a worker with a limit counted as a full worker, capacity would be reserved for requests that then wait
+    /// for its permits until they are late.
+    fn effective_workers(
+        &self,
+        pool: &MakerPool,
+        shape: &BatchShape,
+        usable: &[UpstreamKey],
+    ) -> f64 {
+        let full_call_s = usual_time(shape, shape.pieces_max).as_secs_f64();
         let directory = self.upstreams.directory();
         let share = |key: UpstreamKey| {
             let upstream = directory.get(key)?;
@@ -499,7 +509,8 @@
                 let is_covered = pool.covers(&upstream.record.failure_domain);
                 is_covered && self.upstreams.may_send(key) == Err(Barred::Limited)
             };
-            (usable.contains(&key) || waits()).then(|| limit.map_or(1.0, |l| (l * call_s).min(1.0)))
+            (usable.contains(&key) || waits())
+                .then(|| limit.map_or(1.0, |l| (l * full_call_s).min(1.0)))
         };
         if self.upstreams.limited() == 0 {
             return usable.len() as f64;
@@ -507,7 +518,7 @@
         directory.of_service(&pool.service).filter_map(|(key, _)| share(key)).sum()
     }
 
-    /// Counts the makers of a service that may be sent to, by failure domain.
+    /// Counts the workers of a service that may get requests, by failure domain.
     pub fn workers_by_domain(&self, service: &str) -> Vec<(Arc<str>, usize)> {
         let mut counts: BTreeMap<Arc<str>, usize> = BTreeMap::new();
         let directory = self.upstreams.directory();
@@ -520,47 +531,48 @@
         counts.into_iter().filter(|(domain, _)| !self.peers.is_silent(domain)).collect()
     }
 
-    /// Returns the failure domain of the maker of a result, if it is known.
+    /// Returns the failure domain of the worker that holds a result, if it is known.
     pub fn domain_of_worker(&self, service: &str, handle: &str) -> Option<Arc<str>> {
         let directory = self.upstreams.directory();
         let key = directory.at(service, maker_address(handle)?)?;
         Some(directory.get(key)?.record.failure_domain.clone())
     }
 
-    /// Lists the services, by their short hashes, of which this node carries more than its link bears, or that are to stay
-    /// split. `is_own` tells whether it owns a pool, `link_bytes_per_s` what its link carries.
+    /// Lists the short hashes of the services that should be sharded by failure domain: those whose calls are too much for this
+    /// node's link, and those that should stay sharded. `is_own` says whether this node owns a pool, `link_bytes_per_s` is the
+    /// bandwidth of its link.
     pub fn services_to_shard(
         &self,
         is_own: impl Fn(&MakerPool) -> bool,
         link_bytes_per_s: f64,
     ) -> Vec<u32> {
         let now = self.now();
-        let shall_split = |pool: &MakerPool, carried: &Carried| {
-            let parts = || self.workers_by_domain(&pool.service).len();
-            let parts = pool.failure_domain.as_ref().map(|_| parts());
-            shall_split(carried.per_s(now), link_bytes_per_s, parts)
+        let is_due = |pool: &MakerPool, traffic: &Carried| {
+            let shards = || self.workers_by_domain(&pool.service).len();
+            let shards = pool.failure_domain.as_ref().map(|_| shards());
+            shall_split(traffic.per_s(now), link_bytes_per_s, shards)
         };
-        let carried = self.carried.borrow();
-        let split =
-            carried.iter().filter(|(pool, carried)| is_own(pool) && shall_split(pool, carried));
-        let mut services: Vec<_> = split.map(|(pool, _)| short_hash(&pool.service)).collect();
+        let traffic = self.traffic.borrow();
+        let to_shard =
+            traffic.iter().filter(|(pool, traffic)| is_own(pool) && is_due(pool, traffic));
+        let mut services: Vec<_> = to_shard.map(|(pool, _)| short_hash(&pool.service)).collect();
         services.dedup();
         services
     }
 
-    /// The makers of a pool in a failure domain; `None` if there are none.
-    fn makers_in(&self, pool: &MakerPool, failure_domain: &str) -> Option<Makers> {
+    /// Returns the workers of a pool in a failure domain; `None` if there are none.
+    fn workers_in(&self, pool: &MakerPool, failure_domain: &str) -> Option<Makers> {
         if !pool.covers(failure_domain) {
             return None;
         }
         let directory = self.upstreams.directory();
-        let makers = self.makers.borrow();
-        let there = directory.of_service(&pool.service).filter(|(key, upstream)| {
+        let workers = self.workers.borrow();
+        let in_domain = directory.of_service(&pool.service).filter(|(key, upstream)| {
             *upstream.record.failure_domain == *failure_domain
                 && self.upstreams.may_send(*key).is_ok()
         });
-        let free_at = |key| makers.get(key).and_then(Maker::busy_until).unwrap_or_default();
-        let times: Vec<_> = there.map(|(key, _)| free_at(key)).collect();
+        let free_at = |key| workers.get(key).and_then(Maker::busy_until).unwrap_or_default();
+        let times: Vec<_> = in_domain.map(|(key, _)| free_at(key)).collect();
         let free_at = *times.iter().min()?;
         Some(Makers { count: times.len(), free_at })
     }
@@ -570,9 +582,9 @@
     }
 }
 
-/// Tells a work's end to who asked for it; if nobody waits any more, nothing is to be told.
-fn reply(reply: Reply, end: WorkOutcome) {
-    drop(reply.send(end));
+/// Sends the outcome of a work to its requester, which may have stopped waiting.
+fn send_reply(reply: WorkReply, outcome: WorkOutcome) {
+    drop(reply.send(outcome));
 }
 
 fn task(work_id: u64, work: &Work, number: u32, is_apart: bool) -> Task {
--- a/crates/fernring-gateway/src/owner/outcomes.rs
+++ b/crates/fernring-gateway/src/owner/outcomes.rs
@@ -1,7 +1,7 @@
-//! What becomes of pieces when their calls have ended.
+//! Handles the outcomes of calls and of their pieces.
 
 use {
-    super::{Owner, WorkOutcome, calls::CallFailure, reply},
+    super::{Owner, WorkOutcome, calls::CallFailure, send_reply},
     crate::{
         barred::Barred,
         batching::{CALLS_MAX, Task},
@@ -16,19 +16,19 @@
 };
 
 impl Owner {
-    pub(super) fn call_ended(
+    pub(super) fn handle_call_end(
         &self,
         pool: &MakerPool,
         target: &Target,
         tasks: Vec<Task>,
-        end: Result<Vec<PieceOutcome>, CallFailure>,
+        result: Result<Vec<PieceOutcome>, CallFailure>,
         was_overdue: bool,
-        has_ended: bool,
+        has_crashed: bool,
     ) {
         let now = self.now();
-        // Of these, another copy waits or is in a call already.
-        let goes_on = |task: &Task| was_overdue && has_further_call(task);
-        let outcomes = match end {
+        // Another copy of such a piece waits already or is in a call.
+        let has_copy = |task: &Task| was_overdue && may_call_again(task);
+        let outcomes = match result {
             Ok(outcomes) => {
                 self.upstreams.succeeded(target.key);
                 outcomes
@@ -36,7 +36,7 @@
             Err(failure) => {
                 match &failure {
                     CallFailure::Refused => self.upstreams.was_full(now, target.key),
-                    CallFailure::Barred(_) => {}
+                    CallFailure::Ineligible(_) => {}
                     CallFailure::NotSent(_) => self.upstreams.was_unreachable(now, target.key),
                     CallFailure::Failed(_) | CallFailure::Broken(_) => {
                         self.upstreams.failed(now, target.key);
@@ -48,49 +48,58 @@
                     .with("pieces", tasks.len())
                     .with("error", &failure);
                 log::warn(line);
-                if matches!(failure, CallFailure::Barred(Barred::OutsideRegions)) {
-                    // The region of this failure domain has changed since they were handed in: who asked chooses anew.
-                    tasks.iter().for_each(|task| self.end_work(task.work, WorkOutcome::NoWorkers));
+                if matches!(failure, CallFailure::Ineligible(Barred::OutsideRegions)) {
+                    // The region of this failure domain has changed since the pieces were submitted: their requester must choose again.
+                    tasks
+                        .iter()
+                        .for_each(|task| self.finish_work(task.work, WorkOutcome::NoWorkers));
                     return;
                 }
                 let first = tasks.first().map(|task| task.content);
-                let has_company = tasks.iter().any(|task| Some(task.content) != first);
-                let is_company_ended = has_ended && has_company;
-                // What another request did to the maker doesn't count among the calls of a piece.
-                let was_sent = !matches!(failure, CallFailure::NotSent(_) | CallFailure::Barred(_));
-                let counts = was_sent && !is_company_ended;
-                for task in tasks.into_iter().filter(|task| !goes_on(task)) {
-                    let is_apart = task.is_apart || is_company_ended;
-                    self.retry(pool, Task { is_apart, ..task }, counts);
+                let has_other_requests = tasks.iter().any(|task| Some(task.content) != first);
+                let is_crash_of_several = has_crashed && has_other_requests;
+                // A crash that another request may have caused doesn't count as a failed call of a piece.
+                let was_sent =
+                    !matches!(failure, CallFailure::NotSent(_) | CallFailure::Ineligible(_));
+                let is_counted = was_sent && !is_crash_of_several;
+                for task in tasks.into_iter().filter(|task| !has_copy(task)) {
+                    let is_apart = task.is_apart || is_crash_of_several;
+                    self.retry(pool, Task { is_apart, ..task }, is_counted);
                 }
                 return;
             }
         };
         for (task, outcome) in tasks.into_iter().zip(outcomes) {
-            let is_repeated = matches!(outcome, PieceOutcome::NoRoom | PieceOutcome::Failed);
-            if !(is_repeated && goes_on(&task)) {
-                self.piece_ended(pool, target, task, outcome);
+            let is_retried = matches!(outcome, PieceOutcome::NoRoom | PieceOutcome::Failed);
+            if !(is_retried && has_copy(&task)) {
+                self.handle_piece_outcome(pool, target, task, outcome);
             }
         }
     }
 
-    fn piece_ended(&self, pool: &MakerPool, target: &Target, task: Task, outcome: PieceOutcome) {
+    fn handle_piece_outcome(
+        &self,
+        pool: &MakerPool,
+        target: &Target,
+        task: Task,
+        outcome: PieceOutcome,
+    ) {
         match outcome {
-            PieceOutcome::Made(handle) => self.piece_made(pool, target, &task, handle),
-            PieceOutcome::Late => self.end_work(task.work, WorkOutcome::Late),
-            PieceOutcome::InputGone => self.end_work(task.work, WorkOutcome::InputGone),
+            PieceOutcome::Made(handle) => self.complete_piece(pool, target, &task, handle),
+            PieceOutcome::Late => self.finish_work(task.work, WorkOutcome::Late),
+            PieceOutcome::InputGone => self.finish_work(task.work, WorkOutcome::InputGone),
             PieceOutcome::NoRoom => {
-                self.had_no_room(pool, target, &task);
-                self.put_back(pool, task);
+                self.record_full_worker(pool, target, &task);
+                self.requeue(pool, task);
             }
             PieceOutcome::Failed => self.retry(pool, task, true),
         }
     }
 
-    fn piece_made(&self, pool: &MakerPool, target: &Target, task: &Task, handle: Arc<str>) {
-        if let Some(maker) = self.makers.borrow_mut().get_mut(target.key) {
+    fn complete_piece(&self, pool: &MakerPool, target: &Target, task: &Task, handle: Arc<str>) {
+        if let Some(worker) = self.workers.borrow_mut().get_mut(target.key) {
             let kept = Kept { bytes: task.result_bytes, made_at: self.now(), asker: task.asker };
-            maker.keep(handle.clone(), kept);
+            worker.keep(handle.clone(), kept);
         }
         let mut works = self.works.borrow_mut();
         let Some(work) = works.get_mut(&task.work) else {
@@ -98,14 +107,14 @@
             self.release(&pool.service, [handle]);
             return;
         };
-        let place = &mut work.handles[task.piece.number as usize];
-        if place.is_some() {
-            // Another maker was given the piece as well and was faster.
+        let slot = &mut work.handles[task.piece.number as usize];
+        if slot.is_some() {
+            // A copy of the piece was completed earlier by another worker.
             drop(works);
             self.release(&pool.service, [handle]);
             return;
         }
-        *place = Some(handle);
+        *slot = Some(handle);
         if let Some(queue) = self.queues.borrow_mut().get_mut(pool) {
             queue.drop_piece(task.work, task.piece.number);
         }
@@ -115,71 +124,73 @@
         if let Some(work) = works.remove(&task.work) {
             drop(works);
             let handles = work.handles.into_iter().flatten().collect();
-            if let Err(WorkOutcome::Completed(handles)) = work.reply.send(WorkOutcome::Completed(handles)) {
+            if let Err(WorkOutcome::Completed(handles)) =
+                work.reply.send(WorkOutcome::Completed(handles))
+            {
                 self.release(&pool.service, handles);
             }
         }
     }
 
-    /// Takes in that a maker has less room than is known here: another owner's results lie there,
-    /// or results are larger than they were said to be.
-    fn had_no_room(&self, pool: &MakerPool, target: &Target, task: &Task) {
+    /// Records that a worker has less capacity than this owner knows: it holds results of another owner, or results are larger
+    /// than announced.
+    fn record_full_worker(&self, pool: &MakerPool, target: &Target, task: &Task) {
         let Some((_, shape)) = self.service(&pool.service) else {
             return;
         };
-        let mut makers = self.makers.borrow_mut();
-        let Some(maker) = makers.get_mut(target.key) else {
+        let mut workers = self.workers.borrow_mut();
+        let Some(worker) = workers.get_mut(target.key) else {
             return;
         };
-        let known = maker.kept_bytes();
-        if maker.had_no_room(self.now(), &shape) {
+        let kept_bytes = worker.kept_bytes();
+        if worker.had_no_room(self.now(), &shape) {
             let line = LogLine::event("maker_full").with("upstream", &target.instance);
-            let line = line.with("service", &pool.service).with("kept_bytes", known);
+            let line = line.with("service", &pool.service).with("kept_bytes", kept_bytes);
             log::info(line.with("result_bytes", task.result_bytes));
         }
     }
 
-    /// Puts a piece back whose call failed, or fails its work. `was_sent` says whether the
-    /// upstream may have worked on it.
-    fn retry(&self, pool: &MakerPool, mut task: Task, was_sent: bool) {
-        if self.is_made(&task) {
+    /// Queues a piece again whose call failed, or fails its work after [`CALLS_MAX`] calls. `is_counted` says whether the failed
+    /// call counts as one of these.
+    fn retry(&self, pool: &MakerPool, mut task: Task, is_counted: bool) {
+        if self.is_done(&task) {
             return;
         }
-        task.calls += u32::from(was_sent);
+        task.calls += u32::from(is_counted);
         match task.calls < CALLS_MAX {
-            true => self.put_back(pool, task),
-            false => self.end_work(task.work, WorkOutcome::Failed),
+            true => self.requeue(pool, task),
+            false => self.finish_work(task.work, WorkOutcome::Failed),
         }
     }
 
-    pub(super) fn put_back(&self, pool: &MakerPool, task: Task) {
-        if !self.is_made(&task) {
+    pub(super) fn requeue(&self, pool: &MakerPool, task: Task) {
+        if !self.is_done(&task) {
             self.queues.borrow_mut().entry(pool.clone()).or_default().push(task);
         }
     }
 
-    /// Tells whether a piece's result is there, or not needed any more.
-    fn is_made(&self, task: &Task) -> bool {
+    /// Returns whether a piece is completed or its result isn't needed any more.
+    fn is_done(&self, task: &Task) -> bool {
         let works = self.works.borrow();
         let work = works.get(&task.work);
         work.is_none_or(|work| work.handles[task.piece.number as usize].is_some())
     }
 
-    pub(super) fn end_work(&self, work: u64, end: WorkOutcome) {
-        let Some(open) = self.works.borrow_mut().remove(&work) else {
+    pub(super) fn finish_work(&self, work: u64, outcome: WorkOutcome) {
+        let Some(pending) = self.works.borrow_mut().remove(&work) else {
             return;
         };
-        if let Some(queue) = self.queues.borrow_mut().get_mut(&open.pool) {
+        if let Some(queue) = self.queues.borrow_mut().get_mut(&pending.pool) {
             queue.cancel(work);
         }
-        let line = LogLine::event("work_ended").with("service", &open.pool.service);
-        log::info(line.with("outcome", end.name()));
-        self.release(&open.pool.service, open.handles.into_iter().flatten());
-        reply(open.reply, end);
+        let line = LogLine::event("work_ended").with("service", &pending.pool.service);
+        log::info(line.with("outcome", outcome.name()));
+        self.release(&pending.pool.service, pending.handles.into_iter().flatten());
+        send_reply(pending.reply, outcome);
     }
 }
 
-/// Tells whether a piece may go into a further call.
-pub(super) fn has_further_call(task: &Task) -> bool {
+/// Returns whether a piece may go into a further call.
+pub(super) fn may_call_again(task: &Task) -> bool {
     task.calls + 1 < CALLS_MAX
 }
--- a/crates/fernring-gateway/src/rollout/controller.rs
+++ b/crates/fernring-gateway/src/rollout/controller.rs
@@ -6,7 +6,7 @@
 //! only when the version serves more. The later the version serves all requests, the less of the budget is spent if it turns
 //! bad then. So it is advanced as late as the time for requests in flight at the other versions allows.
 //!
-//! Inputs: what nodes counted until their last reports, which are one or two fifths of a second old, and the upstreams that
+//! Inputs: what nodes counted until their last reports, which are one fifth or two fifths of a second old, and the upstreams that
 //! the controller knows.
 
 use {
@@ -159,7 +159,7 @@
     duration: Duration,
     phase: Phase,
     /// Exposure that isn't contained in the counts of the nodes that report.
-    unreported: ExposureSpent,
+    spent_before: ExposureSpent,
     has_all_reports: bool,
     comparison: Comparison,
     compared_at: Duration,
@@ -169,18 +169,19 @@
 
 impl RolloutController {
     /// Creates the controller of an order that must be completed by `deadline_at` and was given `duration` before that.
+    /// `spent_before` is the exposure that a previous controller has written to the store.
     pub fn new(
         budget: ExposureBudget,
         deadline_at: Duration,
         duration: Duration,
-        spent: ExposureSpent,
+        spent_before: ExposureSpent,
     ) -> Self {
         Self {
             budget,
             deadline_at,
             duration,
             phase: Phase::Waiting,
-            unreported: spent,
+            spent_before,
             has_all_reports: false,
             comparison: Comparison::default(),
             compared_at: Duration::ZERO,
@@ -197,8 +198,8 @@
     /// Returns the exposure so far, given what all nodes have counted.
     pub fn spent(&self, counts: &RolloutCounts) -> ExposureSpent {
         ExposureSpent {
-            requests: self.unreported.requests + counts.requests,
-            exposed: self.unreported.exposed + counts.exposed,
+            requests: self.spent_before.requests + counts.requests,
+            exposed: self.spent_before.exposed + counts.exposed,
         }
     }
 
@@ -222,10 +223,10 @@
         if !self.has_all_reports && observed.is_complete {
             self.has_all_reports = true;
             // The nodes report again what they reported to the previous controller, which wrote it to the store.
-            self.unreported.requests =
-                self.unreported.requests.saturating_sub(observed.counts.requests);
-            self.unreported.exposed =
-                self.unreported.exposed.saturating_sub(observed.counts.exposed);
+            self.spent_before.requests =
+                self.spent_before.requests.saturating_sub(observed.counts.requests);
+            self.spent_before.exposed =
+                self.spent_before.exposed.saturating_sub(observed.counts.exposed);
             self.rate_from = (now, observed.counts.requests);
         }
         if now >= self.compared_at + COMPARISON_INTERVAL {
--- a/crates/fernring-gateway/src/rollout/mod.rs
+++ b/crates/fernring-gateway/src/rollout/mod.rs
@@ -7,7 +7,7 @@
 //! written on the condition that nobody else has written since it was read, and a controller that takes over continues from it.
 //!
 //! [`orders`] holds what this node knows of the orders, [`sampler`] chooses the requests for the destination version,
-//! [`counts`] counts requests and responses, [`comparison`] compares the versions, and [`controller`] is the state machine;
+//! [`counts`] counts requests and responses, [`comparison`] compares the two sides, and [`controller`] is the state machine;
 //! none of these does I/O. [`coordinator`] connects them with the store and the peers.
 //!
 //! ```
--- a/crates/fernring-gateway/src/rollout/sampler.rs
+++ b/crates/fernring-gateway/src/rollout/sampler.rs
@@ -7,7 +7,7 @@
 /// Adds up the share until the next request for the destination version is due.
 #[derive(Debug, Clone, Copy)]
 pub struct ShareSampler {
-    /// Credit for the next request to the destination version. Invariant: between 0 and 1 after each request.
+    /// Credit for the next request to the destination version. Invariant: between two requests it lies from 0 to 1.
     credit: f64,
 }
 
