--- a/crates/fernring-gateway/src/owner/calls.rs
+++ b/crates/fernring-gateway/src/owner/calls.rs
@@ -103,13 +103,13 @@
             return (call.await, false);
         }
         let mut call = pin!(call);
-        let overdue_after = overdue_after(shape, tasks.len());
-        if let Ok(result) = timeout(overdue_after, &mut call).await {
+        let overdue_time = overdue_after(shape, tasks.len());
+        if let Ok(result) = timeout(overdue_time, &mut call).await {
             return (result, false);
         }
         let line = LogLine::event("stage_call_overdue").with("service", &pool.service);
         let line = line.with("upstream", &target.instance).with("pieces", tasks.len());
-        log::info(line.with("after_ms", overdue_after.as_millis()));
+        log::info(line.with("after_ms", overdue_time.as_millis()));
         for task in tasks.iter().filter(|task| may_call_again(task)) {
             self.requeue(pool, Task { calls: task.calls + 1, ..task.clone() });
         }
--- a/crates/fernring-gateway/src/owner/mod.rs
+++ b/crates/fernring-gateway/src/owner/mod.rs
@@ -2,7 +2,8 @@
 //!
 //! [`calls`] sends the batches to the workers, [`outcomes`] handles the outcomes of the pieces.
 //!
-//! Each worker gets one call at a time. A piece whose call failed goes into another call, up to [`CALLS_MAX`] calls in all.
+//! Each worker gets one call at a time. A piece whose call failed goes into another call, up to
+//! [`CALLS_MAX`](crate::batching::CALLS_MAX) calls in all.
 //! Pieces may be computed more than once, so further calls don't draw on the retry budget.
 
 mod calls;
--- a/crates/fernring-gateway/src/owner/outcomes.rs
+++ b/crates/fernring-gateway/src/owner/outcomes.rs
@@ -49,7 +49,8 @@
                     .with("error", &failure);
                 log::warn(line);
                 if matches!(failure, CallFailure::Ineligible(Barred::OutsideRegions)) {
-                    // The region of this failure domain has changed since the pieces were submitted: their requester must choose again.
+                    // The region of this failure domain has changed since the pieces were submitted: their requester must
+                    // choose another one.
                     tasks
                         .iter()
                         .for_each(|task| self.finish_work(task.work, WorkOutcome::NoWorkers));
--- a/crates/fernring-gateway/src/rollout/coordinator.rs
+++ b/crates/fernring-gateway/src/rollout/coordinator.rs
@@ -39,15 +39,15 @@
 
 /// Pause between two rounds. In a round a node reports, and controllers decide.
 const ROUND_INTERVAL: Duration = Duration::from_millis(200);
-/// Time for which a node that has stopped reporting still counts as having requests in flight: a network partition may have cut
-/// it off for a moment.
+/// Time for which a node that is no longer live still counts as having requests in flight, since it may be partitioned only for a
+/// moment.
 const SILENT_NODE_GRACE: Duration = Duration::from_secs(5);
 /// Latency that is recorded for a call on pieces that takes exactly as long as expected.
 const NOMINAL_CALL_LATENCY: Duration = Duration::from_millis(100);
 /// Name of the route under which calls on pieces are counted.
 const CALLS_ROUTE: &str = "";
 
-/// What this node counts for one order.
+/// Counts of this node for one order.
 struct OwnCounts {
     at: Position,
     sampler: ShareSampler,
@@ -67,7 +67,7 @@
     at: Position,
     controller: RolloutController,
     reports: HashMap<SocketAddr, NodeReport>,
-    /// What nodes that have restarted since had counted before.
+    /// Counts of nodes from before they restarted.
     before_restarts: RolloutCounts,
     /// Whether the state was read from the store.
     is_state_read: bool,
@@ -101,7 +101,7 @@
     route: Arc<str>,
     is_destination: bool,
     /// Whether the latency counts; that of a cold upstream doesn't.
-    has_latency: bool,
+    counts_latency: bool,
     started_at: Duration,
     outcome: Cell<RecordedOutcome>,
 }
@@ -147,7 +147,7 @@
             return;
         }
         self.outcome.set(outcome);
-        if latency.is_some() && !self.has_latency {
+        if latency.is_some() && !self.counts_latency {
             return;
         }
         self.rollouts.with_own_counts(&self.service, self.at, |own| {
@@ -395,7 +395,7 @@
             at,
             route: route.clone(),
             is_destination,
-            has_latency: !self.upstreams.is_cold(target.key),
+            counts_latency: !self.upstreams.is_cold(target.key),
             started_at: self.now(),
             outcome: Cell::new(RecordedOutcome::Pending),
         })
--- a/crates/fernring-gateway/tests/testsuite/rollouts.rs
+++ b/crates/fernring-gateway/tests/testsuite/rollouts.rs
@@ -1,6 +1,5 @@
 //! Roll-outs on fleets of 1, 9 and 300 nodes, under virtual time. The decisions are made by the controller, the samplers and the
-//! orders alone; nodes report every round, announcements take
-//! time on the way.
+//! orders alone; nodes report every round, and announcements reach them after a delay.
 //!
 //! The bounds that must hold: a bad version gets at most a tenth of the requests between the order and its deadline, plus 50;
 //! it gets nothing later than 5 s after its 50th bad response. A good version is completed before the deadline.
@@ -399,8 +398,8 @@
     }
 }
 
-/// A version that turns bad during its trial still has a part of its budget left. This doesn't cover versions that turn bad after
-/// they were advanced: by then they have received more than the budget.
+/// A version that turns bad during its trial still has a part of its budget left. A version that turns bad after it was advanced has
+/// already received more than that part, so the test doesn't cover it.
 #[test]
 fn version_turning_bad_in_trial_stays_within_budget() {
     for (nodes, rate) in SIZES {
