--- a/crates/fernring-gateway/src/blame/mod.rs
+++ b/crates/fernring-gateway/src/crash_attribution/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! [`crate::endings`] decides whether an upstream has ended, [`crate::suspects`] who is turned away for it.
 
-mod keeping;
+mod persistence;
 
 use {
     crate::{
@@ -65,20 +65,20 @@
 
 /// Says that a request is in hand at an upstream, until it is dropped.
 #[derive(Debug)]
-pub struct Held {
-    blame: Rc<Blame>,
+pub struct InFlightGuard {
+    blame: Rc<CrashAttribution>,
     key: UpstreamKey,
     content: ContentKey,
 }
 
-impl Drop for Held {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.blame.let_go(self.key, self.content);
     }
 }
 
 /// The upstreams that ended, and what ran there.
-pub struct Blame {
+pub struct CrashAttribution {
     clock: Rc<dyn Clock>,
     store: Rc<dyn Store>,
     upstreams: Rc<Upstreams>,
@@ -93,16 +93,16 @@
     probed: Notify,
     /// Told when another request is turned away.
     turned_away: Notify,
-    kept: RefCell<keeping::Kept>,
+    kept: RefCell<persistence::Kept>,
 }
 
-impl std::fmt::Debug for Blame {
+impl std::fmt::Debug for CrashAttribution {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Blame").field("suspects", &self.suspects).finish_non_exhaustive()
     }
 }
 
-impl Blame {
+impl CrashAttribution {
     /// Starts with nothing known.
     pub fn new(
         clock: Rc<dyn Clock>,
@@ -128,7 +128,7 @@
     }
 
     /// Tells whether a request is turned away: asked just before each send.
-    pub fn is_turned_away(&self, content: ContentKey) -> bool {
+    pub fn is_quarantined(&self, content: ContentKey) -> bool {
         self.rules.get().turn_away && self.suspects.borrow().is_turned_away(content)
     }
 
@@ -138,16 +138,16 @@
     }
 
     /// Tells whether any request is turned away.
-    pub fn turns_any_away(&self) -> bool {
+    pub fn has_quarantined(&self) -> bool {
         let suspects = self.suspects.borrow();
         self.rules.get().turn_away && suspects.turned_away().next().is_some()
     }
 
     /// Waits until a request is turned away.
-    pub async fn until_turned_away(&self, content: ContentKey) {
+    pub async fn wait_until_quarantined(&self, content: ContentKey) {
         loop {
             let changed = self.turned_away.notified();
-            if self.is_turned_away(content) {
+            if self.is_quarantined(content) {
                 return;
             }
             changed.await;
@@ -155,8 +155,8 @@
     }
 
     /// Waits while a request is turned away but in doubt: an answer that is being given elsewhere may clear it.
-    pub async fn until_settled(&self, content: ContentKey) {
-        while self.is_turned_away(content)
+    pub async fn wait_until_settled(&self, content: ContentKey) {
+        while self.is_quarantined(content)
             && self.suspects.borrow().is_in_doubt(self.now(), content)
         {
             sleep(DOUBT_LOOK).await;
@@ -165,22 +165,22 @@
 
     /// Returns the final answer for a request that is turned away and has not run.
     pub fn refusal(&self, not_run: NotRun, content: ContentKey) -> Refusal {
-        Refusal::turned_away(not_run, self.reason(content))
+        Refusal::turned_away(not_run, self.quarantine_reason(content))
     }
 
     /// Says under which starts a request was in hand when they ended.
-    pub fn reason(&self, content: ContentKey) -> String {
+    pub fn quarantine_reason(&self, content: ContentKey) -> String {
         format!("upstreams ended under it: {}", names(&self.suspects.borrow().ends_of(content)))
     }
 
     /// Says that a request is in hand at an upstream.
-    pub fn hold(self: &Rc<Self>, target: &Target, content: ContentKey) -> Held {
+    pub fn track_in_flight(self: &Rc<Self>, target: &Target, content: ContentKey) -> InFlightGuard {
         let mut in_hand = self.in_hand.borrow_mut();
         let there = in_hand
             .entry(target.key)
             .or_insert_with(|| InHand { target: target.clone(), contents: BTreeMap::new() });
         *there.contents.entry(content).or_default() += 1;
-        Held { blame: self.clone(), key: target.key, content }
+        InFlightGuard { blame: self.clone(), key: target.key, content }
     }
 
     fn let_go(&self, key: UpstreamKey, content: ContentKey) {
@@ -201,11 +201,11 @@
 
     /// Takes in that a send broke off. `content` is charged if the upstream has ended; a call with pieces of several
     /// requests charges none, since each shows by itself in the calls that follow.
-    pub fn broke(self: &Rc<Self>, target: &Target, how: Break, content: Option<ContentKey>) {
+    pub fn record_broken_send(self: &Rc<Self>, target: &Target, how: Break, content: Option<ContentKey>) {
         if self.upstreams.is_leaving(target.key) {
             return;
         }
-        let (now, run) = (self.now(), target.run());
+        let (now, run) = (self.now(), target.incarnation());
         let ended = self.endings.borrow_mut().broke(now, place(target), &run, how, content);
         self.has_ended(ended);
         self.look(target);
@@ -213,7 +213,7 @@
 
     /// Waits for a word on whether an upstream has ended at which a send broke off; without one in time it counts as
     /// one that lives on.
-    pub async fn has_upstream_ended(&self, key: UpstreamKey) -> bool {
+    pub async fn has_upstream_crashed(&self, key: UpstreamKey) -> bool {
         let verdict = async {
             loop {
                 let probed = self.probed.notified();
@@ -227,7 +227,7 @@
     }
 
     /// Takes in that a request got a whole answer.
-    pub fn answered(self: &Rc<Self>, content: ContentKey) {
+    pub fn record_answer(self: &Rc<Self>, content: ContentKey) {
         let now = self.now();
         if !self.suspects.borrow_mut().answered(content, now) {
             return;
@@ -237,7 +237,7 @@
     }
 
     /// Takes in that upstreams came or went.
-    pub fn upstreams_changed(self: &Rc<Self>, effects: &[Effect]) {
+    pub fn handle_upstream_changes(self: &Rc<Self>, effects: &[Effect]) {
         let now = self.now();
         for effect in effects {
             match effect {
@@ -262,7 +262,7 @@
     }
 
     /// Takes in that another instance than was meant answers at an upstream's address.
-    pub fn replaced(self: &Rc<Self>, key: UpstreamKey) {
+    pub fn handle_replaced(self: &Rc<Self>, key: UpstreamKey) {
         let ended = self.endings.borrow_mut().restarted(self.now(), key);
         self.has_ended(ended);
     }
@@ -276,7 +276,7 @@
         let mut endings = self.endings.borrow_mut();
         if let Some((target, contents)) = &there {
             for content in contents {
-                endings.broke(now, place(target), &target.run(), Break::Silent, Some(*content));
+                endings.broke(now, place(target), &target.incarnation(), Break::Silent, Some(*content));
             }
         }
         let ended = endings.removed(now, key);
@@ -298,7 +298,7 @@
         for pause in PROBE_PAUSES {
             sleep(pause).await;
             let found = probe(target.address).await;
-            let line = LogLine::event("upstream_probed").with("upstream", target.run());
+            let line = LogLine::event("upstream_probed").with("upstream", target.incarnation());
             log::info(line.with("address", target.address).with("found", found.name()));
             let ended = self.endings.borrow_mut().probed(target.key, found);
             self.has_ended(ended);
@@ -336,7 +336,7 @@
         spawn_local(async move {
             sleep(GATHER_TIME).await;
             let (ends, cleared) = std::mem::take(&mut *blame.news.borrow_mut());
-            blame.peers.send_all(blame.reports(ends, cleared));
+            blame.peers.send_to_live_peers(blame.reports(ends, cleared));
         });
     }
 
@@ -357,7 +357,7 @@
 
     /// Takes in what a peer tells of ends and answers, and passes on what is new to those that depend on this node. A peer
     /// that charges what was answered here is told so.
-    pub fn told(&self, sender: SocketAddr, told: EndReports) {
+    pub fn handle_reports(&self, sender: SocketAddr, told: EndReports) {
         let now = self.now();
         let at = |age_ms: u32| now.saturating_sub(Duration::from_millis(age_ms.into()));
         let key = |bytes: &Bytes| ContentKey::from_bytes(bytes);
@@ -386,12 +386,12 @@
             self.peers.send(sender, self.reports(Vec::new(), covering));
         }
         if news != EndReports::default() {
-            self.peers.send_on(GatewayBody::Ends(news));
+            self.peers.send_to_followers(GatewayBody::Ends(news));
         }
     }
 
     /// Tells a peer that has just come all that matters.
-    pub fn joined(&self, peer: SocketAddr) {
+    pub fn handle_peer_joined(&self, peer: SocketAddr) {
         self.tell(peer, TOLD_FIRST);
     }
 
@@ -410,7 +410,7 @@
             for content in self.suspects.borrow_mut().expire(self.now()) {
                 log::info(LogLine::event("suspect_forgotten").with("content", content));
             }
-            if let Some(peer) = self.peers.any_peer() {
+            if let Some(peer) = self.peers.random_peer() {
                 self.tell(peer, TOLD_AGAIN);
             }
             self.keep().await;
@@ -434,7 +434,7 @@
     }
 
     /// Returns the number of requests that are turned away.
-    pub fn turned_away(&self) -> usize {
+    pub fn quarantined_count(&self) -> usize {
         self.suspects.borrow().turned_away().count()
     }
 
--- a/crates/fernring-gateway/src/blame/keeping.rs
+++ b/crates/fernring-gateway/src/crash_attribution/persistence.rs
@@ -1,7 +1,7 @@
 //! What of it is kept in the store: the requests that are turned away, so that nodes that all start at once know them.
 
 use {
-    super::Blame,
+    super::CrashAttribution,
     crate::{
         content::ContentKey,
         endings::Run,
@@ -39,7 +39,7 @@
     format!("{KEY_PREFIX}{content}")
 }
 
-impl Blame {
+impl CrashAttribution {
     /// Writes and removes the records that are this node's to keep: those of which it is the first among the nodes.
     pub(super) async fn keep(&self) {
         let (now, turned_away) = (self.now(), self.all_turned_away());
@@ -82,7 +82,7 @@
     }
 
     /// Takes in that the store has come back from a copy: what was written may be lost, and is written again.
-    pub fn store_came_back(&self) {
+    pub fn handle_store_restored(&self) {
         self.kept.borrow_mut().0.clear();
     }
 
@@ -104,7 +104,7 @@
 
     /// Takes in the records that a starting node finds among those of nodes. Those of before the lifetime of an end
     /// are removed by whom they belong to.
-    pub fn learn(&self, records: &[KeyedRecord]) {
+    pub fn load_records(&self, records: &[KeyedRecord]) {
         for record in records {
             let Some(content) = record.key.strip_prefix(KEY_PREFIX).and_then(ContentKey::parse)
             else {
--- a/crates/fernring-gateway/src/lib.rs
+++ b/crates/fernring-gateway/src/lib.rs
@@ -18,7 +18,7 @@
 //! assert!(!attempts.may_send() && attempts.not_run().is_none());
 //! ```
 
-pub mod blame;
+pub mod crash_attribution;
 pub mod config;
 pub mod connections;
 pub mod decide;
@@ -45,7 +45,7 @@
         flow, limits, makers, pools, reading, residency, rounds, selection, stage_plan, suspects,
         turns_granted,
     },
-    members::{delegates, peers, stillness},
+    members::{delegates, pause_detector, peers},
     serving::{
         alarm, caller_body, content, context, events, exchange, ingress, refusal, relay, serve,
     },
--- a/crates/fernring-gateway/src/members/delegates.rs
+++ b/crates/fernring-gateway/src/members/delegates.rs
@@ -33,37 +33,37 @@
 /// Fewer nodes than this go back to a mesh. The gap keeps a fleet of about [`MESH_MAX`] from going to and fro.
 const MESH_AGAIN: usize = 33;
 /// Delegates of a domain. With three, one is left in five of six cases after the loss of 55 in 100 nodes.
-pub const DELEGATES: usize = 3;
+pub const DELEGATES_PER_DOMAIN: usize = 3;
 /// Over how much time the nodes of a domain that lacks delegates spread their standing in: of 56 nodes a few do
 /// before they hear of each other, and the lowest of these stand down again.
 const STAND_IN_SPREAD: Duration = Duration::from_secs(1);
 /// Pause between heartbeats of a node that is no delegate to the delegates of other domains, which only count it.
-pub const FAR_INTERVAL: Duration = Duration::from_secs(1);
+pub const SLOW_HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 /// Addresses that a node tries in one round that hears no delegate of its domain.
 const TRIED_ADDRESSES: usize = 8;
 
 /// How often a peer hears of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Pace {
+pub enum HeartbeatRate {
     /// Each [`HEARTBEAT_INTERVAL`].
-    Near,
+    Fast,
     /// Each [`FAR_INTERVAL`].
-    Far,
+    Slow,
 }
 
-impl Pace {
+impl HeartbeatRate {
     /// Returns the pause between two heartbeats.
     pub fn interval(self) -> Duration {
         match self {
-            Self::Near => HEARTBEAT_INTERVAL,
-            Self::Far => FAR_INTERVAL,
+            Self::Fast => HEARTBEAT_INTERVAL,
+            Self::Slow => SLOW_HEARTBEAT_INTERVAL,
         }
     }
 }
 
 /// A node's own part.
 #[derive(Debug, Clone)]
-pub struct Role {
+pub struct DelegateRole {
     is_delegate: bool,
     is_mesh: bool,
     /// Since when its domain could do with this node as a delegate.
@@ -72,7 +72,7 @@
     draw: f64,
 }
 
-impl Role {
+impl DelegateRole {
     /// Starts as among few nodes. `draw`, from 0 to 1, spreads the nodes.
     pub fn new(draw: f64) -> Self {
         Self { is_delegate: true, is_mesh: true, wanted_since: None, draw: draw.clamp(0.0, 1.0) }
@@ -91,7 +91,7 @@
     /// Takes in what is known of the members now; tells whether the node's part has changed.
     pub fn update(&mut self, now: Duration, me: &Member, members: &Members) -> bool {
         let before = self.is_delegate;
-        let nodes = members.nodes(now);
+        let nodes = members.node_count(now);
         self.is_mesh = nodes <= if self.is_mesh { MESH_MAX } else { MESH_AGAIN };
         self.is_delegate = self.is_mesh || self.is_needed(now, me, members);
         before != self.is_delegate
@@ -107,11 +107,11 @@
         }
         let above = others.iter().filter(|other| standing(other) > standing(me)).count();
         if self.is_delegate {
-            return above < DELEGATES;
+            return above < DELEGATES_PER_DOMAIN;
         }
         // A larger link takes a delegate's place; a mere hash doesn't, so that parts change seldom.
         let outdoes_one = others.iter().any(|other| other.link_mbps < me.link_mbps);
-        if others.len() >= DELEGATES && !(above < DELEGATES && outdoes_one) {
+        if others.len() >= DELEGATES_PER_DOMAIN && !(above < DELEGATES_PER_DOMAIN && outdoes_one) {
             self.wanted_since = None;
             return false;
         }
@@ -125,7 +125,7 @@
 
     /// Lists the nodes to which this one tells on what it hears: if it is a delegate among many, those of its domain that
     /// hear delegates only. What a node tells all its live peers is thus everywhere in two hops.
-    pub fn dependents(&self, now: Duration, me: &Member, members: &Members) -> Vec<SocketAddr> {
+    pub fn followers(&self, now: Duration, me: &Member, members: &Members) -> Vec<SocketAddr> {
         if self.is_mesh || !self.is_delegate {
             return Vec::new();
         }
@@ -135,43 +135,43 @@
 
     /// Returns how often a peer that was just heard for the first time is to hear of this node (`me`), so that it is told
     /// at once; `None` if neither is a delegate, since they don't follow each other.
-    pub fn answer(&self, me: &Member, is_delegate: bool, failure_domain: &str) -> Option<Pace> {
+    pub fn reply_rate(&self, me: &Member, is_delegate: bool, failure_domain: &str) -> Option<HeartbeatRate> {
         match (self.is_delegate, is_delegate) {
-            (true, _) => Some(Pace::Near),
-            (false, true) if *me.failure_domain == *failure_domain => Some(Pace::Near),
-            (false, true) => Some(Pace::Far),
+            (true, _) => Some(HeartbeatRate::Fast),
+            (false, true) if *me.failure_domain == *failure_domain => Some(HeartbeatRate::Fast),
+            (false, true) => Some(HeartbeatRate::Slow),
             (false, false) => None,
         }
     }
 
     /// Lists whom a heartbeat goes to in a round, and how often each hears of this node. `rounds` counts
     /// [`HEARTBEAT_INTERVAL`]s.
-    pub fn audience(
+    pub fn heartbeat_targets(
         &self,
         now: Duration,
         me: &Member,
         members: &Members,
         rounds: u64,
-    ) -> Vec<(SocketAddr, Pace)> {
+    ) -> Vec<(SocketAddr, HeartbeatRate)> {
         if self.is_delegate {
-            return members.contacts().into_iter().map(|peer| (peer, Pace::Near)).collect();
+            return members.contacts().into_iter().map(|peer| (peer, HeartbeatRate::Fast)).collect();
         }
-        let rounds_far = FAR_INTERVAL.as_millis() as u64 / HEARTBEAT_INTERVAL.as_millis() as u64;
+        let rounds_far = SLOW_HEARTBEAT_INTERVAL.as_millis() as u64 / HEARTBEAT_INTERVAL.as_millis() as u64;
         let mut audience = Vec::new();
         let mut hears_near = false;
         for delegate in members.live(now).filter(|other| other.is_delegate) {
             if delegate.failure_domain == me.failure_domain {
                 hears_near = true;
-                audience.push((delegate.address, Pace::Near));
+                audience.push((delegate.address, HeartbeatRate::Fast));
             } else if rounds.wrapping_add(delegate.hash()).is_multiple_of(rounds_far) {
-                audience.push((delegate.address, Pace::Far));
+                audience.push((delegate.address, HeartbeatRate::Slow));
             }
         }
         if !hears_near {
             let contacts: Vec<_> = members.contacts().into_iter().collect();
             let start = rounds as usize * TRIED_ADDRESSES;
             let tried = (0..contacts.len().min(TRIED_ADDRESSES))
-                .map(|step| (contacts[(start + step) % contacts.len()], Pace::Near));
+                .map(|step| (contacts[(start + step) % contacts.len()], HeartbeatRate::Fast));
             audience.extend(tried);
         }
         audience
--- a/crates/fernring-gateway/src/members/mod.rs
+++ b/crates/fernring-gateway/src/members/mod.rs
@@ -5,7 +5,7 @@
 
 pub mod delegates;
 pub mod peers;
-pub mod stillness;
+pub mod pause_detector;
 
 use {
     std::{
@@ -34,13 +34,13 @@
 
 /// A node's part in reading the store for others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReaderPart {
+pub enum ReaderRole {
     /// It reads for its failure domain, and is the first of those that do.
-    First,
+    Primary,
     /// It reads for its failure domain.
-    OfDomain,
+    Domain,
     /// It hears no other node.
-    Alone,
+    Standalone,
     /// It follows others.
     None,
 }
@@ -61,7 +61,7 @@
     /// What its link carries, in Mbit/s; 0 if that isn't known.
     pub link_mbps: u32,
     /// Live nodes that it knows of, itself included.
-    pub nodes: usize,
+    pub known_nodes: usize,
     /// Pause until its next heartbeat.
     pub interval: Duration,
 }
@@ -76,7 +76,7 @@
             is_draining: false,
             is_delegate: true,
             link_mbps: 0,
-            nodes: 1,
+            known_nodes: 1,
             interval: HEARTBEAT_INTERVAL,
         }
     }
@@ -89,7 +89,7 @@
 
 /// A peer that has fallen silent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Silent {
+pub struct SilentPeer {
     /// Its address.
     pub address: SocketAddr,
     /// Whether it was a delegate of its failure domain.
@@ -129,7 +129,7 @@
 
 impl Members {
     /// Takes in a heartbeat; tells whether the peer was silent before.
-    pub fn heard(&mut self, now: Duration, member: Member) -> bool {
+    pub fn record_heartbeat(&mut self, now: Duration, member: Member) -> bool {
         let address = member.address;
         let hash = self.peers.get(&address).map_or_else(|| member.hash(), |peer| peer.hash);
         let peer = Peer { member, hash, heard_at: now, is_unreachable: false };
@@ -149,11 +149,11 @@
 
     /// Forgets those that were silent for long, and returns those that have just fallen silent
     /// since `before`.
-    pub fn expire(&mut self, before: Duration, now: Duration) -> Vec<Silent> {
+    pub fn expire(&mut self, before: Duration, now: Duration) -> Vec<SilentPeer> {
         self.peers.retain(|_, peer| now < peer.heard_at + FORGET_AFTER);
         self.suggested.retain(|_, until| now < *until);
         let lost = |peer: &Peer| peer.is_live(before) && !peer.is_live(now);
-        let silent = |peer: &Peer| Silent {
+        let silent = |peer: &Peer| SilentPeer {
             address: peer.member.address,
             is_delegate: peer.member.is_delegate,
             silent_for: now.saturating_sub(peer.heard_at),
@@ -162,7 +162,7 @@
     }
 
     /// Takes in that a peer can't be reached: it is silent from now on. Tells whether it was live.
-    pub fn silence(&mut self, now: Duration, address: SocketAddr) -> bool {
+    pub fn mark_unreachable(&mut self, now: Duration, address: SocketAddr) -> bool {
         let Some(peer) = self.peers.get_mut(&address) else {
             return false;
         };
@@ -187,19 +187,19 @@
     }
 
     /// Returns the number of live nodes, this one included: those that are heard here, or more if delegates hear more.
-    pub fn nodes(&self, now: Duration) -> usize {
-        let told = self.live(now).filter(|peer| peer.is_delegate).map(|peer| peer.nodes).max();
-        told.unwrap_or(0).max(self.heard_nodes(now))
+    pub fn node_count(&self, now: Duration) -> usize {
+        let told = self.live(now).filter(|peer| peer.is_delegate).map(|peer| peer.known_nodes).max();
+        told.unwrap_or(0).max(self.reachable_node_count(now))
     }
 
     /// Returns the number of live nodes that are heard here, this one included.
-    pub fn heard_nodes(&self, now: Duration) -> usize {
+    pub fn reachable_node_count(&self, now: Duration) -> usize {
         self.live(now).count() + 1
     }
 
     /// Forgets the peers that are no delegates, but for their addresses, and returns them: a node that is none either
     /// hears no more of them.
-    pub fn unfollow(&mut self, now: Duration) -> Vec<SocketAddr> {
+    pub fn drop_followers(&mut self, now: Duration) -> Vec<SocketAddr> {
         let others = self.peers.iter().filter(|(_, peer)| !peer.member.is_delegate);
         let others: Vec<_> = others.map(|(address, _)| *address).collect();
         self.peers.retain(|_, peer| peer.member.is_delegate);
@@ -214,13 +214,13 @@
     }
 
     /// Tells whether this node (`me`) is the first of its domain's live delegates.
-    pub fn is_first_delegate(&self, now: Duration, me: &Member) -> bool {
+    pub fn is_load_reporter(&self, now: Duration, me: &Member) -> bool {
         let is_near = |other: &Member| other.failure_domain == me.failure_domain;
         self.first_by_rank(now, me, TELLER, is_near) == Some(me.address)
     }
 
     /// Tells whether a failure domain has delegates here, and all of them are silent.
-    pub fn is_silent(&self, now: Duration, failure_domain: &str) -> bool {
+    pub fn is_domain_unreachable(&self, now: Duration, failure_domain: &str) -> bool {
         let is_theirs = |peer: &&Peer| {
             peer.member.is_delegate && *peer.member.failure_domain == *failure_domain
         };
@@ -246,17 +246,17 @@
     }
 
     /// Returns this node's (`me`) part in reading the store for the others.
-    pub fn reader_part(&self, now: Duration, me: &Member) -> ReaderPart {
+    pub fn reader_role(&self, now: Duration, me: &Member) -> ReaderRole {
         if self.live(now).next().is_none() {
-            return ReaderPart::Alone;
+            return ReaderRole::Standalone;
         }
         let first = self.first_by_rank(now, me, READER, |_| true);
         let is_near = |other: &Member| other.failure_domain == me.failure_domain;
         let of_domain = self.first_by_rank(now, me, READER, is_near);
         match (of_domain == Some(me.address), first == Some(me.address)) {
-            (true, true) => ReaderPart::First,
-            (true, false) => ReaderPart::OfDomain,
-            (false, _) => ReaderPart::None,
+            (true, true) => ReaderRole::Primary,
+            (true, false) => ReaderRole::Domain,
+            (false, _) => ReaderRole::None,
         }
     }
 
--- a/crates/fernring-gateway/src/members/stillness.rs
+++ b/crates/fernring-gateway/src/members/pause_detector.rs
@@ -3,7 +3,7 @@
 //! What peers had said before lies in its sockets on waking, and is as old as the pause; nothing in it says so.
 //!
 //! ```
-//! use {fernring_gateway::stillness::Stillness, std::time::Duration};
+//! use {fernring_gateway::pause_detector::Stillness, std::time::Duration};
 //!
 //! let second = Duration::from_secs(1);
 //! let mut stillness = Stillness::new(second);
@@ -27,7 +27,7 @@
 
 /// When this process last ran.
 #[derive(Debug, Clone, Copy)]
-pub struct Stillness {
+pub struct PauseDetector {
     round_at: Duration,
     leftovers_until: Duration,
     woke_at: Duration,
@@ -35,14 +35,14 @@
     has_heard: bool,
 }
 
-impl Stillness {
+impl PauseDetector {
     /// Starts with a process that runs.
     pub fn new(now: Duration) -> Self {
         Self { round_at: now, leftovers_until: Duration::ZERO, woke_at: now, has_heard: false }
     }
 
     /// Takes in that a round begins, several of which do in a second; tells how long the process stood still.
-    pub fn round(&mut self, now: Duration) -> Option<Duration> {
+    pub fn record_round(&mut self, now: Duration) -> Option<Duration> {
         let gap = now.saturating_sub(self.round_at);
         self.round_at = now;
         if gap < STILL_MIN {
@@ -54,19 +54,19 @@
     }
 
     /// Takes in that a peer was heard, by whatever lay in a socket.
-    pub fn heard(&mut self) {
+    pub fn record_heartbeat(&mut self) {
         self.has_heard = true;
     }
 
     /// Tells whether others may have said something meanwhile that binds this process and that it hasn't read yet. What was asked
     /// of it while it stood still lies in its sockets as well, and may be read first.
-    pub fn is_behind(&self, now: Duration) -> bool {
+    pub fn is_catching_up(&self, now: Duration) -> bool {
         let has_just_woken = !self.has_heard && now < self.woke_at + BEHIND_MAX;
         has_just_woken || now >= self.round_at + STILL_MIN
     }
 
     /// Tells whether what comes now may be older than it says.
-    pub fn hears_leftovers(&self, now: Duration) -> bool {
+    pub fn may_receive_stale(&self, now: Duration) -> bool {
         now < self.leftovers_until || now >= self.round_at + STILL_MIN
     }
 }
--- a/crates/fernring-gateway/src/members/peers.rs
+++ b/crates/fernring-gateway/src/members/peers.rs
@@ -3,10 +3,10 @@
 use {
     crate::{
         connections::{CONNECT_TIMEOUT, UNACKNOWLEDGED_MAX, connect},
-        delegates::{Pace, Role},
+        delegates::{HeartbeatRate, DelegateRole},
         log,
-        members::{HEARTBEAT_INTERVAL, Member, Members, ReaderPart},
-        stillness::Stillness,
+        members::{HEARTBEAT_INTERVAL, Member, Members, ReaderRole},
+        pause_detector::PauseDetector,
     },
     bytes::{Buf, Bytes, BytesMut},
     fernring_core::{clock::Clock, text::LogLine},
@@ -56,22 +56,22 @@
 /// What the rest of a node does with messages of peers.
 pub trait PeerHandler {
     /// Takes in a message other than a heartbeat.
-    fn message(&self, sender: SocketAddr, body: GatewayBody);
+    fn handle_message(&self, sender: SocketAddr, body: GatewayBody);
 
     /// Takes in the rest of a heartbeat.
-    fn heartbeat(&self, sender: SocketAddr, heartbeat: &GatewayHeartbeat);
+    fn handle_heartbeat(&self, sender: SocketAddr, heartbeat: &GatewayHeartbeat);
 
     /// Adds what the node says of itself besides who it is, with the loads that are to be told.
-    fn describe(&self, heartbeat: &mut GatewayHeartbeat, loads_of: LoadsOf);
+    fn fill_heartbeat(&self, heartbeat: &mut GatewayHeartbeat, loads_of: LoadsOf);
 
     /// Says that a peer is heard that was silent before.
-    fn joined(&self, peer: SocketAddr);
+    fn handle_peer_joined(&self, peer: SocketAddr);
 
     /// Says that a peer isn't heard from now on, since delegates add up what it says.
-    fn unfollowed(&self, peer: SocketAddr);
+    fn handle_peer_unfollowed(&self, peer: SocketAddr);
 
     /// Says that a peer is silent or unreachable: what it was asked for is to be asked elsewhere.
-    fn lost(&self, peer: SocketAddr);
+    fn handle_peer_lost(&self, peer: SocketAddr);
 }
 
 type Link = mpsc::Sender<Bytes>;
@@ -79,7 +79,7 @@
 /// What heartbeats of one round differ in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct HeartbeatKind {
-    pace: Pace,
+    pace: HeartbeatRate,
     /// Whether the peer hasn't been heard yet.
     is_first: bool,
     loads_of: LoadsOf,
@@ -96,10 +96,10 @@
 /// The other nodes.
 pub struct Peers {
     me: RefCell<Member>,
-    role: RefCell<Role>,
+    role: RefCell<DelegateRole>,
     /// Rounds of heartbeats so far.
     rounds: Cell<u64>,
-    stillness: Cell<Stillness>,
+    stillness: Cell<PauseDetector>,
     members: RefCell<Members>,
     links: RefCell<HashMap<SocketAddr, Link>>,
     handler: RefCell<Option<Rc<dyn PeerHandler>>>,
@@ -111,9 +111,9 @@
     pub fn new(me: Member, clock: Rc<dyn Clock>) -> Self {
         Self {
             me: RefCell::new(me),
-            role: RefCell::new(Role::new(rand::random())),
+            role: RefCell::new(DelegateRole::new(rand::random())),
             rounds: Cell::new(0),
-            stillness: Cell::new(Stillness::new(clock.now().monotonic)),
+            stillness: Cell::new(PauseDetector::new(clock.now().monotonic)),
             members: RefCell::default(),
             links: RefCell::default(),
             handler: RefCell::default(),
@@ -150,7 +150,7 @@
     }
 
     /// Lists the live peers that are heard here.
-    pub fn live(&self) -> Vec<SocketAddr> {
+    pub fn live_peers(&self) -> Vec<SocketAddr> {
         self.members.borrow().live(self.now()).map(|peer| peer.address).collect()
     }
 
@@ -166,21 +166,21 @@
     }
 
     /// Sets what this node's link carries, in Mbit/s.
-    pub fn set_link(&self, link_mbps: u32) {
+    pub fn set_link_mbps(&self, link_mbps: u32) {
         self.me.borrow_mut().link_mbps = link_mbps;
     }
 
     /// Returns the number of live nodes, this one included.
-    pub fn nodes(&self) -> usize {
+    pub fn node_count(&self) -> usize {
         let members = self.members.borrow();
         match self.role.borrow().is_mesh() {
-            true => members.heard_nodes(self.now()),
-            false => members.nodes(self.now()),
+            true => members.reachable_node_count(self.now()),
+            false => members.node_count(self.now()),
         }
     }
 
     /// Returns the number of live peers that are heard here, by failure domain.
-    pub fn heard_by_domain(&self) -> BTreeMap<Arc<str>, usize> {
+    pub fn reachable_by_domain(&self) -> BTreeMap<Arc<str>, usize> {
         let mut counts = BTreeMap::new();
         for peer in self.members.borrow().live(self.now()) {
             *counts.entry(peer.failure_domain.clone()).or_default() += 1;
@@ -194,25 +194,25 @@
     }
 
     /// Tells whether this node is a delegate among many nodes, whose domain depends on what it tells on.
-    pub fn tells_on(&self) -> bool {
+    pub fn has_followers(&self) -> bool {
         let role = self.role.borrow();
         role.is_delegate() && !role.is_mesh()
     }
 
     /// Tells whether peers may have said something that binds this node and that it hasn't read yet.
-    pub fn is_behind(&self) -> bool {
-        self.stillness.get().is_behind(self.now())
+    pub fn is_catching_up(&self) -> bool {
+        self.stillness.get().is_catching_up(self.now())
     }
 
     /// Tells whether all peers of another failure domain are silent.
-    pub fn is_silent(&self, failure_domain: &str) -> bool {
+    pub fn is_domain_unreachable(&self, failure_domain: &str) -> bool {
         let own = *self.me.borrow().failure_domain == *failure_domain;
-        !own && self.members.borrow().is_silent(self.now(), failure_domain)
+        !own && self.members.borrow().is_domain_unreachable(self.now(), failure_domain)
     }
 
     /// Returns this node's part in reading the store for the others.
-    pub fn reader_part(&self) -> ReaderPart {
-        self.members.borrow().reader_part(self.now(), &self.me.borrow())
+    pub fn reader_role(&self) -> ReaderRole {
+        self.members.borrow().reader_role(self.now(), &self.me.borrow())
     }
 
     /// Sends a message. A link that fails reports the peer as lost.
@@ -222,14 +222,14 @@
     }
 
     /// Sends a message to all peers that are heard here: among few nodes all, among many each node's delegates.
-    pub fn send_all(self: &Rc<Self>, body: GatewayBody) {
-        self.send_to(&self.live(), body);
+    pub fn send_to_live_peers(self: &Rc<Self>, body: GatewayBody) {
+        self.send_to(&self.live_peers(), body);
     }
 
     /// Sends a message on to the nodes that depend on this one, if any do.
-    pub fn send_on(self: &Rc<Self>, body: GatewayBody) {
+    pub fn send_to_followers(self: &Rc<Self>, body: GatewayBody) {
         let (role, me) = (self.role.borrow(), self.me.borrow());
-        let dependents = role.dependents(self.now(), &me, &self.members.borrow());
+        let dependents = role.followers(self.now(), &me, &self.members.borrow());
         drop((role, me));
         self.send_to(&dependents, body);
     }
@@ -243,7 +243,7 @@
     }
 
     /// Returns one of the live peers, drawn at random.
-    pub fn any_peer(&self) -> Option<SocketAddr> {
+    pub fn random_peer(&self) -> Option<SocketAddr> {
         let members = self.members.borrow();
         members.live(self.now()).choose(&mut rand::rng()).map(|peer| peer.address)
     }
@@ -293,7 +293,7 @@
     }
 
     fn link_failed(&self, peer: SocketAddr, reason: &str) {
-        let was_live = self.members.borrow_mut().silence(self.now(), peer);
+        let was_live = self.members.borrow_mut().mark_unreachable(self.now(), peer);
         if !was_live {
             return;
         }
@@ -304,7 +304,7 @@
 
     fn lost(&self, peer: SocketAddr) {
         if let Some(handler) = self.handler() {
-            handler.lost(peer);
+            handler.handle_peer_lost(peer);
         }
     }
 
@@ -341,7 +341,7 @@
             log::warn(LogLine::event("peer_frame_malformed").with("sender", frame.sender));
             return;
         };
-        let is_leftover = self.stillness.get().hears_leftovers(self.now());
+        let is_leftover = self.stillness.get().may_receive_stale(self.now());
         match body {
             GatewayBody::Heartbeat(mut heartbeat) => {
                 if is_leftover {
@@ -359,7 +359,7 @@
                     records.age_ms = None;
                 }
                 if let Some(handler) = self.handler() {
-                    handler.message(sender, body);
+                    handler.handle_message(sender, body);
                 }
             }
         }
@@ -377,28 +377,28 @@
             is_draining: heartbeat.is_draining,
             is_delegate: !heartbeat.is_follower,
             link_mbps: heartbeat.link_mbps,
-            nodes: heartbeat.nodes as usize,
+            known_nodes: heartbeat.nodes as usize,
             interval,
         };
-        let is_new = self.members.borrow_mut().heard(self.now(), member);
+        let is_new = self.members.borrow_mut().record_heartbeat(self.now(), member);
         self.suggest(heartbeat.peers.iter().filter_map(|peer| peer.parse().ok()));
         if is_new {
             log::info(LogLine::event("peer_joined").with("peer", sender));
             let is_delegate = !heartbeat.is_follower;
             let domain = &heartbeat.failure_domain;
-            let pace = self.role.borrow().answer(&self.me.borrow(), is_delegate, domain);
+            let pace = self.role.borrow().reply_rate(&self.me.borrow(), is_delegate, domain);
             if let Some(pace) = pace {
                 self.send_heartbeat(&mut Round::default(), sender, pace);
             }
         }
         if let Some(handler) = self.handler() {
             if is_new {
-                handler.joined(sender);
+                handler.handle_peer_joined(sender);
             }
-            handler.heartbeat(sender, heartbeat);
+            handler.handle_heartbeat(sender, heartbeat);
         }
         let mut stillness = self.stillness.get();
-        stillness.heard();
+        stillness.record_heartbeat();
         self.stillness.set(stillness);
     }
 
@@ -427,7 +427,7 @@
 
     fn note_stillness(&self, now: Duration) {
         let mut stillness = self.stillness.get();
-        if let Some(gap) = stillness.round(now) {
+        if let Some(gap) = stillness.record_round(now) {
             log::warn(LogLine::event("stood_still").with("for_ms", gap.as_millis()));
         }
         self.stillness.set(stillness);
@@ -441,12 +441,12 @@
         let members = self.members.borrow();
         let audience = match has_changed && !me.is_delegate {
             // Nobody is to wait for the next heartbeat of a node that is no delegate any more.
-            true => members.contacts().into_iter().map(|peer| (peer, Pace::Far)).collect(),
-            false => self.role.borrow().audience(now, &me, &members, self.rounds.get()),
+            true => members.contacts().into_iter().map(|peer| (peer, HeartbeatRate::Slow)).collect(),
+            false => self.role.borrow().heartbeat_targets(now, &me, &members, self.rounds.get()),
         };
         drop(members);
         let is_due = self.rounds.get().is_multiple_of(DOMAIN_LOADS_ROUNDS);
-        let tells_domain = is_due && self.members.borrow().is_first_delegate(now, &me);
+        let tells_domain = is_due && self.members.borrow().is_load_reporter(now, &me);
         let mut round = Round { tells_domain, ..Round::default() };
         for (peer, pace) in audience {
             self.send_heartbeat(&mut round, peer, pace);
@@ -459,18 +459,18 @@
         let mut me = self.me.borrow_mut();
         let changed = self.role.borrow_mut().update(now, &me, &self.members.borrow());
         me.is_delegate = self.role.borrow().is_delegate();
-        me.nodes = self.members.borrow().heard_nodes(now);
+        me.known_nodes = self.members.borrow().reachable_node_count(now);
         let is_delegate = me.is_delegate;
         drop(me);
         if changed {
             let line = LogLine::event("delegate_changed").with("is_delegate", is_delegate);
-            log::info(line.with("nodes", self.nodes()));
+            log::info(line.with("nodes", self.node_count()));
         }
         if !is_delegate {
-            let unfollowed = self.members.borrow_mut().unfollow(now);
+            let unfollowed = self.members.borrow_mut().drop_followers(now);
             for peer in unfollowed {
                 if let Some(handler) = self.handler() {
-                    handler.unfollowed(peer);
+                    handler.handle_peer_unfollowed(peer);
                 }
             }
         }
@@ -478,7 +478,7 @@
     }
 
     /// Sends a heartbeat; those of one round that say the same are encoded once for all who get them.
-    fn send_heartbeat(self: &Rc<Self>, round: &mut Round, peer: SocketAddr, pace: Pace) {
+    fn send_heartbeat(self: &Rc<Self>, round: &mut Round, peer: SocketAddr, pace: HeartbeatRate) {
         let is_first = !self.members.borrow().is_live(self.now(), peer);
         let loads_of = self.loads_for(peer, pace, round.tells_domain);
         let kind = HeartbeatKind { pace, is_first, loads_of };
@@ -497,9 +497,9 @@
 
     /// Returns whose loads a peer is told of. The first delegate of a domain tells those of the domain to all but the
     /// domain's other delegates, which hear its nodes themselves.
-    fn loads_for(&self, peer: SocketAddr, pace: Pace, tells_domain: bool) -> LoadsOf {
+    fn loads_for(&self, peer: SocketAddr, pace: HeartbeatRate, tells_domain: bool) -> LoadsOf {
         let role = self.role.borrow();
-        if role.is_mesh() || (!role.is_delegate() && pace == Pace::Near) {
+        if role.is_mesh() || (!role.is_delegate() && pace == HeartbeatRate::Fast) {
             return LoadsOf::Sender;
         }
         if !role.is_delegate() {
@@ -529,14 +529,14 @@
                 peers: others.iter().map(|member| member.address.to_string()).collect(),
                 is_follower: !me.is_delegate,
                 link_mbps: me.link_mbps,
-                nodes: me.nodes as u32,
+                nodes: me.known_nodes as u32,
                 interval_ms: kind.pace.interval().as_millis() as u32,
                 loads_of: kind.loads_of.into(),
                 ..GatewayHeartbeat::default()
             }
         };
         if let Some(handler) = self.handler() {
-            handler.describe(&mut heartbeat, kind.loads_of);
+            handler.fill_heartbeat(&mut heartbeat, kind.loads_of);
         }
         heartbeat
     }
--- a/crates/fernring-gateway/src/node.rs
+++ b/crates/fernring-gateway/src/node.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         alarm::Alarm,
-        blame::Blame,
+        crash_attribution::CrashAttribution,
         config::ConfigState,
         context::Serving,
         following::{Following, Reply},
@@ -21,7 +21,7 @@
         settings::{NodeSettings, Settings, load},
         stages::Stages,
         store_loops::{Followed, PeerRecords, StoreLoops},
-        upstreams::{Counters, Upstreams},
+        upstreams::{PermitTransport, Upstreams},
         wire::{Store, Wire},
     },
     anyhow::Context,
@@ -166,7 +166,7 @@
         let peers = Rc::new(Peers::new(me, clock.clone()));
         let retries = Rc::new(Retries::new(settings.retries.allowance(), peers.clone()));
         let rules = Rc::new(Cell::new(settings.decide));
-        let blame = Rc::new(Blame::new(
+        let blame = Rc::new(CrashAttribution::new(
             clock.clone(),
             store.clone(),
             upstreams.clone(),
@@ -250,7 +250,7 @@
             render,
         });
         peers.set_handler(node.clone());
-        node.upstreams.set_counters(Rc::new(PeerCounters(peers)));
+        node.upstreams.set_permit_transport(Rc::new(PeerCounters(peers)));
         node.apply_link();
         node.apply_regions();
         node
@@ -262,7 +262,7 @@
         for what in [Followed::Config, Followed::Upstreams] {
             self.loops.following(what).borrow_mut().set_link(link);
         }
-        self.peers.set_link(self.settings.borrow().node.link_mbps.round() as u32);
+        self.peers.set_link_mbps(self.settings.borrow().node.link_mbps.round() as u32);
     }
 
     /// Sets the region of each failure domain, by the settings.
@@ -302,7 +302,7 @@
 
     /// Returns the number of live nodes that this one knows, itself included.
     pub fn peer_count(&self) -> usize {
-        self.peers.nodes()
+        self.peers.node_count()
     }
 
     /// Returns the version of the configuration in force.
@@ -322,7 +322,7 @@
 
     /// Returns the number of contents that are turned away, since upstreams ended under them.
     pub fn turned_away(&self) -> usize {
-        self.serving.blame.turned_away()
+        self.serving.blame.quarantined_count()
     }
 
     /// Finishes everything in flight, then returns.
@@ -426,22 +426,22 @@
 
     fn render_metrics(&self) -> String {
         let directory = self.upstreams.directory();
-        measures::set_heard(&self.peers.heard_by_domain());
+        measures::set_heard(&self.peers.reachable_by_domain());
         measures::set(Readings {
             config_version: self.config.borrow().version(),
             config_age: self.loops.age(Followed::Config),
-            nodes: self.peers.nodes(),
+            nodes: self.peers.node_count(),
             is_delegate: self.peers.is_delegate(),
             upstreams: directory
                 .iter()
                 .filter(|(key, _)| self.upstreams.may_send(*key).is_ok())
                 .count(),
             in_flight: self.serving.in_flight.get(),
-            turned_away: self.serving.blame.turned_away(),
+            turned_away: self.serving.blame.quarantined_count(),
             caller_connections: self.ingress.open(),
             upstream_connections: self.upstreams.open_connections(),
             cold_upstreams: directory.iter().filter(|(_, u)| u.is_cold(self.serving.now())).count(),
-            limited_upstreams: self.upstreams.limited(),
+            limited_upstreams: self.upstreams.limited_count(),
             evacuated_domains: self.upstreams.evacuations().borrow().in_force(),
             store_answers: self.loops.store_answers.get(),
         });
@@ -567,7 +567,7 @@
 }
 
 impl PeerHandler for Node {
-    fn message(&self, sender: SocketAddr, body: GatewayBody) {
+    fn handle_message(&self, sender: SocketAddr, body: GatewayBody) {
         match body {
             // Taken in by `Peers` itself.
             GatewayBody::Heartbeat(_) => {}
@@ -586,19 +586,19 @@
             GatewayBody::WorkDone(done) => self.stages.done(sender, done),
             GatewayBody::WorkCancel(ticket) => self.stages.cancel(sender, ticket.ticket),
             GatewayBody::Release(release) => self.stages.released(release),
-            GatewayBody::Ends(reports) => self.serving.blame.told(sender, reports),
-            GatewayBody::TurnQuestion(question) => self.upstreams.turn_asked(sender, question),
-            GatewayBody::TurnAnswer(answer) => self.upstreams.turn_answered(answer),
+            GatewayBody::Ends(reports) => self.serving.blame.handle_reports(sender, reports),
+            GatewayBody::TurnQuestion(question) => self.upstreams.handle_permit_request(sender, question),
+            GatewayBody::TurnAnswer(answer) => self.upstreams.handle_permit_response(answer),
             GatewayBody::RolloutReport(report) => self.serving.rollouts.reported(sender, report),
         }
     }
 
-    fn heartbeat(&self, sender: SocketAddr, heartbeat: &GatewayHeartbeat) {
+    fn handle_heartbeat(&self, sender: SocketAddr, heartbeat: &GatewayHeartbeat) {
         let loads = heartbeat.load_upstreams.iter().zip(&heartbeat.load_weights);
         let loads = loads.map(|(upstream, weight)| (*upstream, f64::from(*weight))).collect();
         let now = self.serving.now();
         let is_near = *heartbeat.failure_domain == *self.settings.borrow().node.failure_domain;
-        let tells_on = self.peers.tells_on();
+        let tells_on = self.peers.has_followers();
         // Delegates hear the nodes of their domain themselves.
         let loads_of = match heartbeat.loads_of() {
             LoadsOf::Domain if is_near && tells_on => LoadsOf::Nobody,
@@ -618,7 +618,7 @@
         // What another domain can't reach may well be reachable here.
         if is_near {
             let tells_on = tells_on && heartbeat.is_follower;
-            self.upstreams.peer_found_unreachable(now, &heartbeat.unreachable, tells_on);
+            self.upstreams.apply_peer_unreachable(now, &heartbeat.unreachable, tells_on);
         }
         self.loops.hear_era(heartbeat.store_era);
         let directory_end = Position::new(heartbeat.directory_era, heartbeat.directory_end);
@@ -628,7 +628,7 @@
             self.loops.take_evacuation(failure_domain, word, "peer");
         }
         self.serving.rollouts.told(&heartbeat.rollouts);
-        self.upstreams.told_limits(&heartbeat.limits);
+        self.upstreams.apply_peer_limits(&heartbeat.limits);
         heartbeat.split_services.iter().for_each(|service| self.stages.said_split(*service));
         let known = [
             (Followed::Config, heartbeat.config_version.into(), heartbeat.config_age_ms),
@@ -641,7 +641,7 @@
         }
     }
 
-    fn describe(&self, heartbeat: &mut GatewayHeartbeat, loads_of: LoadsOf) {
+    fn fill_heartbeat(&self, heartbeat: &mut GatewayHeartbeat, loads_of: LoadsOf) {
         heartbeat.config_version = self.config.borrow().version();
         let directory_end = self.upstreams.directory().end();
         (heartbeat.directory_era, heartbeat.directory_end) =
@@ -649,32 +649,32 @@
         heartbeat.store_era = self.loops.store.era();
         heartbeat.config_age_ms = self.age_ms(Followed::Config);
         heartbeat.directory_age_ms = self.age_ms(Followed::Upstreams);
-        heartbeat.unreachable = self.upstreams.unreachable(self.serving.now());
+        heartbeat.unreachable = self.upstreams.unreachable_upstreams(self.serving.now());
         let evacuations = self.upstreams.evacuations().borrow();
         heartbeat.evacuations = evacuations.words().map(evacuation_word).collect();
-        heartbeat.limits = self.upstreams.limits_to_tell();
+        heartbeat.limits = self.upstreams.limits_to_publish();
         heartbeat.rollouts = self.serving.rollouts.words();
         let link = self.settings.borrow().node.link_bytes_per_s();
         heartbeat.split_services = self.stages.to_be_split(link);
         heartbeat.stage_loads = self.stages.described(loads_of);
         let loads = match loads_of {
-            LoadsOf::Sender => self.upstreams.told_loads(),
+            LoadsOf::Sender => self.upstreams.loads_to_report(),
             LoadsOf::Domain => self.upstreams.domain_loads(),
             LoadsOf::Nobody => Vec::new(),
         };
         (heartbeat.load_upstreams, heartbeat.load_weights) = loads.into_iter().unzip();
     }
 
-    fn joined(&self, peer: SocketAddr) {
-        self.serving.blame.joined(peer);
+    fn handle_peer_joined(&self, peer: SocketAddr) {
+        self.serving.blame.handle_peer_joined(peer);
     }
 
-    fn unfollowed(&self, peer: SocketAddr) {
+    fn handle_peer_unfollowed(&self, peer: SocketAddr) {
         self.upstreams.set_peer_loads(peer, Vec::new());
         self.stages.unfollowed(peer);
     }
 
-    fn lost(&self, peer: SocketAddr) {
+    fn handle_peer_lost(&self, peer: SocketAddr) {
         self.upstreams.set_peer_loads(peer, Vec::new());
         self.stages.peer_lost(peer);
     }
@@ -683,25 +683,25 @@
 /// The nodes that count at upstreams that name a limit, found like the owners of services.
 struct PeerCounters(Rc<Peers>);
 
-impl Counters for PeerCounters {
-    fn counter(&self, run: u64) -> Option<SocketAddr> {
+impl PermitTransport for PeerCounters {
+    fn issuer(&self, run: u64) -> Option<SocketAddr> {
         let owner = self.0.owner(&format!("limit {run:016x}"));
         (owner != self.0.address()).then_some(owner)
     }
 
-    fn heard(&self) -> usize {
-        self.0.nodes()
+    fn node_count(&self) -> usize {
+        self.0.node_count()
     }
 
-    fn is_behind(&self) -> bool {
-        self.0.is_behind()
+    fn is_catching_up(&self) -> bool {
+        self.0.is_catching_up()
     }
 
-    fn ask(&self, counter: SocketAddr, question: TurnQuestion) {
+    fn send_request(&self, counter: SocketAddr, question: TurnQuestion) {
         self.0.send(counter, GatewayBody::TurnQuestion(question));
     }
 
-    fn answer(&self, asker: SocketAddr, answer: TurnAnswer) {
+    fn send_response(&self, asker: SocketAddr, answer: TurnAnswer) {
         self.0.send(asker, GatewayBody::TurnAnswer(answer));
     }
 }
--- a/crates/fernring-gateway/src/owner/calls.rs
+++ b/crates/fernring-gateway/src/owner/calls.rs
@@ -14,7 +14,7 @@
         model::{BatchShape, Piece, PieceOutcome, Service, UpstreamKey},
         pools::MakerPool,
         residency::Residency,
-        upstreams::{Sending, Target},
+        upstreams::{UpstreamSend, Target},
     },
     bytes::Bytes,
     fernring_core::text::LogLine,
@@ -85,8 +85,8 @@
         };
         let first = tasks.first().map(|task| task.content);
         let is_alone = tasks.iter().all(|task| Some(task.content) == first);
-        self.blame.broke(target, how, first.filter(|_| is_alone));
-        how == Break::Closed && self.blame.has_upstream_ended(target.key).await
+        self.blame.record_broken_send(target, how, first.filter(|_| is_alone));
+        how == Break::Closed && self.blame.has_upstream_crashed(target.key).await
     }
 
     /// Waits for a call's end; once it is overdue, its pieces are given to another maker as well.
@@ -162,7 +162,7 @@
         let call = self.wire.encode_batch(&pieces);
         self.count_carried(pool, call.body.len());
         let ranks = tasks.iter().map(|task| rank(task.priority));
-        let sending = Sending {
+        let sending = UpstreamSend {
             request: self.request(target, call.path, call.body),
             rank: ranks.min().unwrap_or(0),
             residency: tasks
@@ -176,7 +176,7 @@
             let answer = self.upstreams.send(target, sending).await?;
             let fields = self.wire.decode_answer(answer.head.status, &answer.head.headers);
             if !fields.wrong_instance {
-                self.upstreams.said_limit(target, now, fields.limit);
+                self.upstreams.record_announced_limit(target, now, fields.limit);
             }
             if fields.not_run || fields.wrong_instance {
                 return Err(CallFailure::Refused);
@@ -226,7 +226,7 @@
             return;
         };
         let call = self.wire.encode_release(&handles);
-        let sending = Sending {
+        let sending = UpstreamSend {
             request: self.request(&target, call.path, call.body),
             rank: RANKS - 1,
             // Handles alone go there, and nothing of a request.
--- a/crates/fernring-gateway/src/owner/mod.rs
+++ b/crates/fernring-gateway/src/owner/mod.rs
@@ -14,7 +14,7 @@
         backlog::{Backlog, rank},
         barred::Barred,
         batching::{BatchQueue, Makers, Taker, Task},
-        blame::Blame,
+        crash_attribution::CrashAttribution,
         config::ConfigState,
         content::ContentKey,
         directory::Effect,
@@ -28,7 +28,7 @@
         rounds::{LeftAlone, MakersByDomain},
         selection::Candidate,
         settings::DecideSettings,
-        upstreams::{Upstreams, maker_address},
+        upstreams::{Upstreams, worker_address},
         wire::Wire,
     },
     fernring_core::clock::Clock,
@@ -140,7 +140,7 @@
     /// The other nodes.
     pub peers: Rc<Peers>,
     /// The upstreams that ended, and what ran there.
-    pub blame: Rc<Blame>,
+    pub blame: Rc<CrashAttribution>,
     /// Versions that are rolled out.
     pub rollouts: Rc<Rollouts>,
     /// The mechanisms of the policy that are on.
@@ -154,7 +154,7 @@
     config: Rc<RefCell<ConfigState>>,
     upstreams: Rc<Upstreams>,
     peers: Rc<Peers>,
-    blame: Rc<Blame>,
+    blame: Rc<CrashAttribution>,
     rollouts: Rc<Rollouts>,
     rules: Rc<Cell<DecideSettings>>,
     queues: RefCell<BTreeMap<MakerPool, BatchQueue>>,
@@ -275,7 +275,7 @@
     /// Gives results up: soon, and together with others of the same maker.
     pub fn release(&self, service: &str, handles: impl IntoIterator<Item = Arc<str>>) {
         for handle in handles {
-            let address = maker_address(&handle);
+            let address = worker_address(&handle);
             let directory = self.upstreams.directory();
             let Some(key) = address.and_then(|address| directory.at(service, address)) else {
                 continue;
@@ -313,7 +313,7 @@
 
     /// Takes the results that are to be given up now. Those at upstreams that take no more wait.
     fn due_releases(&self) -> Vec<(UpstreamKey, Vec<Arc<str>>)> {
-        let takes_no_more = |key: &UpstreamKey| self.upstreams.takes_no_release(*key);
+        let takes_no_more = |key: &UpstreamKey| self.upstreams.refuses_release(*key);
         let due = |key: &UpstreamKey, _: &mut Vec<Arc<str>>| !takes_no_more(key);
         self.releases.borrow_mut().extract_if(due).collect()
     }
@@ -437,11 +437,11 @@
 
     /// Drops the pieces of requests that are turned away: no call is to hold one.
     fn drop_turned_away(&self) {
-        if !self.blame.turns_any_away() {
+        if !self.blame.has_quarantined() {
             return;
         }
         let works = self.works.borrow();
-        let is_turned_away = |work: &&u64| self.blame.is_turned_away(works[*work].content);
+        let is_turned_away = |work: &&u64| self.blame.is_quarantined(works[*work].content);
         let turned_away: Vec<_> = works.keys().filter(is_turned_away).copied().collect();
         drop(works);
         for work in turned_away {
@@ -472,7 +472,7 @@
     /// Lists the makers that take work. Others that are merely busy come free soon, so one that is
     /// avoided or cold waits for them.
     fn usable_makers(&self, pool: &MakerPool) -> Vec<UpstreamKey> {
-        let is_silent = |domain: &str| self.peers.is_silent(domain);
+        let is_silent = |domain: &str| self.peers.is_domain_unreachable(domain);
         let anywhere = Residency::default();
         let mut candidates =
             self.upstreams.candidates(self.now(), &pool.service, 0, &anywhere, is_silent);
@@ -501,7 +501,7 @@
             };
             (usable.contains(&key) || waits()).then(|| limit.map_or(1.0, |l| (l * call_s).min(1.0)))
         };
-        if self.upstreams.limited() == 0 {
+        if self.upstreams.limited_count() == 0 {
             return usable.len() as f64;
         }
         directory.of_service(&pool.service).filter_map(|(key, _)| share(key)).sum()
@@ -517,13 +517,13 @@
                 *counts.entry(domain.clone()).or_default() += 1;
             }
         }
-        counts.into_iter().filter(|(domain, _)| !self.peers.is_silent(domain)).collect()
+        counts.into_iter().filter(|(domain, _)| !self.peers.is_domain_unreachable(domain)).collect()
     }
 
     /// Returns the failure domain of the maker of a result, if it is known.
     pub fn domain_of_maker(&self, service: &str, handle: &str) -> Option<Arc<str>> {
         let directory = self.upstreams.directory();
-        let key = directory.at(service, maker_address(handle)?)?;
+        let key = directory.at(service, worker_address(handle)?)?;
         Some(directory.get(key)?.record.failure_domain.clone())
     }
 
--- a/crates/fernring-gateway/src/owner/outcomes.rs
+++ b/crates/fernring-gateway/src/owner/outcomes.rs
@@ -30,16 +30,16 @@
         let goes_on = |task: &Task| was_overdue && has_further_call(task);
         let outcomes = match end {
             Ok(outcomes) => {
-                self.upstreams.succeeded(target.key);
+                self.upstreams.record_success(target.key);
                 outcomes
             }
             Err(failure) => {
                 match &failure {
-                    CallFailure::Refused => self.upstreams.was_full(now, target.key),
+                    CallFailure::Refused => self.upstreams.record_full(now, target.key),
                     CallFailure::Barred(_) => {}
-                    CallFailure::NotSent(_) => self.upstreams.was_unreachable(now, target.key),
+                    CallFailure::NotSent(_) => self.upstreams.record_unreachable(now, target.key),
                     CallFailure::Failed(_) | CallFailure::Broken(_) => {
-                        self.upstreams.failed(now, target.key);
+                        self.upstreams.record_failure(now, target.key);
                     }
                 }
                 let line = LogLine::event("stage_call_failed")
--- a/crates/fernring-gateway/src/retries.rs
+++ b/crates/fernring-gateway/src/retries.rs
@@ -33,7 +33,7 @@
 
     /// Takes extra sends to a service, or none; tells whether it did.
     pub fn take(&self, now: Duration, service: &Arc<str>, count: usize) -> bool {
-        let nodes = self.peers.nodes();
+        let nodes = self.peers.node_count();
         let is_taken = self.budget.borrow_mut().take(now, service, count, nodes);
         if !is_taken {
             measures::budget_spent(service);
--- a/crates/fernring-gateway/src/rollout/shell.rs
+++ b/crates/fernring-gateway/src/rollout/shell.rs
@@ -431,7 +431,7 @@
         let serves_alone = matches!(word.standing, Standing::Running { share, .. } if share >= 1.0);
         // Requests from before the order aren't counted with it.
         let is_idle =
-            serves_alone && !self.upstreams.has_work_at_others(service, &word.order.destination);
+            serves_alone && !self.upstreams.has_load_on_other_versions(service, &word.order.destination);
         self.with_own(service, word.at, |own| {
             let is_drained = is_idle && own.counts.at_others == 0;
             report = Some(rollout_report(service, word.at, &own.counts, is_drained));
@@ -661,11 +661,11 @@
 
     /// Tells whether all live nodes have reported.
     fn is_complete(&self, deciding: &Deciding) -> bool {
-        self.peers.live().iter().all(|peer| deciding.reports.contains_key(peer))
+        self.peers.live_peers().iter().all(|peer| deciding.reports.contains_key(peer))
     }
 
     fn is_drained(&self, now: Duration, deciding: &Deciding) -> bool {
-        let live = self.peers.live();
+        let live = self.peers.live_peers();
         let counts = |address: &SocketAddr, reported: &Reported| {
             live.contains(address) || now < reported.heard_at + SILENT_TIME
         };
--- a/crates/fernring-gateway/src/serving/context.rs
+++ b/crates/fernring-gateway/src/serving/context.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        alarm::Alarm, blame::Blame, config::ConfigState, peers::Peers, reading::ReadingSpeeds,
+        alarm::Alarm, crash_attribution::CrashAttribution, config::ConfigState, peers::Peers, reading::ReadingSpeeds,
         retries::Retries, rollout::shell::Rollouts, settings::DecideSettings, stages::Stages,
         upstreams::Upstreams, wire::Wire,
     },
@@ -39,7 +39,7 @@
     /// Versions that are rolled out.
     pub rollouts: Rc<Rollouts>,
     /// The upstreams that ended, and what ran there.
-    pub blame: Rc<Blame>,
+    pub blame: Rc<CrashAttribution>,
     /// Requests in flight.
     pub in_flight: Cell<isize>,
 }
--- a/crates/fernring-gateway/src/serving/exchange/mod.rs
+++ b/crates/fernring-gateway/src/serving/exchange/mod.rs
@@ -10,7 +10,7 @@
         attempts::Attempts,
         backlog::rank,
         backlogs::Promise,
-        blame::Held,
+        crash_attribution::InFlightGuard,
         come_back::come_back,
         connections::AnswerBody,
         content::ContentKey,
@@ -63,7 +63,7 @@
     /// The upstream.
     target: Target,
     load: LoadGuard,
-    _held: Held,
+    _held: InFlightGuard,
     /// Its part in comparing versions, if its service has an order.
     trial: Option<Trial>,
     /// What a model engine reads before its first event, until that has come.
@@ -342,11 +342,11 @@
     ) -> Refusal {
         let not_run = self.attempts.not_run();
         let content = self.request.content;
-        if self.serving.blame.is_turned_away(content) {
+        if self.serving.blame.is_quarantined(content) {
             return match not_run {
                 Some(not_run) => self.serving.blame.refusal(not_run, content),
                 None => {
-                    let reason = self.serving.blame.reason(content);
+                    let reason = self.serving.blame.quarantine_reason(content);
                     Refusal::may_have_run(ResultCode::StageFailed, reason)
                 }
             };
@@ -368,7 +368,7 @@
         if let Ended::Answered { status } = end
             && status.is_success()
         {
-            self.serving.blame.answered(self.request.content);
+            self.serving.blame.record_answer(self.request.content);
         }
         let took = self.serving.now().saturating_sub(self.arrived_at);
         let first_ms =
--- a/crates/fernring-gateway/src/serving/exchange/sending.rs
+++ b/crates/fernring-gateway/src/serving/exchange/sending.rs
@@ -10,7 +10,7 @@
         refusal::Refusal,
         rollout::orders::Admits,
         selection::{Candidate, PromptNeed, choose, choose_model},
-        upstreams::{Sending, Target},
+        upstreams::{UpstreamSend, Target},
     },
     bytes::Bytes,
     fernring_core::{code::ResultCode, text::LogLine},
@@ -97,7 +97,7 @@
     /// Waits whether a request is turned away, if that is in doubt. Without it harmless requests were refused that had been in hand
     /// at the same three ends as a deadly one in a fleet's first second: 4 in 12 s of 60 requests a second.
     pub(super) async fn settle_doubt(&self) {
-        let settled = self.serving.blame.until_settled(self.request.content);
+        let settled = self.serving.blame.wait_until_settled(self.request.content);
         // Whether it is settled or the time is over, the caller looks again.
         let _is_settled = self.wait_for(None, settled).await;
     }
@@ -108,20 +108,20 @@
         if let Some(trial) = &opened.trial {
             trial.failed();
         }
-        self.serving.upstreams.failed(self.serving.now(), opened.key());
+        self.serving.upstreams.record_failure(self.serving.now(), opened.key());
         self.note_break(&opened.target, why);
     }
 
     fn note_break(&self, target: &Target, why: &BreakOff) {
         if let Some(how) = why.how {
-            self.serving.blame.broke(target, how, Some(self.request.content));
+            self.serving.blame.record_broken_send(target, how, Some(self.request.content));
         }
     }
 
     /// Takes in that an upstream began to answer with a failure of its own, which can't be passed on.
     pub fn answered_with_failure_head(&mut self, opened: &Opened) {
         self.answered_with_failure();
-        self.serving.upstreams.failed(self.serving.now(), opened.key());
+        self.serving.upstreams.record_failure(self.serving.now(), opened.key());
     }
 
     /// Takes in that an upstream answered, though with a failure of its own.
@@ -131,12 +131,12 @@
 
     /// Takes in that an upstream gave a whole answer.
     pub fn succeeded(&self, key: UpstreamKey) {
-        self.serving.upstreams.succeeded(key);
+        self.serving.upstreams.record_success(key);
     }
 
     /// Tells whether another upstream may be asked.
     pub fn may_send(&self) -> bool {
-        let is_turned_away = self.serving.blame.is_turned_away(self.request.content);
+        let is_turned_away = self.serving.blame.is_quarantined(self.request.content);
         self.attempts.may_send() && !is_turned_away && !self.time_left().is_zero()
     }
 
@@ -146,10 +146,10 @@
         if upstreams.is_evacuated(&self.service) {
             return self.give_up(ResultCode::Evacuated, reason);
         }
-        if upstreams.is_outside(&self.service, &self.residency) {
+        if upstreams.is_outside_regions(&self.service, &self.residency) {
             return self.give_up(ResultCode::OutsideRegions, reason);
         }
-        match upstreams.limited_for(&self.service, self.rank()) {
+        match upstreams.limit_retry_after(&self.service, self.rank()) {
             Some(after) => self.give_up_until(ResultCode::Limited, reason, Some(after)),
             None => self.give_up(ResultCode::NoUpstream, reason),
         }
@@ -175,7 +175,7 @@
 
     fn choose_from(&self) -> Option<(Chosen, Vec<Candidate>)> {
         let upstreams = &self.serving.upstreams;
-        let is_silent = |domain: &str| self.serving.peers.is_silent(domain);
+        let is_silent = |domain: &str| self.serving.peers.is_domain_unreachable(domain);
         let untried = |candidate: &Candidate| !self.tried.contains(&candidate.key);
         let rank = self.rank();
         let candidates = upstreams.candidates(
@@ -231,7 +231,7 @@
     fn log_choice(&self, event: &'static str, target: &Target, candidates: &[Candidate]) {
         let chosen = candidates.iter().find(|candidate| candidate.key == target.key);
         let is_home = self.home.as_ref().is_some_and(|home| home.key == target.key);
-        let age = self.serving.upstreams.record_age(self.serving.now());
+        let age = self.serving.upstreams.records_age(self.serving.now());
         let line = LogLine::event(event)
             .with("request", &self.request.id)
             .with("pipeline", &self.route.name)
@@ -239,7 +239,7 @@
             .with("content", self.request.content)
             .with("service", &self.service)
             .with("upstream", &target.instance)
-            .with("record", target.record_at)
+            .with("record", target.record_position)
             .with("records_age_ms", age.as_millis())
             .with("send", self.tried.len() + 1)
             .with("of", candidates.len())
@@ -286,14 +286,14 @@
     }
 
     async fn send(&self, target: &Target, left: Duration) -> Result<Opened, Unanswered> {
-        let load = self.serving.upstreams.load(target.key, self.weight());
-        let sending = Sending {
+        let load = self.serving.upstreams.track_load(target.key, self.weight());
+        let sending = UpstreamSend {
             request: self.upstream_request(target, left),
             rank: self.rank(),
             residency: self.residency.clone(),
             connections_max: self.serving.config.borrow().connections_max(&self.service),
         };
-        let held = self.serving.blame.hold(target, self.request.content);
+        let held = self.serving.blame.track_in_flight(target, self.request.content);
         let is_first = self.tried.len() <= 1;
         let (service, route) = (&self.service, &self.route.name);
         let trial = self.serving.rollouts.began(service, target, route, is_first);
@@ -308,7 +308,7 @@
         let sent = tokio::select! {
             sent = self.wait_for(None, sent) => sent,
             // It hasn't begun to answer there: the upstream may be spared.
-            () = self.serving.blame.until_turned_away(self.request.content) => {
+            () = self.serving.blame.wait_until_quarantined(self.request.content) => {
                 let why = "turned away meanwhile".to_owned();
                 return Err(Unanswered::without_break(SendEnd::Unknown, why));
             }
@@ -358,7 +358,7 @@
         if fields.request_id.as_deref() != Some(&*self.request.id) {
             return Some((SendEnd::Unknown, "the answer is to another request".to_owned()));
         }
-        self.serving.upstreams.said_limit(&opened.target, sent_at, fields.limit);
+        self.serving.upstreams.record_announced_limit(&opened.target, sent_at, fields.limit);
         if fields.not_run {
             return Some((SendEnd::Refused, format!("refused with status {status}")));
         }
@@ -391,16 +391,16 @@
     fn judge(&self, target: &Target, end: SendEnd) {
         let now = self.serving.now();
         match end {
-            SendEnd::Refused => self.serving.upstreams.was_full(now, target.key),
+            SendEnd::Refused => self.serving.upstreams.record_full(now, target.key),
             // It is as well as before.
             SendEnd::Barred => {}
-            SendEnd::NotSent => self.serving.upstreams.was_unreachable(now, target.key),
+            SendEnd::NotSent => self.serving.upstreams.record_unreachable(now, target.key),
             SendEnd::WrongInstance => {
-                self.serving.upstreams.failed(now, target.key);
-                self.serving.blame.replaced(target.key);
+                self.serving.upstreams.record_failure(now, target.key);
+                self.serving.blame.handle_replaced(target.key);
             }
             SendEnd::Unknown => {
-                self.serving.upstreams.failed(now, target.key);
+                self.serving.upstreams.record_failure(now, target.key);
             }
         }
     }
--- a/crates/fernring-gateway/src/serving/exchange/staging.rs
+++ b/crates/fernring-gateway/src/serving/exchange/staging.rs
@@ -29,7 +29,7 @@
     /// If they could not be made in time; the request itself has not run.
     pub async fn make_stages(&mut self) -> Result<(), Refusal> {
         self.settle_doubt().await;
-        if self.serving.blame.is_turned_away(self.request.content) {
+        if self.serving.blame.is_quarantined(self.request.content) {
             return Err(self.give_up(ResultCode::EndsUpstreams, ""));
         }
         if let Some(service) = self.evacuated_service() {
@@ -40,7 +40,7 @@
             let detail = format!("service {service}");
             return Err(self.give_up(ResultCode::OutsideRegions, &detail));
         }
-        if let Some(after) = self.serving.upstreams.limited_for(&self.service, self.rank()) {
+        if let Some(after) = self.serving.upstreams.limit_retry_after(&self.service, self.rank()) {
             return Err(self.give_up_until(ResultCode::Limited, "", Some(after)));
         }
         self.admit()?;
@@ -55,7 +55,7 @@
     /// Returns the first service on the request's way that has no upstreams in the regions where it may be served.
     fn outside_service(&self) -> Option<Arc<str>> {
         let upstreams = &self.serving.upstreams;
-        self.services().find(|service| upstreams.is_outside(service, &self.residency)).cloned()
+        self.services().find(|service| upstreams.is_outside_regions(service, &self.residency)).cloned()
     }
 
     /// Lists the services on the request's way.
--- a/crates/fernring-gateway/src/stages.rs
+++ b/crates/fernring-gateway/src/stages.rs
@@ -114,7 +114,7 @@
             let line = LogLine::event("owner_changed").with("service", pool).with("owner", owner);
             let line = line.with_some("before", before.map(|(before, _)| before));
             let lasted_ms = before.map(|(_, since)| now.saturating_sub(since).as_millis());
-            log::info(line.with_some("lasted_ms", lasted_ms).with("nodes", self.peers.nodes()));
+            log::info(line.with_some("lasted_ms", lasted_ms).with("nodes", self.peers.node_count()));
         }
         owner
     }
@@ -164,7 +164,7 @@
             return Some(whole);
         }
         let mut makers = self.owner.makers_by_domain(service);
-        makers.retain(|(domain, _)| self.upstreams.allows(residency, domain));
+        makers.retain(|(domain, _)| self.upstreams.allows_domain(residency, domain));
         let near = near.filter(|near| makers.iter().any(|(domain, _)| domain == *near)).cloned();
         let failure_domain = near.or_else(|| draw_domain(&makers, request_id));
         if failure_domain.is_none() && residency.is_restricted() {
--- a/crates/fernring-gateway/src/store/following.rs
+++ b/crates/fernring-gateway/src/store/following.rs
@@ -18,7 +18,7 @@
 //! ```
 
 use {
-    crate::{freshness::Freshness, members::ReaderPart},
+    crate::{freshness::Freshness, members::ReaderRole},
     std::time::Duration,
 };
 
@@ -119,8 +119,8 @@
     }
 
     /// Tells whether this node reads the store now.
-    pub fn shall_read(&self, now: Duration, part: ReaderPart) -> bool {
-        let is_served = now < self.served_until && part == ReaderPart::None;
+    pub fn shall_read(&self, now: Duration, part: ReaderRole) -> bool {
+        let is_served = now < self.served_until && part == ReaderRole::None;
         let is_starting = self.freshness.age(now).is_none();
         (is_starting || !is_served) && self.freshness.shall_read(now, part)
     }
@@ -131,7 +131,7 @@
     }
 
     /// Takes in that the store answered a read of this node.
-    pub fn was_read(&mut self, now: Duration, part: ReaderPart) {
+    pub fn was_read(&mut self, now: Duration, part: ReaderRole) {
         self.freshness.was_read(now, part);
     }
 
--- a/crates/fernring-gateway/src/store/freshness.rs
+++ b/crates/fernring-gateway/src/store/freshness.rs
@@ -21,7 +21,7 @@
 //! ```
 
 use {
-    crate::members::ReaderPart,
+    crate::members::ReaderRole,
     std::{ops::Range, time::Duration},
 };
 
@@ -64,8 +64,8 @@
     }
 
     /// Takes in that the store answered a read of this node.
-    pub fn was_read(&mut self, now: Duration, part: ReaderPart) {
-        if part == ReaderPart::None && self.confirmed_at.is_some() && self.is_stale(now) {
+    pub fn was_read(&mut self, now: Duration, part: ReaderRole) {
+        if part == ReaderRole::None && self.confirmed_at.is_some() && self.is_stale(now) {
             self.stand_in_until = now + STAND_IN_TIME;
         }
         self.read_at = Some(now);
@@ -97,10 +97,10 @@
     /// Returns how long a read waits for a record, of what was drawn from [`read_wait`]. The first reader has to say
     /// again that nothing is new before others doubt it: after a pause in which records gathered, a whole wait ended
     /// when what all nodes knew was 1.45 s old, and each of them read by itself for three seconds.
-    pub fn wait_of_read(&self, now: Duration, part: ReaderPart, drawn: Duration) -> Duration {
+    pub fn wait_of_read(&self, now: Duration, part: ReaderRole, drawn: Duration) -> Duration {
         match part {
-            ReaderPart::First => drawn.min(self.sure_for(now)),
-            ReaderPart::OfDomain | ReaderPart::Alone | ReaderPart::None => drawn,
+            ReaderRole::Primary => drawn.min(self.sure_for(now)),
+            ReaderRole::Domain | ReaderRole::Standalone | ReaderRole::None => drawn,
         }
     }
 
@@ -110,17 +110,17 @@
     }
 
     /// Tells whether this node reads the store now.
-    pub fn shall_read(&self, now: Duration, part: ReaderPart) -> bool {
-        part != ReaderPart::None || now < self.stand_in_until || self.is_stale(now)
+    pub fn shall_read(&self, now: Duration, part: ReaderRole) -> bool {
+        part != ReaderRole::None || now < self.stand_in_until || self.is_stale(now)
     }
 }
 
 /// Returns how long a read waits for a record.
-pub fn read_wait(part: ReaderPart) -> Range<Duration> {
+pub fn read_wait(part: ReaderRole) -> Range<Duration> {
     match part {
         // Who stands in for the readers confirms what others know, as the first reader does.
-        ReaderPart::First | ReaderPart::None => FIRST_READ_WAIT,
+        ReaderRole::Primary | ReaderRole::None => FIRST_READ_WAIT,
         // Nobody but this node depends on what a lone one hears.
-        ReaderPart::OfDomain | ReaderPart::Alone => READ_WAIT,
+        ReaderRole::Domain | ReaderRole::Standalone => READ_WAIT,
     }
 }
--- a/crates/fernring-gateway/src/store/store_loops/joining.rs
+++ b/crates/fernring-gateway/src/store/store_loops/joining.rs
@@ -4,7 +4,7 @@
     super::{PAUSE_FIRST, PAUSE_MAX, START_TIME, StoreLoops, spread},
     crate::{
         log,
-        members::ReaderPart,
+        members::ReaderRole,
         wire::{Page, Topic},
     },
     fernring_core::text::LogLine,
@@ -54,11 +54,11 @@
 
     /// Takes in records of nodes; returns how many nodes they name.
     fn take_nodes(&self, page: &Page) -> usize {
-        self.blame.learn(&page.records);
+        self.blame.load_records(&page.records);
         let addresses = page.records.iter().filter(|record| record.value.is_some());
         let addresses: Vec<_> = addresses.filter_map(|record| record.key.parse().ok()).collect();
         let recorded = addresses.len();
-        self.upstreams.nodes_recorded(recorded);
+        self.upstreams.set_recorded_nodes(recorded);
         self.peers.suggest(addresses);
         recorded
     }
@@ -67,7 +67,7 @@
     /// peers.
     async fn read_other_nodes(&self, mut after: Arc<str>) {
         sleep(START_TIME).await;
-        while self.peers.reader_part() != ReaderPart::None {
+        while self.peers.reader_role() != ReaderRole::None {
             match self.store.newest(Topic::Nodes, Some(&after)).await {
                 Ok(newest) => {
                     self.take_nodes(&newest.page);
@@ -95,7 +95,7 @@
                 Ok(()) => {}
                 Err(error) => {
                     self.did_not_answer(Topic::Nodes, &error);
-                    sleep(PAUSE_MAX.max(write_pause(self.peers.nodes()))).await;
+                    sleep(PAUSE_MAX.max(write_pause(self.peers.node_count()))).await;
                 }
             }
         }
@@ -111,7 +111,7 @@
         self.joined_in.set(Some(self.store.era()));
         let line = LogLine::event("store_came_back").with("from_era", before);
         log::warn(line.with("era", self.store.era()));
-        self.blame.store_came_back();
+        self.blame.handle_store_restored();
         let loops = self.clone();
         spawn_local(async move {
             sleep(WRITE_AGAIN_SPREAD.mul_f64(rand::rng().random_range(0.0..1.0))).await;
--- a/crates/fernring-gateway/src/store/store_loops/listing.rs
+++ b/crates/fernring-gateway/src/store/store_loops/listing.rs
@@ -79,7 +79,7 @@
         if records.end <= self.upstreams.directory().end() {
             return;
         }
-        self.upstreams.lapses_known(self.now(), records.lapses_for);
+        self.upstreams.extend_lapse_window(self.now(), records.lapses_for);
         self.apply_upstreams(records.changes, records.end, records.is_whole);
         if let Some(age) = records.age {
             self.known_from_peer(Followed::Upstreams, age);
@@ -103,7 +103,7 @@
 
     pub(super) fn upstreams_changed(&self, effects: &[Effect]) {
         self.log_changes(effects);
-        self.blame.upstreams_changed(effects);
+        self.blame.handle_upstream_changes(effects);
         self.owner.upstreams_changed(effects);
     }
 
--- a/crates/fernring-gateway/src/store/store_loops/mod.rs
+++ b/crates/fernring-gateway/src/store/store_loops/mod.rs
@@ -14,12 +14,12 @@
 use {
     crate::{
         alarm::Alarm,
-        blame::Blame,
+        crash_attribution::CrashAttribution,
         config::ConfigState,
         following::Following,
         freshness::read_wait,
         log, measures,
-        members::ReaderPart,
+        members::ReaderRole,
         owner::Owner,
         peers::Peers,
         position::Position,
@@ -79,7 +79,7 @@
     /// The owner of stages, who wants to know of changes among upstreams.
     pub owner: Rc<Owner>,
     /// What is to be known of upstreams that ended.
-    pub blame: Rc<Blame>,
+    pub blame: Rc<CrashAttribution>,
     /// Versions that operators order to be rolled out.
     pub rollouts: Rc<Rollouts>,
     /// The other nodes.
@@ -207,7 +207,7 @@
                 Err(error) => {
                     self.did_not_answer(topic, &error);
                     sleep(spread(pause)).await;
-                    let is_reader = part != ReaderPart::None;
+                    let is_reader = part != ReaderRole::None;
                     let pause_max = if is_reader { PAUSE_MAX } else { self.stand_in_pause_max() };
                     pause = (pause * 2).min(pause_max);
                 }
@@ -254,7 +254,7 @@
     /// Returns the longest pause of a node that asks the store only because it hears nothing new. All that do so together ask as
     /// often in a large fleet as in a small one.
     fn stand_in_pause_max(&self) -> Duration {
-        STAND_IN_PAUSE_MAX.max(STAND_IN_PAUSE_PER_NODE * self.peers.nodes() as u32)
+        STAND_IN_PAUSE_MAX.max(STAND_IN_PAUSE_PER_NODE * self.peers.node_count() as u32)
     }
 
     /// Returns the position to read on from: peers may have told more than this node has read.
@@ -272,10 +272,10 @@
 
     /// Returns how long the next read waits for a record. After a failure the question is whether
     /// the store is back, and after silence what it holds; these have no time.
-    fn read_wait(&self, what: Followed, part: ReaderPart, has_failed: bool) -> Duration {
+    fn read_wait(&self, what: Followed, part: ReaderRole, has_failed: bool) -> Duration {
         let following = self.following(what).borrow();
         let is_in_doubt = following.freshness().is_in_doubt(self.now());
-        if has_failed || (is_in_doubt && part != ReaderPart::Alone) {
+        if has_failed || (is_in_doubt && part != ReaderRole::Standalone) {
             return Duration::ZERO;
         }
         let drawn = rand::rng().random_range(read_wait(part));
@@ -290,7 +290,7 @@
             let sure_for = self.following(what).borrow().freshness().sure_for(self.now());
             sleep(sure_for.max(SILENCE_CHECK_MIN)).await;
             let is_in_doubt = self.following(what).borrow().freshness().is_in_doubt(self.now());
-            let has_time = wait.is_zero() || self.part() == ReaderPart::Alone;
+            let has_time = wait.is_zero() || self.part() == ReaderRole::Standalone;
             if is_in_doubt && !has_time && !self.store.receives(what.topic()) {
                 return;
             }
@@ -298,10 +298,10 @@
     }
 
     /// Returns this node's part in reading the store for others.
-    fn part(&self) -> ReaderPart {
+    fn part(&self) -> ReaderRole {
         match self.now() >= self.started_at + START_TIME {
-            true => self.peers.reader_part(),
-            false => ReaderPart::None,
+            true => self.peers.reader_role(),
+            false => ReaderRole::None,
         }
     }
 
@@ -316,8 +316,8 @@
     }
 
     /// Says that this node reads a topic, if it does so in place of the readers.
-    fn reads(&self, what: Followed, part: ReaderPart) {
-        if part != ReaderPart::None {
+    fn reads(&self, what: Followed, part: ReaderRole) {
+        if part != ReaderRole::None {
             return;
         }
         let behind = self.following(what).borrow().behind();
@@ -359,7 +359,7 @@
         let is_stale = self.following(what).borrow().freshness().is_stale(self.now());
         if what == Followed::Upstreams && !is_stale {
             self.store_answers.set(true);
-            self.upstreams.records_read(at);
+            self.upstreams.mark_records_read(at);
         }
     }
 
@@ -368,9 +368,9 @@
         if what == Followed::Config {
             return;
         }
-        self.upstreams.records_read(self.now());
+        self.upstreams.mark_records_read(self.now());
         if !self.store_answers.replace(true) {
-            self.upstreams.store_was_out(self.now());
+            self.upstreams.record_store_outage(self.now());
             log::info(LogLine::event("store_regained"));
         }
     }
@@ -391,7 +391,7 @@
             self.alarm.look();
             let effects = self.upstreams.expire(self.now());
             self.upstreams_changed(&effects);
-            self.upstreams.set_nodes(self.peers.nodes());
+            self.upstreams.set_node_count(self.peers.node_count());
             self.note_unheard();
         }
     }
--- a/crates/fernring-gateway/src/upstreams/access.rs
+++ b/crates/fernring-gateway/src/upstreams/access.rs
@@ -43,7 +43,7 @@
 
 impl Upstreams {
     /// Says how many nodes have a record in the store: there may be so many, whether they are heard or not.
-    pub fn nodes_recorded(&self, nodes: usize) {
+    pub fn set_recorded_nodes(&self, nodes: usize) {
         self.cold.borrow_mut().nodes.saw(self.clock.now().monotonic, nodes);
     }
 
@@ -63,12 +63,12 @@
     }
 
     /// Tells whether what may be served in some regions only may be served in a failure domain.
-    pub fn allows(&self, residency: &Residency, failure_domain: &str) -> bool {
+    pub fn allows_domain(&self, residency: &Residency, failure_domain: &str) -> bool {
         !residency.is_restricted() || residency.allows(self.regions().of(failure_domain))
     }
 
     /// Tells whether a service has upstreams that take work, and none of them in regions that are allowed.
-    pub fn is_outside(&self, service: &str, residency: &Residency) -> bool {
+    pub fn is_outside_regions(&self, service: &str, residency: &Residency) -> bool {
         if !residency.is_restricted() {
             return false;
         }
@@ -81,7 +81,7 @@
             .filter(takes_work)
             .map(|(_, upstream)| &upstream.record.failure_domain)
             .peekable();
-        domains.peek().is_some() && !domains.any(|domain| self.allows(residency, domain))
+        domains.peek().is_some() && !domains.any(|domain| self.allows_domain(residency, domain))
     }
 
     /// Tells whether an upstream may be sent something of a request that is restricted to regions.
@@ -92,7 +92,7 @@
     ) -> Result<(), Barred> {
         let directory = self.directory.borrow();
         let upstream = directory.get(key).ok_or(Barred::Gone)?;
-        match self.allows(residency, &upstream.record.failure_domain) {
+        match self.allows_domain(residency, &upstream.record.failure_domain) {
             true => Ok(()),
             false => Err(Barred::OutsideRegions),
         }
--- a/crates/fernring-gateway/src/upstreams/limited.rs
+++ b/crates/fernring-gateway/src/upstreams/announced_limits.rs
@@ -40,21 +40,21 @@
 const TOLD_MAX: usize = 24;
 
 /// Finds and asks the nodes that count for all.
-pub trait Counters {
+pub trait PermitTransport {
     /// Returns the node that counts for a start of an upstream; `None` if it is this one.
-    fn counter(&self, run: u64) -> Option<SocketAddr>;
+    fn issuer(&self, run: u64) -> Option<SocketAddr>;
 
     /// Returns how many nodes are heard, this one included.
-    fn heard(&self) -> usize;
+    fn node_count(&self) -> usize;
 
     /// Tells whether peers may have named a limit that this node hasn't read yet.
-    fn is_behind(&self) -> bool;
+    fn is_catching_up(&self) -> bool;
 
     /// Sends a question.
-    fn ask(&self, counter: SocketAddr, question: TurnQuestion);
+    fn send_request(&self, counter: SocketAddr, question: TurnQuestion);
 
     /// Sends an answer.
-    fn answer(&self, asker: SocketAddr, answer: TurnAnswer);
+    fn send_response(&self, asker: SocketAddr, answer: TurnAnswer);
 }
 
 /// That an upstream takes no more for some time, as this node was told.
@@ -80,7 +80,7 @@
     last_ticket: u64,
     /// Words told so far, for whose turn it is.
     told: usize,
-    counters: Option<Rc<dyn Counters>>,
+    counters: Option<Rc<dyn PermitTransport>>,
 }
 
 impl std::fmt::Debug for Limited {
@@ -115,13 +115,13 @@
 
 impl Upstreams {
     /// Sets who finds and asks the nodes that count; without, this node counts alone.
-    pub fn set_counters(&self, counters: Rc<dyn Counters>) {
+    pub fn set_permit_transport(&self, counters: Rc<dyn PermitTransport>) {
         self.limited.borrow_mut().counters = Some(counters);
     }
 
     /// Takes in what an answer of an upstream says of how much it takes, whose request left at `sent_at`.
-    pub fn said_limit(&self, target: &Target, sent_at: Duration, said: SaidLimit) {
-        let (now, run) = (self.clock.now().monotonic, target.run_id());
+    pub fn record_announced_limit(&self, target: &Target, sent_at: Duration, said: SaidLimit) {
+        let (now, run) = (self.clock.now().monotonic, target.incarnation_id());
         let mut limited = self.limited.borrow_mut();
         if said == SaidLimit::Unreadable {
             // What was known stays.
@@ -138,7 +138,7 @@
     }
 
     /// Takes in what a peer tells of upstreams' limits.
-    pub fn told_limits(&self, words: &[gateway::LimitWord]) {
+    pub fn apply_peer_limits(&self, words: &[gateway::LimitWord]) {
         let now = self.clock.now().monotonic;
         for word in words {
             let at = now.saturating_sub(Duration::from_millis(word.age_ms.into()));
@@ -154,7 +154,7 @@
     }
 
     /// Lists what peers are to be told of upstreams' limits.
-    pub fn limits_to_tell(&self) -> Vec<gateway::LimitWord> {
+    pub fn limits_to_publish(&self) -> Vec<gateway::LimitWord> {
         let now = self.clock.now().monotonic;
         let mut limited = self.limited.borrow_mut();
         let mut runs: Vec<_> = limited.limits.to_tell(now).map(|(run, _)| run).collect();
@@ -167,7 +167,7 @@
     }
 
     /// Returns the number of upstreams that name a limit.
-    pub fn limited(&self) -> usize {
+    pub fn limited_count(&self) -> usize {
         self.limited.borrow().limits.in_force()
     }
 
@@ -188,7 +188,7 @@
     }
 
     /// Tells whether an upstream takes no word of results that are given up now.
-    pub fn takes_no_release(&self, key: UpstreamKey) -> bool {
+    pub fn refuses_release(&self, key: UpstreamKey) -> bool {
         let now = self.clock.now().monotonic;
         let directory = self.directory.borrow();
         directory.get(key).is_some_and(|u| self.takes_no_more(now, &u.record, RANKS - 1))
@@ -196,7 +196,7 @@
 
     /// Returns when requests to a service may be served again of which all upstreams that could take work have said how much
     /// they take, and have no turn left for a rank; `None` if that isn't so.
-    pub fn limited_for(&self, service: &str, rank: usize) -> Option<Duration> {
+    pub fn limit_retry_after(&self, service: &str, rank: usize) -> Option<Duration> {
         let now = self.clock.now().monotonic;
         let directory = self.directory.borrow();
         let limited = self.limited.borrow();
@@ -222,7 +222,7 @@
         target: &Target,
         rank: usize,
     ) -> Result<(), Barred> {
-        let run = target.run_id();
+        let run = target.incarnation_id();
         self.catch_up(run).await;
         let now = self.clock.now().monotonic;
         let counters = {
@@ -235,7 +235,7 @@
             }
             limited.counters.clone()
         };
-        let elsewhere = counters.as_ref().and_then(|c| Some((c, c.counter(run)?)));
+        let elsewhere = counters.as_ref().and_then(|c| Some((c, c.issuer(run)?)));
         let asked = match elsewhere {
             None => self.grant(run, rank),
             Some((counters, counter)) => self.ask(&**counters, counter, run, rank).await,
@@ -261,13 +261,13 @@
 
     fn may_lack_limit(&self, run: u64) -> bool {
         let limited = self.limited.borrow();
-        let is_behind = || limited.counters.as_ref().is_some_and(|counters| counters.is_behind());
+        let is_behind = || limited.counters.as_ref().is_some_and(|counters| counters.is_catching_up());
         limited.limits.of(run).is_none() && is_behind()
     }
 
     async fn ask(
         &self,
-        counters: &dyn Counters,
+        counters: &dyn PermitTransport,
         counter: SocketAddr,
         run: u64,
         rank: usize,
@@ -282,7 +282,7 @@
             limited.pending.insert(ticket, sender);
             TurnQuestion { ticket, word: limited.message(now, run), rank: rank as u32 }
         };
-        counters.ask(counter, question);
+        counters.send_request(counter, question);
         let Ok(Ok(answer)) = timeout(ANSWER_WAIT, receiver).await else {
             log::info(LogLine::event("turn_unanswered").with("counter", counter));
             return Err(Denied {
@@ -290,7 +290,7 @@
                 drained_after: UNANSWERED_PAUSE,
             });
         };
-        self.told_limits(&[answer.word]);
+        self.apply_peer_limits(&[answer.word]);
         match answer.is_granted {
             true => Ok(()),
             false => Err(Denied {
@@ -315,7 +315,7 @@
             let left = started_at + START_TIME - now;
             return Err(Denied { ask_again_after: left, drained_after: left });
         }
-        let heard = limited.counters.as_ref().map_or(1, |counters| counters.heard());
+        let heard = limited.counters.as_ref().map_or(1, |counters| counters.node_count());
         let part = part_of(heard, most);
         let grants =
             limited.grants.entry(run).or_insert_with(|| Grants::new(now, part, rand::random()));
@@ -323,8 +323,8 @@
     }
 
     /// Takes in a peer's question, and answers it.
-    pub fn turn_asked(&self, asker: SocketAddr, question: TurnQuestion) {
-        self.told_limits(&[question.word]);
+    pub fn handle_permit_request(&self, asker: SocketAddr, question: TurnQuestion) {
+        self.apply_peer_limits(&[question.word]);
         let run = question.word.run;
         let granted = self.grant(run, question.rank as usize);
         let denied = granted.err();
@@ -338,12 +338,12 @@
             drained_ms: denied.map_or(0, |denied| ms(denied.drained_after)),
         };
         if let Some(counters) = &limited.counters {
-            counters.answer(asker, answer);
+            counters.send_response(asker, answer);
         }
     }
 
     /// Takes in the answer to a question.
-    pub fn turn_answered(&self, answer: TurnAnswer) {
+    pub fn handle_permit_response(&self, answer: TurnAnswer) {
         let waiting = self.limited.borrow_mut().pending.remove(&answer.ticket);
         // Whoever asked may have left meanwhile; the turn is lost then.
         let _unused = waiting.map(|waiting| waiting.send(answer));
--- a/crates/fernring-gateway/src/upstreams/health.rs
+++ b/crates/fernring-gateway/src/upstreams/health.rs
@@ -27,7 +27,7 @@
 impl Upstreams {
     /// Takes in that an upstream failed, so that none of its idle connections is trusted any more; tells how
     /// long it is avoided now.
-    pub fn failed(&self, now: Duration, key: UpstreamKey) -> Duration {
+    pub fn record_failure(&self, now: Duration, key: UpstreamKey) -> Duration {
         if let Some(pool) = self.pools.borrow().get(key) {
             pool.forget_idle();
         }
@@ -43,8 +43,8 @@
     }
 
     /// Takes in that an upstream took no connection.
-    pub fn was_unreachable(&self, now: Duration, key: UpstreamKey) {
-        self.failed(now, key);
+    pub fn record_unreachable(&self, now: Duration, key: UpstreamKey) {
+        self.record_failure(now, key);
         if let Some(health) = self.health.borrow_mut().get_mut(key) {
             let until = now + AVOID_UNREACHABLE;
             health.avoid_until = health.avoid_until.max(until);
@@ -53,7 +53,7 @@
     }
 
     /// Lists the upstreams that took no connection of late, by their short hashes.
-    pub fn unreachable(&self, now: Duration) -> Vec<u32> {
+    pub fn unreachable_upstreams(&self, now: Duration) -> Vec<u32> {
         let directory = self.directory.borrow();
         let health = self.health.borrow();
         let until = |health: &Health| health.unreachable_until.max(health.told_on_until);
@@ -64,7 +64,7 @@
 
     /// Takes in the upstreams that took no connection of a peer in the same failure domain. `tells_on` says whether
     /// others don't hear that peer and depend on this node.
-    pub fn peer_found_unreachable(&self, now: Duration, upstreams: &[u32], tells_on: bool) {
+    pub fn apply_peer_unreachable(&self, now: Duration, upstreams: &[u32], tells_on: bool) {
         if upstreams.is_empty() {
             return;
         }
@@ -83,7 +83,7 @@
     }
 
     /// Takes in that an upstream is full.
-    pub fn was_full(&self, now: Duration, key: UpstreamKey) {
+    pub fn record_full(&self, now: Duration, key: UpstreamKey) {
         if let Some(entry) = self.health.borrow_mut().entry(key) {
             let entry = entry.or_default();
             entry.avoid_until = entry.avoid_until.max(now + AVOID_FULL);
@@ -91,7 +91,7 @@
     }
 
     /// Takes in that an upstream answered as it should.
-    pub fn succeeded(&self, key: UpstreamKey) {
+    pub fn record_success(&self, key: UpstreamKey) {
         if let Some(entry) = self.health.borrow_mut().get_mut(key) {
             *entry = Health::default();
         }
--- a/crates/fernring-gateway/src/upstreams/loads.rs
+++ b/crates/fernring-gateway/src/upstreams/loads.rs
@@ -87,7 +87,7 @@
 
 impl Upstreams {
     /// Counts work on an upstream until the guard is dropped.
-    pub fn load(self: &Rc<Self>, key: UpstreamKey, weight: f64) -> LoadGuard {
+    pub fn track_load(self: &Rc<Self>, key: UpstreamKey, weight: f64) -> LoadGuard {
         if let Some(entry) = self.own_loads.borrow_mut().entry(key) {
             *entry.or_default() += weight;
         }
@@ -95,7 +95,7 @@
     }
 
     /// Lists the work of this node on upstreams for its domain's delegates, by the hashes of their starts.
-    pub fn told_loads(&self) -> Vec<(u32, u32)> {
+    pub fn loads_to_report(&self) -> Vec<(u32, u32)> {
         let loads = self.own_loads();
         let told = loads.iter().map(|(upstream, load)| (*upstream, f64::from(*load)));
         self.peer_loads.borrow_mut().told = told.collect();
--- a/crates/fernring-gateway/src/upstreams/mod.rs
+++ b/crates/fernring-gateway/src/upstreams/mod.rs
@@ -5,15 +5,15 @@
 
 mod access;
 mod health;
-mod limited;
+mod announced_limits;
 mod loads;
 mod versions;
 
-pub use {limited::Counters, loads::LoadGuard};
+pub use {announced_limits::PermitTransport, loads::LoadGuard};
 
 use {
     self::{
-        access::Cold, health::Health, limited::Limited, loads::PeerLoads, versions::VersionRules,
+        access::Cold, health::Health, announced_limits::Limited, loads::PeerLoads, versions::VersionRules,
     },
     crate::{
         cold::MostNodes,
@@ -49,18 +49,18 @@
 const CONNECTIONS_PART: f64 = 0.7;
 
 /// Returns the address of the maker of a result, which its handle begins with.
-pub fn maker_address(handle: &str) -> Option<SocketAddr> {
+pub fn worker_address(handle: &str) -> Option<SocketAddr> {
     handle.split('/').next()?.parse().ok()
 }
 
 impl Target {
     /// Returns a hash of the start that is meant, like [`crate::model::UpstreamRecord::run_id`].
-    pub fn run_id(&self) -> u64 {
+    pub fn incarnation_id(&self) -> u64 {
         run_id(&self.instance, self.started_ms)
     }
 
     /// Returns the start that is meant.
-    pub fn run(&self) -> Run {
+    pub fn incarnation(&self) -> Run {
         Run { instance: self.instance.clone(), started_ms: self.started_ms }
     }
 }
@@ -101,7 +101,7 @@
 
 /// Something new for an upstream.
 #[derive(Debug)]
-pub struct Sending {
+pub struct UpstreamSend {
     /// The request.
     pub request: Request<Full<Bytes>>,
     /// Its rank, as an index; 0 goes first.
@@ -128,7 +128,7 @@
     /// Version of its software.
     pub version: Arc<str>,
     /// Position of its record in the store.
-    pub record_at: Position,
+    pub record_position: Position,
 }
 
 impl Upstreams {
@@ -167,18 +167,18 @@
     }
 
     /// Says how many nodes share the upstreams.
-    pub fn set_nodes(&self, nodes: usize) {
+    pub fn set_node_count(&self, nodes: usize) {
         self.nodes.set(nodes.max(1));
         self.cold.borrow_mut().nodes.saw(self.clock.now().monotonic, nodes);
     }
 
     /// Says that records were read from the store.
-    pub fn records_read(&self, now: Duration) {
+    pub fn mark_records_read(&self, now: Duration) {
         self.read_at.set(now.max(self.read_at.get()));
     }
 
     /// Returns the time since records were last read from the store.
-    pub fn record_age(&self, now: Duration) -> Duration {
+    pub fn records_age(&self, now: Duration) -> Duration {
         now.saturating_sub(self.read_at.get())
     }
 
@@ -218,12 +218,12 @@
     }
 
     /// Says that removals may be lapses for some time, as a peer has found.
-    pub fn lapses_known(&self, now: Duration, time: Duration) {
+    pub fn extend_lapse_window(&self, now: Duration, time: Duration) {
         self.directory.borrow_mut().lapses_known(now, time);
     }
 
     /// Says that the store did not answer until now.
-    pub fn store_was_out(&self, now: Duration) {
+    pub fn record_store_outage(&self, now: Duration) {
         self.directory.borrow_mut().store_was_out(now);
     }
 
@@ -284,7 +284,7 @@
         let mut is_silent = for_each_domain(is_silent);
         let candidate = |(key, upstream): (UpstreamKey, &Upstream)| {
             let record = &upstream.record;
-            if !self.allows(residency, &record.failure_domain) {
+            if !self.allows_domain(residency, &record.failure_domain) {
                 return None;
             }
             let cold = self.may_send_to(key, upstream, cold_start).ok()?;
@@ -319,7 +319,7 @@
             address: record.address,
             failure_domain: record.failure_domain.clone(),
             version: record.version.clone(),
-            record_at: upstream.at,
+            record_position: upstream.at,
         })
     }
 
@@ -333,7 +333,7 @@
     pub fn domain_of(&self, handles: &[Arc<str>]) -> Option<Arc<str>> {
         let directory = self.directory.borrow();
         let mut counts: HashMap<Arc<str>, usize> = HashMap::new();
-        for address in handles.iter().filter_map(|handle| maker_address(handle)) {
+        for address in handles.iter().filter_map(|handle| worker_address(handle)) {
             if let Some((_, upstream)) = directory.at_address(address).next() {
                 *counts.entry(upstream.record.failure_domain.clone()).or_default() += 1;
             }
@@ -345,8 +345,8 @@
     ///
     /// # Errors
     /// If no answer came.
-    pub async fn send(&self, target: &Target, sending: Sending) -> Result<Answer, SendFailure> {
-        let Sending { request, rank, residency, connections_max } = sending;
+    pub async fn send(&self, target: &Target, sending: UpstreamSend) -> Result<Answer, SendFailure> {
+        let UpstreamSend { request, rank, residency, connections_max } = sending;
         let pool = self.pool(target)?;
         let has_turn = Cell::new(false);
         let check = async || {
@@ -371,9 +371,9 @@
     pub async fn send_release(
         &self,
         target: &Target,
-        sending: Sending,
+        sending: UpstreamSend,
     ) -> Result<Answer, SendFailure> {
-        let Sending { request, rank, connections_max, .. } = sending;
+        let UpstreamSend { request, rank, connections_max, .. } = sending;
         let has_turn = Cell::new(false);
         let check = async || {
             if !has_turn.get() {
--- a/crates/fernring-gateway/src/upstreams/versions.rs
+++ b/crates/fernring-gateway/src/upstreams/versions.rs
@@ -55,7 +55,7 @@
     }
 
     /// Tells whether this node has a request in hand at an upstream of a service that runs another version.
-    pub fn has_work_at_others(&self, service: &str, version: &str) -> bool {
+    pub fn has_load_on_other_versions(&self, service: &str, version: &str) -> bool {
         let directory = self.directory.borrow();
         let loads = self.own_loads.borrow();
         let mut others =
--- a/crates/fernring-gateway/tests/testsuite/delegates.rs
+++ b/crates/fernring-gateway/tests/testsuite/delegates.rs
@@ -3,8 +3,8 @@
 
 use {
     fernring_gateway::{
-        delegates::{DELEGATES, MESH_MAX, Pace, Role},
-        members::{HEARTBEAT_INTERVAL, Member, Members, ReaderPart, SILENCE_MAX},
+        delegates::{DELEGATES_PER_DOMAIN, MESH_MAX, HeartbeatRate, DelegateRole},
+        members::{HEARTBEAT_INTERVAL, Member, Members, ReaderRole, SILENCE_MAX},
     },
     rand::{RngExt, SeedableRng, rngs::StdRng, seq::IteratorRandom},
     std::{
@@ -45,7 +45,7 @@
 
 struct Node {
     me: Member,
-    role: Role,
+    role: DelegateRole,
     members: Members,
     rounds: u64,
     before: Duration,
@@ -99,7 +99,7 @@
             members.suggest(Duration::ZERO, (0..node).map(address));
             Node {
                 me: Member { link_mbps, ..Member::new(address(node), domain(node).into()) },
-                role: Role::new(random.random()),
+                role: DelegateRole::new(random.random()),
                 members,
                 rounds: 0,
                 before: Duration::ZERO,
@@ -162,13 +162,13 @@
         (this.before, this.rounds) = (now, this.rounds + 1);
         let has_changed = this.role.update(now, &this.me, &this.members);
         this.me.is_delegate = this.role.is_delegate();
-        this.me.nodes = this.members.heard_nodes(now);
+        this.me.known_nodes = this.members.reachable_node_count(now);
         if !this.me.is_delegate {
-            this.members.unfollow(now);
+            this.members.drop_followers(now);
         }
         let audience = match has_changed && !this.me.is_delegate {
-            true => this.members.contacts().into_iter().map(|peer| (peer, Pace::Far)).collect(),
-            false => this.role.audience(now, &this.me, &this.members, this.rounds),
+            true => this.members.contacts().into_iter().map(|peer| (peer, HeartbeatRate::Slow)).collect(),
+            false => this.role.heartbeat_targets(now, &this.me, &this.members, this.rounds),
         };
         for (peer, pace) in audience {
             self.send(node, number(peer), pace);
@@ -181,7 +181,7 @@
         is_cut(from) == is_cut(to)
     }
 
-    fn send(&mut self, from: usize, to: usize, pace: Pace) {
+    fn send(&mut self, from: usize, to: usize, pace: HeartbeatRate) {
         let (now, count) = (self.now, self.nodes.len());
         self.nodes[from].frames += 1;
         if to >= count || !self.reaches(from, to) {
@@ -192,7 +192,7 @@
         let frame = Frame {
             is_delegate: sender.me.is_delegate,
             link_mbps: sender.me.link_mbps,
-            nodes: sender.me.nodes,
+            nodes: sender.me.known_nodes,
             interval: pace.interval(),
             named: named.sample(&mut self.random, 4),
             tells: sender.knows,
@@ -222,18 +222,18 @@
         let member = Member {
             is_delegate: frame.is_delegate,
             link_mbps: frame.link_mbps,
-            nodes: frame.nodes,
+            known_nodes: frame.nodes,
             interval: frame.interval,
             ..Member::new(address(from), domain(from).into())
         };
-        let is_new = hearer.members.heard(now, member);
+        let is_new = hearer.members.record_heartbeat(now, member);
         hearer.knows |= frame.tells;
         let others = frame.named.iter().filter(|other| **other != to);
         hearer.members.suggest(now, others.map(|other| address(*other)));
         if !is_new {
             return;
         }
-        if let Some(pace) = hearer.role.answer(&hearer.me, frame.is_delegate, domain(from)) {
+        if let Some(pace) = hearer.role.reply_rate(&hearer.me, frame.is_delegate, domain(from)) {
             self.send(to, from, pace);
         }
     }
@@ -279,7 +279,7 @@
 fn among_few_nodes_all_are_delegates() {
     let fleet = Fleet::settled(1, 40);
     assert!(fleet.nodes.iter().all(|node| node.me.is_delegate && node.role.is_mesh()));
-    assert!(fleet.nodes.iter().all(|node| node.members.heard_nodes(fleet.now) == 40));
+    assert!(fleet.nodes.iter().all(|node| node.members.reachable_node_count(fleet.now) == 40));
 }
 
 #[test]
@@ -288,13 +288,13 @@
         let mut fleet = Fleet::settled(seed, count);
         for domain in DOMAINS {
             let delegates = fleet.delegates(domain);
-            assert_eq!(delegates.len(), DELEGATES, "{domain} of {count}");
+            assert_eq!(delegates.len(), DELEGATES_PER_DOMAIN, "{domain} of {count}");
             assert!(delegates.iter().all(|node| fleet.nodes[*node].me.link_mbps == 200));
         }
-        assert!(fleet.nodes.iter().all(|node| node.members.nodes(fleet.now) == count));
+        assert!(fleet.nodes.iter().all(|node| node.members.node_count(fleet.now) == count));
         assert!(fleet.until_agreed().is_zero());
-        let first = fleet.nodes.iter().map(|node| node.members.reader_part(fleet.now, &node.me));
-        assert_eq!(first.filter(|part| *part == ReaderPart::First).count(), 1);
+        let first = fleet.nodes.iter().map(|node| node.members.reader_role(fleet.now, &node.me));
+        assert_eq!(first.filter(|part| *part == ReaderRole::Primary).count(), 1);
     }
 }
 
@@ -342,9 +342,9 @@
         fleet.run_for(SILENCE_MAX + SECOND);
         let delegates = fleet.delegates("b");
         assert!(!delegates.is_empty());
-        assert!(fleet.up().all(|node| !node.members.is_silent(fleet.now, "b")));
+        assert!(fleet.up().all(|node| !node.members.is_domain_unreachable(fleet.now, "b")));
         fleet.run_for(SECOND * 3);
-        assert_eq!(fleet.delegates("b").len(), DELEGATES);
+        assert_eq!(fleet.delegates("b").len(), DELEGATES_PER_DOMAIN);
         assert!(fleet.until_agreed().is_zero());
     }
 }
@@ -362,7 +362,7 @@
         assert!(took <= SECOND * 3, "{took:?}");
         fleet.run_for(SECOND * 6);
         let there = fleet.up().count();
-        let seen: BTreeSet<_> = fleet.up().map(|node| node.members.nodes(fleet.now)).collect();
+        let seen: BTreeSet<_> = fleet.up().map(|node| node.members.node_count(fleet.now)).collect();
         assert_eq!(seen, BTreeSet::from([there]));
     }
 }
@@ -374,7 +374,7 @@
     fleet.run_for(SILENCE_MAX + HEARTBEAT_INTERVAL * 2);
     let (inside, outside): (Vec<_>, Vec<_>) =
         fleet.up().partition(|node| *node.me.failure_domain == *"c");
-    assert!(outside.iter().all(|node| node.members.is_silent(fleet.now, "c")));
+    assert!(outside.iter().all(|node| node.members.is_domain_unreachable(fleet.now, "c")));
     for service in SERVICES {
         let owners = fleet.owners(inside.iter().copied(), service);
         assert!(owners.len() == 1 && owners.iter().all(|owner| domain(*owner) == "c"));
@@ -385,7 +385,7 @@
     fleet.cut = None;
     let took = fleet.until_agreed();
     assert!(took <= SECOND * 2, "{took:?}");
-    assert!(fleet.up().all(|node| !node.members.is_silent(fleet.now, "c")));
+    assert!(fleet.up().all(|node| !node.members.is_domain_unreachable(fleet.now, "c")));
 }
 
 #[test]
@@ -415,7 +415,7 @@
     let me = fleet.nodes[node].me.clone();
     fleet.nodes[node].members = Members::default();
     fleet.nodes[node].members.suggest(fleet.now, (0..299).map(address));
-    fleet.nodes[node].role = Role::new(0.5);
+    fleet.nodes[node].role = DelegateRole::new(0.5);
     fleet.nodes[node].me = Member { is_delegate: true, ..me };
     fleet.run_for(SECOND * 2);
     assert!(!fleet.nodes[node].me.is_delegate && !fleet.nodes[node].role.is_mesh());
@@ -434,7 +434,7 @@
         reached.insert(from);
         for hearer in heard.iter().filter(|hearer| self.nodes[**hearer].is_up) {
             let node = &self.nodes[*hearer];
-            let on = node.role.dependents(now, &node.me, &node.members);
+            let on = node.role.followers(now, &node.me, &node.members);
             sent_most = sent_most.max(on.len());
             reached.extend(on.into_iter().map(number).filter(|to| self.reaches(*hearer, *to)));
         }
--- a/crates/fernring-gateway/tests/testsuite/fleet.rs
+++ b/crates/fernring-gateway/tests/testsuite/fleet.rs
@@ -4,7 +4,7 @@
 use {
     fernring_gateway::{
         following::{Following, Reply},
-        members::{HEARTBEAT_INTERVAL, ReaderPart},
+        members::{HEARTBEAT_INTERVAL, ReaderRole},
     },
     rand::{RngExt, SeedableRng, rngs::StdRng},
     std::{cmp::Reverse, collections::BinaryHeap, ops::Range, time::Duration},
@@ -77,7 +77,7 @@
         let mut random = StdRng::seed_from_u64(seed);
         let node = |_| {
             let mut following = Following::new(random.random());
-            following.was_read(Duration::ZERO, ReaderPart::None);
+            following.was_read(Duration::ZERO, ReaderRole::None);
             following.caught_up(record_bytes);
             Node {
                 following,
@@ -202,7 +202,7 @@
         let now = self.now;
         let watched = &mut self.nodes[node];
         let is_reader = node < READERS;
-        if is_reader || watched.reads || !watched.following.shall_read(now, ReaderPart::None) {
+        if is_reader || watched.reads || !watched.following.shall_read(now, ReaderRole::None) {
             return;
         }
         watched.doubted_at.get_or_insert(now);
@@ -230,16 +230,16 @@
 
     fn reader_reads(&mut self) {
         if self.store_answers {
-            self.nodes[0].following.was_read(self.now, ReaderPart::First);
+            self.nodes[0].following.was_read(self.now, ReaderRole::Primary);
         }
         self.after(READ_INTERVAL, Event::ReaderReads);
     }
 
     fn store_answers(&mut self, node: usize) {
         let part = match node {
-            0 => ReaderPart::First,
-            node if node < READERS => ReaderPart::OfDomain,
-            _ => ReaderPart::None,
+            0 => ReaderRole::Primary,
+            node if node < READERS => ReaderRole::Domain,
+            _ => ReaderRole::None,
         };
         let reader = &mut self.nodes[node];
         reader.reads = false;
--- a/crates/fernring-gateway/tests/testsuite/main.rs
+++ b/crates/fernring-gateway/tests/testsuite/main.rs
@@ -30,7 +30,7 @@
 mod settings;
 mod stage_plan;
 mod starting;
-mod stillness;
+mod pause_detector;
 mod suspects;
 mod turns_granted;
 mod upstreams;
--- a/crates/fernring-gateway/tests/testsuite/members.rs
+++ b/crates/fernring-gateway/tests/testsuite/members.rs
@@ -1,7 +1,7 @@
 //! Live nodes and owners.
 
 use {
-    fernring_gateway::members::{Member, Members, ReaderPart, SILENCE_MAX, Silent},
+    fernring_gateway::members::{Member, Members, ReaderRole, SILENCE_MAX, SilentPeer},
     std::{collections::BTreeSet, net::SocketAddr, time::Duration},
 };
 
@@ -16,7 +16,7 @@
 fn knowing(others: &[u16]) -> Members {
     let mut members = Members::default();
     for number in others {
-        members.heard(Duration::ZERO, member(*number, "a"));
+        members.record_heartbeat(Duration::ZERO, member(*number, "a"));
     }
     members
 }
@@ -44,10 +44,10 @@
         .find(|service| members.owner(Duration::ZERO, &me, service) == address(2))
         .expect("one of eight services is the other's");
     assert_eq!(members.owner(SILENCE_MAX, &me, service), address(1));
-    members.heard(Duration::ZERO, Member { is_draining: true, ..member(2, "a") });
+    members.record_heartbeat(Duration::ZERO, Member { is_draining: true, ..member(2, "a") });
     assert_eq!(members.owner(Duration::ZERO, &me, service), address(1));
-    members.heard(Duration::ZERO, member(2, "a"));
-    assert!(members.silence(Duration::ZERO, address(2)));
+    members.record_heartbeat(Duration::ZERO, member(2, "a"));
+    assert!(members.mark_unreachable(Duration::ZERO, address(2)));
     assert_eq!(members.owner(Duration::ZERO, &me, service), address(1));
 }
 
@@ -56,20 +56,20 @@
     let mut members = knowing(&[2]);
     let step = SILENCE_MAX / 2;
     assert!(members.expire(Duration::ZERO, step).is_empty());
-    let silent = Silent { address: address(2), is_delegate: true, silent_for: step * 2 };
+    let silent = SilentPeer { address: address(2), is_delegate: true, silent_for: step * 2 };
     assert_eq!(members.expire(step, step * 2), [silent]);
     assert!(members.expire(step * 2, step * 3).is_empty());
-    assert!(members.heard(step * 3, member(2, "a")), "it is back");
+    assert!(members.record_heartbeat(step * 3, member(2, "a")), "it is back");
 }
 
 #[test]
 fn a_failure_domain_is_silent_when_all_its_known_nodes_are() {
     let mut members = knowing(&[2]);
-    members.heard(Duration::ZERO, member(3, "b"));
-    members.heard(SILENCE_MAX, member(4, "b"));
-    assert!(!members.is_silent(SILENCE_MAX, "b"));
-    assert!(members.is_silent(SILENCE_MAX * 2, "b"));
-    assert!(!members.is_silent(SILENCE_MAX * 2, "unknown"));
+    members.record_heartbeat(Duration::ZERO, member(3, "b"));
+    members.record_heartbeat(SILENCE_MAX, member(4, "b"));
+    assert!(!members.is_domain_unreachable(SILENCE_MAX, "b"));
+    assert!(members.is_domain_unreachable(SILENCE_MAX * 2, "b"));
+    assert!(!members.is_domain_unreachable(SILENCE_MAX * 2, "unknown"));
 }
 
 #[test]
@@ -91,22 +91,22 @@
         let part = |me: &&Member| {
             let mut members = Members::default();
             for other in there.iter().filter(|other| other.address != me.address) {
-                members.heard(Duration::ZERO, (*other).clone());
+                members.record_heartbeat(Duration::ZERO, (*other).clone());
             }
-            (me.failure_domain.to_string(), members.reader_part(Duration::ZERO, me), me.address)
+            (me.failure_domain.to_string(), members.reader_role(Duration::ZERO, me), me.address)
         };
         there.iter().map(part).collect::<Vec<_>>()
     };
     let readers = |gone: &[SocketAddr]| {
-        let reading = parts(gone).into_iter().filter(|(_, part, _)| *part != ReaderPart::None);
+        let reading = parts(gone).into_iter().filter(|(_, part, _)| *part != ReaderRole::None);
         reading.collect::<Vec<_>>()
     };
     let calm = readers(&[]);
     let read: Vec<_> = calm.iter().map(|(domain, ..)| domain.as_str()).collect();
     assert_eq!(read, ["a", "b", "c"]);
-    let first = |readers: &[(String, ReaderPart, SocketAddr)]| {
+    let first = |readers: &[(String, ReaderRole, SocketAddr)]| {
         let first: Vec<_> =
-            readers.iter().filter(|(_, part, _)| *part == ReaderPart::First).collect();
+            readers.iter().filter(|(_, part, _)| *part == ReaderRole::Primary).collect();
         assert_eq!(first.len(), 1);
         first[0].2
     };
@@ -131,7 +131,7 @@
         let mut members = Members::default();
         let me = there[0].clone();
         there[1..].iter().for_each(|other| {
-            members.heard(Duration::ZERO, other.clone());
+            members.record_heartbeat(Duration::ZERO, other.clone());
         });
         let owner = |service| members.owner(Duration::ZERO, &me, &format!("service {service}"));
         (0..services).map(owner).collect::<Vec<_>>()
@@ -163,7 +163,7 @@
     let owners = |count: u16| {
         let mut members = Members::default();
         there(count).for_each(|other| {
-            members.heard(Duration::ZERO, other);
+            members.record_heartbeat(Duration::ZERO, other);
         });
         let me = Member { link_mbps: link(1), ..member(1, "a") };
         (0..500).map(|s| members.owner(Duration::ZERO, &me, &format!("{s}"))).collect::<Vec<_>>()
--- a/crates/fernring-gateway/tests/testsuite/residency.rs
+++ b/crates/fernring-gateway/tests/testsuite/residency.rs
@@ -79,7 +79,7 @@
         for me in &numbers {
             let mut members = Members::default();
             for other in numbers.iter().filter(|other| *other != me) {
-                members.heard(Duration::ZERO, node(*other));
+                members.record_heartbeat(Duration::ZERO, node(*other));
             }
             let is_there = |domain: &str| domain != "c";
             named.insert(members.owner_among(Duration::ZERO, &node(*me), pool, is_there).unwrap());
--- a/crates/fernring-gateway/tests/testsuite/starting.rs
+++ b/crates/fernring-gateway/tests/testsuite/starting.rs
@@ -8,7 +8,7 @@
 use {
     fernring_gateway::{
         following::{Following, Reply},
-        members::{HEARTBEAT_INTERVAL, ReaderPart},
+        members::{HEARTBEAT_INTERVAL, ReaderRole},
         position::Position,
         starting::Starting,
         whole::WholeReading,
@@ -206,7 +206,7 @@
             node.knows_at = Some(self.now);
             node.following.caught_up(0);
             if has_read {
-                node.following.was_read(self.now, ReaderPart::None);
+                node.following.was_read(self.now, ReaderRole::None);
             }
         }
     }
--- a/crates/fernring-gateway/tests/testsuite/upstreams.rs
+++ b/crates/fernring-gateway/tests/testsuite/upstreams.rs
@@ -60,7 +60,7 @@
 fn an_upstream_that_takes_no_connection_is_avoided_though_it_has_no_load() {
     let upstreams = upstreams(&["gone", "sound"]);
     let key = key(&upstreams, "gone");
-    upstreams.was_unreachable(NOW, key);
+    upstreams.record_unreachable(NOW, key);
     let later = NOW + Duration::from_millis(900);
     assert!(is_avoided(&upstreams, later, "gone") && !is_avoided(&upstreams, later, "sound"));
     assert!(!is_avoided(&upstreams, NOW + Duration::from_secs(5), "gone"), "it is tried again");
@@ -70,22 +70,22 @@
 fn peers_are_told_of_it_and_avoid_it_too() {
     let one = upstreams(&["gone", "sound"]);
     let other = upstreams(&["gone", "sound"]);
-    one.was_unreachable(NOW, key(&one, "gone"));
-    assert_eq!(one.unreachable(NOW), [short_hash("gone")]);
-    other.peer_found_unreachable(NOW, &one.unreachable(NOW), false);
+    one.record_unreachable(NOW, key(&one, "gone"));
+    assert_eq!(one.unreachable_upstreams(NOW), [short_hash("gone")]);
+    other.apply_peer_unreachable(NOW, &one.unreachable_upstreams(NOW), false);
     assert!(is_avoided(&other, NOW, "gone") && !is_avoided(&other, NOW, "sound"));
-    assert!(other.unreachable(NOW).is_empty(), "hearsay is not passed on");
-    assert!(one.unreachable(NOW + Duration::from_secs(5)).is_empty());
+    assert!(other.unreachable_upstreams(NOW).is_empty(), "hearsay is not passed on");
+    assert!(one.unreachable_upstreams(NOW + Duration::from_secs(5)).is_empty());
 }
 
 #[test]
 fn an_answer_ends_the_avoidance_and_failures_in_a_row_prolong_it() {
     let upstreams = upstreams(&["i"]);
     let key = key(&upstreams, "i");
-    let first = upstreams.failed(NOW, key);
-    assert!(upstreams.failed(NOW, key) > first);
+    let first = upstreams.record_failure(NOW, key);
+    assert!(upstreams.record_failure(NOW, key) > first);
     assert!(is_avoided(&upstreams, NOW + first, "i"));
-    upstreams.succeeded(key);
+    upstreams.record_success(key);
     assert!(!is_avoided(&upstreams, NOW, "i"));
 }
 
@@ -96,7 +96,7 @@
     let load = |upstreams: &Upstreams| {
         upstreams.candidates(NOW, "s", 0, &Residency::default(), |_| false)[0].load
     };
-    let mut guard = upstreams.load(key, 100.0);
+    let mut guard = upstreams.track_load(key, 100.0);
     let peer = SocketAddr::from(([10, 0, 0, 2], 1));
     upstreams.set_peer_loads(peer, vec![(short_hash("i"), 50.0)]);
     assert_eq!(load(&upstreams), 150.0);
@@ -111,10 +111,10 @@
 #[test]
 fn the_age_of_records_is_that_of_the_newest_word_of_the_store() {
     let upstreams = upstreams(&["one"]);
-    upstreams.records_read(NOW);
-    upstreams.records_read(NOW - Duration::from_secs(30));
+    upstreams.mark_records_read(NOW);
+    upstreams.mark_records_read(NOW - Duration::from_secs(30));
     assert_eq!(
-        upstreams.record_age(NOW),
+        upstreams.records_age(NOW),
         Duration::ZERO,
         "a peer that read long ago changes nothing"
     );
@@ -142,9 +142,9 @@
         upstreams.apply(NOW, vec![change(0, "i")]);
         upstreams
     });
-    let _own = follower.load(key(&follower, "i"), 30.0);
-    let _of_delegate = delegate.load(key(&delegate, "i"), 5.0);
-    delegate.set_peer_loads(SocketAddr::from(([10, 0, 0, 9], 1)), as_loads(follower.told_loads()));
+    let _own = follower.track_load(key(&follower, "i"), 30.0);
+    let _of_delegate = delegate.track_load(key(&delegate, "i"), 5.0);
+    delegate.set_peer_loads(SocketAddr::from(([10, 0, 0, 9], 1)), as_loads(follower.loads_to_report()));
     assert_eq!(load_of(&delegate, "i"), 35.0);
     let sums = as_loads(delegate.domain_loads());
     far.set_domain_loads(NOW, &"a".into(), sums.clone());
@@ -161,13 +161,13 @@
 #[test]
 fn a_delegate_tells_on_what_a_node_of_its_domain_found_unreachable_and_no_further() {
     let [found, delegate, other] = [(); 3].map(|()| upstreams(&["gone"]));
-    found.was_unreachable(NOW, key(&found, "gone"));
-    delegate.peer_found_unreachable(NOW, &found.unreachable(NOW), true);
-    assert_eq!(delegate.unreachable(NOW), [short_hash("gone")]);
-    other.peer_found_unreachable(NOW, &delegate.unreachable(NOW), false);
+    found.record_unreachable(NOW, key(&found, "gone"));
+    delegate.apply_peer_unreachable(NOW, &found.unreachable_upstreams(NOW), true);
+    assert_eq!(delegate.unreachable_upstreams(NOW), [short_hash("gone")]);
+    other.apply_peer_unreachable(NOW, &delegate.unreachable_upstreams(NOW), false);
     assert!(is_avoided(&other, NOW, "gone"));
-    assert!(other.unreachable(NOW).is_empty(), "it goes no further");
-    assert!(delegate.unreachable(NOW + Duration::from_secs(1)).is_empty(), "nor on for ever");
+    assert!(other.unreachable_upstreams(NOW).is_empty(), "it goes no further");
+    assert!(delegate.unreachable_upstreams(NOW + Duration::from_secs(1)).is_empty(), "nor on for ever");
 }
 
 #[test]
@@ -182,10 +182,10 @@
     };
     upstreams.apply(NOW, vec![started(0, 10)]);
     let before = key(&upstreams, "i");
-    let _load = upstreams.load(before, 7.0);
+    let _load = upstreams.track_load(before, 7.0);
     let hash = upstreams.directory().get(before).unwrap().record.run_hash();
     upstreams.set_peer_loads(SocketAddr::from(([10, 0, 0, 9], 1)), vec![(hash, 20.0)]);
-    upstreams.failed(NOW, before);
+    upstreams.record_failure(NOW, before);
     assert_eq!(load_of(&upstreams, "i"), 27.0);
     upstreams.apply(NOW, vec![started(1, 20)]);
     assert_eq!(load_of(&upstreams, "i"), 0.0);
