--- a/crates/fernring-gateway/src/crash_attribution/mod.rs
+++ b/crates/fernring-gateway/src/crash_attribution/mod.rs
@@ -1,6 +1,8 @@
-//! Who ends upstreams: gathers the signs, looks, tells the other nodes and keeps in the store who is turned away.
+//! Attributes crashes of upstreams to the requests that were in flight there.
 //!
-//! [`crate::endings`] decides whether an upstream has ended, [`crate::suspects`] who is turned away for it.
+//! Collects the signs of a crash, probes addresses, exchanges crash reports with the other nodes,
+//! and keeps quarantined requests in the store. The module `crash_detection` decides whether an
+//! upstream has crashed, the module `quarantine` which requests are quarantined for it.
 
 mod persistence;
 
@@ -38,258 +40,292 @@
     },
 };
 
-/// Pauses before the looks at an address: a process that ends closes its connections before or after what it listens on.
+/// Pauses before the probes of an address: a process that exits closes its connections before or
+/// after its listening socket.
 const PROBE_PAUSES: [Duration; 2] = [Duration::from_millis(20), Duration::from_millis(280)];
-/// Longest wait for a connection while looking. A refusal takes a round trip, a few milliseconds.
+/// Longest wait for a connection during a probe. A refusal takes one round trip, a few
+/// milliseconds.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest wait for a word on whether an upstream has ended: the first look, and a round trip between regions.
-const VERDICT_WAIT: Duration = Duration::from_millis(100);
-/// Pause between two looks whether a doubt is over.
-const DOUBT_LOOK: Duration = Duration::from_millis(20);
-/// How long what is to be told to all gathers: with a failure domain hundreds of upstreams end within a moment, and each node tells
-/// of all that it had in hand there in one message.
-const GATHER_TIME: Duration = Duration::from_millis(20);
-/// How often one peer, drawn at random, is told again what matters most: what got lost on the way is known within seconds.
-const TELL_INTERVAL: Duration = Duration::from_secs(1);
-/// Accounts that are told again: some 10 KB at most, a third of what a node may spend on control.
-const TOLD_AGAIN: usize = 96;
-/// Accounts that a peer is told that has just come: some 50 KB at most, once.
-const TOLD_FIRST: usize = 512;
-
-/// What is in hand at one upstream.
-struct InHand {
+/// Longest wait until it is known whether an upstream has crashed: the first probe, and one round
+/// trip between regions.
+const VERDICT_TIMEOUT: Duration = Duration::from_millis(100);
+/// Pause between two checks whether a quarantined request is still in doubt.
+const DOUBT_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// How long reports are collected before they are sent to all peers. With a failure domain hundreds
+/// of upstreams crash at once, and each node reports all that it had in flight there in one
+/// message.
+const BATCH_DELAY: Duration = Duration::from_millis(20);
+/// Interval at which the most important reports are sent again to one random peer, so that reports
+/// lost in transit arrive within seconds.
+const GOSSIP_INTERVAL: Duration = Duration::from_secs(1);
+/// Suspects in a repeated report: 10 KB at most, a third of what a node may spend on control
+/// messages.
+const GOSSIP_MAX: usize = 96;
+/// Suspects in the report to a peer that has just joined: 50 KB at most, once.
+const JOIN_SYNC_MAX: usize = 512;
+
+/// Requests in flight at one upstream.
+struct InFlight {
     target: Target,
-    /// How often each is in hand.
-    contents: BTreeMap<ContentKey, usize>,
+    /// How many sends of each request are in flight.
+    fingerprints: BTreeMap<ContentKey, usize>,
 }
 
-/// Says that a request is in hand at an upstream, until it is dropped.
+/// Counts a request as in flight at an upstream until the guard is dropped.
 #[derive(Debug)]
 pub struct InFlightGuard {
-    blame: Rc<CrashAttribution>,
+    crash_attribution: Rc<CrashAttribution>,
     key: UpstreamKey,
-    content: ContentKey,
+    fingerprint: ContentKey,
 }
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.blame.let_go(self.key, self.content);
+        self.crash_attribution.release(self.key, self.fingerprint);
     }
 }
 
-/// The upstreams that ended, and what ran there.
+/// Upstreams that crashed, and the requests that were in flight there.
 pub struct CrashAttribution {
     clock: Rc<dyn Clock>,
     store: Rc<dyn Store>,
     upstreams: Rc<Upstreams>,
     peers: Rc<Peers>,
-    rules: Rc<Cell<DecideSettings>>,
-    in_hand: RefCell<HashMap<UpstreamKey, InHand>>,
-    endings: RefCell<Endings>,
-    suspects: RefCell<Suspects>,
-    /// What all peers are to be told, once it has gathered.
-    news: RefCell<(Vec<EndFact>, Vec<ClearFact>)>,
-    /// Told when a look at an upstream has found something.
-    probed: Notify,
-    /// Told when another request is turned away.
-    turned_away: Notify,
-    kept: RefCell<persistence::Kept>,
+    decide_settings: Rc<Cell<DecideSettings>>,
+    in_flight: RefCell<HashMap<UpstreamKey, InFlight>>,
+    crash_detector: RefCell<Endings>,
+    quarantine: RefCell<Suspects>,
+    /// Reports that wait for [`BATCH_DELAY`] before they go to all peers.
+    pending_reports: RefCell<(Vec<EndFact>, Vec<ClearFact>)>,
+    /// Notified when a probe has finished.
+    probe_finished: Notify,
+    /// Notified when another request is quarantined.
+    quarantine_changed: Notify,
+    persisted: RefCell<persistence::PersistedFingerprints>,
 }
 
 impl std::fmt::Debug for CrashAttribution {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Blame").field("suspects", &self.suspects).finish_non_exhaustive()
+        f.debug_struct("Blame").field("suspects", &self.quarantine).finish_non_exhaustive()
     }
 }
 
 impl CrashAttribution {
-    /// Starts with nothing known.
+    /// Creates the state of a node that knows of no crash.
     pub fn new(
         clock: Rc<dyn Clock>,
         store: Rc<dyn Store>,
         upstreams: Rc<Upstreams>,
         peers: Rc<Peers>,
-        rules: Rc<Cell<DecideSettings>>,
+        decide_settings: Rc<Cell<DecideSettings>>,
     ) -> Self {
         Self {
             clock,
             store,
             upstreams,
             peers,
-            rules,
-            in_hand: RefCell::default(),
-            endings: RefCell::default(),
-            suspects: RefCell::default(),
-            news: RefCell::default(),
-            probed: Notify::new(),
-            turned_away: Notify::new(),
-            kept: RefCell::default(),
+            decide_settings,
+            in_flight: RefCell::default(),
+            crash_detector: RefCell::default(),
+            quarantine: RefCell::default(),
+            pending_reports: RefCell::default(),
+            probe_finished: Notify::new(),
+            quarantine_changed: Notify::new(),
+            persisted: RefCell::default(),
         }
     }
 
-    /// Tells whether a request is turned away: asked just before each send.
-    pub fn is_quarantined(&self, content: ContentKey) -> bool {
-        self.rules.get().turn_away && self.suspects.borrow().is_turned_away(content)
+    /// Returns whether a request is quarantined. Checked right before each send.
+    pub fn is_quarantined(&self, fingerprint: ContentKey) -> bool {
+        self.decide_settings.get().turn_away && self.quarantine.borrow().is_turned_away(fingerprint)
     }
 
-    /// Tells whether an upstream has ended under a request since it last got a whole answer.
-    pub fn is_suspect(&self, content: ContentKey) -> bool {
-        self.suspects.borrow().is_suspect(content)
+    /// Returns whether an upstream has crashed under a request since its last complete answer.
+    pub fn is_suspect(&self, fingerprint: ContentKey) -> bool {
+        self.quarantine.borrow().is_suspect(fingerprint)
     }
 
-    /// Tells whether any request is turned away.
+    /// Returns whether any request is quarantined.
     pub fn has_quarantined(&self) -> bool {
-        let suspects = self.suspects.borrow();
-        self.rules.get().turn_away && suspects.turned_away().next().is_some()
+        let quarantine = self.quarantine.borrow();
+        self.decide_settings.get().turn_away && quarantine.turned_away().next().is_some()
     }
 
-    /// Waits until a request is turned away.
-    pub async fn wait_until_quarantined(&self, content: ContentKey) {
+    /// Waits until a request is quarantined.
+    pub async fn wait_until_quarantined(&self, fingerprint: ContentKey) {
         loop {
-            let changed = self.turned_away.notified();
-            if self.is_quarantined(content) {
+            let changed = self.quarantine_changed.notified();
+            if self.is_quarantined(fingerprint) {
                 return;
             }
             changed.await;
         }
     }
 
-    /// Waits while a request is turned away but in doubt: an answer that is being given elsewhere may clear it.
-    pub async fn wait_until_settled(&self, content: ContentKey) {
-        while self.is_quarantined(content)
-            && self.suspects.borrow().is_in_doubt(self.now(), content)
+    /// Waits while the quarantine of a request is in doubt: an answer that is in progress on
+    /// another node may clear it.
+    pub async fn wait_until_settled(&self, fingerprint: ContentKey) {
+        while self.is_quarantined(fingerprint)
+            && self.quarantine.borrow().is_in_doubt(self.now(), fingerprint)
         {
-            sleep(DOUBT_LOOK).await;
+            sleep(DOUBT_POLL_INTERVAL).await;
         }
     }
 
-    /// Returns the final answer for a request that is turned away and has not run.
-    pub fn refusal(&self, not_run: NotRun, content: ContentKey) -> Refusal {
-        Refusal::turned_away(not_run, self.quarantine_reason(content))
+    /// Returns the final answer for a quarantined request that has not run.
+    pub fn refusal(&self, not_run: NotRun, fingerprint: ContentKey) -> Refusal {
+        Refusal::turned_away(not_run, self.quarantine_reason(fingerprint))
     }
 
-    /// Says under which starts a request was in hand when they ended.
-    pub fn quarantine_reason(&self, content: ContentKey) -> String {
-        format!("upstreams ended under it: {}", names(&self.suspects.borrow().ends_of(content)))
+    /// Returns the reason for a quarantine: the incarnations that crashed while the request was in
+    /// flight there.
+    pub fn quarantine_reason(&self, fingerprint: ContentKey) -> String {
+        format!(
+            "upstreams crashed while serving this request: {}",
+            join_names(&self.quarantine.borrow().ends_of(fingerprint))
+        )
     }
 
-    /// Says that a request is in hand at an upstream.
-    pub fn track_in_flight(self: &Rc<Self>, target: &Target, content: ContentKey) -> InFlightGuard {
-        let mut in_hand = self.in_hand.borrow_mut();
-        let there = in_hand
+    /// Counts a request as in flight at an upstream until the returned guard is dropped.
+    pub fn track_in_flight(
+        self: &Rc<Self>,
+        target: &Target,
+        fingerprint: ContentKey,
+    ) -> InFlightGuard {
+        let mut in_flight = self.in_flight.borrow_mut();
+        let entry = in_flight
             .entry(target.key)
-            .or_insert_with(|| InHand { target: target.clone(), contents: BTreeMap::new() });
-        *there.contents.entry(content).or_default() += 1;
-        InFlightGuard { blame: self.clone(), key: target.key, content }
+            .or_insert_with(|| InFlight { target: target.clone(), fingerprints: BTreeMap::new() });
+        *entry.fingerprints.entry(fingerprint).or_default() += 1;
+        InFlightGuard { crash_attribution: self.clone(), key: target.key, fingerprint }
     }
 
-    fn let_go(&self, key: UpstreamKey, content: ContentKey) {
-        let mut in_hand = self.in_hand.borrow_mut();
-        let Some(there) = in_hand.get_mut(&key) else {
+    fn release(&self, key: UpstreamKey, fingerprint: ContentKey) {
+        let mut in_flight = self.in_flight.borrow_mut();
+        let Some(entry) = in_flight.get_mut(&key) else {
             return;
         };
-        if let Some(count) = there.contents.get_mut(&content) {
+        if let Some(count) = entry.fingerprints.get_mut(&fingerprint) {
             *count -= 1;
             if *count == 0 {
-                there.contents.remove(&content);
+                entry.fingerprints.remove(&fingerprint);
             }
         }
-        if there.contents.is_empty() {
-            in_hand.remove(&key);
+        if entry.fingerprints.is_empty() {
+            in_flight.remove(&key);
         }
     }
 
-    /// Takes in that a send broke off. `content` is charged if the upstream has ended; a call with pieces of several
-    /// requests charges none, since each shows by itself in the calls that follow.
-    pub fn record_broken_send(self: &Rc<Self>, target: &Target, how: Break, content: Option<ContentKey>) {
+    /// Records that a send broke off. If the upstream has crashed, the crash is attributed to
+    /// `fingerprint`. A call with pieces of several requests attributes it to none of them: each of
+    /// these requests is tested by itself in the calls that follow.
+    pub fn record_broken_send(
+        self: &Rc<Self>,
+        target: &Target,
+        disconnect: Break,
+        fingerprint: Option<ContentKey>,
+    ) {
         if self.upstreams.is_leaving(target.key) {
             return;
         }
-        let (now, run) = (self.now(), target.incarnation());
-        let ended = self.endings.borrow_mut().broke(now, place(target), &run, how, content);
-        self.has_ended(ended);
-        self.look(target);
-    }
-
-    /// Waits for a word on whether an upstream has ended at which a send broke off; without one in time it counts as
-    /// one that lives on.
+        let (now, incarnation) = (self.now(), target.incarnation());
+        let crash = self.crash_detector.borrow_mut().broke(
+            now,
+            endpoint(target),
+            &incarnation,
+            disconnect,
+            fingerprint,
+        );
+        self.report_crash(crash);
+        self.probe_if_due(target);
+    }
+
+    /// Waits until it is known whether an upstream at which a send broke off has crashed. Returns
+    /// `false` if that isn't known within [`VERDICT_TIMEOUT`].
     pub async fn has_upstream_crashed(&self, key: UpstreamKey) -> bool {
         let verdict = async {
             loop {
-                let probed = self.probed.notified();
-                if let Some(verdict) = self.endings.borrow().verdict(key) {
+                let probe_finished = self.probe_finished.notified();
+                if let Some(verdict) = self.crash_detector.borrow().verdict(key) {
                     return verdict;
                 }
-                probed.await;
+                probe_finished.await;
             }
         };
-        timeout(VERDICT_WAIT, verdict).await.unwrap_or(false)
+        timeout(VERDICT_TIMEOUT, verdict).await.unwrap_or(false)
     }
 
-    /// Takes in that a request got a whole answer.
-    pub fn record_answer(self: &Rc<Self>, content: ContentKey) {
+    /// Records that a request got a complete answer.
+    pub fn record_answer(self: &Rc<Self>, fingerprint: ContentKey) {
         let now = self.now();
-        if !self.suspects.borrow_mut().answered(content, now) {
+        if !self.quarantine.borrow_mut().answered(fingerprint, now) {
             return;
         }
-        log::info(LogLine::event("suspect_cleared").with("content", content));
-        self.tell_all(None, Some(ClearFact { content, at: now }));
+        log::info(LogLine::event("suspect_cleared").with("content", fingerprint));
+        self.publish(None, Some(ClearFact { content: fingerprint, at: now }));
     }
 
-    /// Takes in that upstreams came or went.
+    /// Handles upstreams that appeared, restarted, began to drain or are gone.
     pub fn handle_upstream_changes(self: &Rc<Self>, effects: &[Effect]) {
         let now = self.now();
         for effect in effects {
             match effect {
-                Effect::Draining(key) => self.endings.borrow_mut().leaving(now, *key),
-                Effect::Gone(key) => self.went(*key),
-                Effect::Appeared(key) => self.appeared(*key),
+                Effect::Draining(key) => self.crash_detector.borrow_mut().leaving(now, *key),
+                Effect::Gone(key) => self.handle_gone(*key),
+                Effect::Appeared(key) => self.handle_appeared(*key),
                 Effect::Restarted { old, .. } => {
-                    let ended = self.endings.borrow_mut().restarted(now, *old);
-                    self.has_ended(ended);
+                    let crash = self.crash_detector.borrow_mut().restarted(now, *old);
+                    self.report_crash(crash);
                 }
                 _ => {}
             }
         }
     }
 
-    fn appeared(self: &Rc<Self>, key: UpstreamKey) {
+    fn handle_appeared(self: &Rc<Self>, key: UpstreamKey) {
         let Some(target) = self.upstreams.target(key) else {
             return;
         };
-        let ended = self.endings.borrow_mut().appeared(self.now(), key, target.address);
-        ended.into_iter().for_each(|ended| self.has_ended(Some(ended)));
+        let crash = self.crash_detector.borrow_mut().appeared(self.now(), key, target.address);
+        crash.into_iter().for_each(|crash| self.report_crash(Some(crash)));
     }
 
-    /// Takes in that another instance than was meant answers at an upstream's address.
+    /// Records that another instance than the expected one answers at an upstream's address.
     pub fn handle_replaced(self: &Rc<Self>, key: UpstreamKey) {
-        let ended = self.endings.borrow_mut().restarted(self.now(), key);
-        self.has_ended(ended);
+        let crash = self.crash_detector.borrow_mut().restarted(self.now(), key);
+        self.report_crash(crash);
     }
 
-    /// Takes in that an upstream's record is gone: what it has in hand may be lost, or served on.
-    fn went(self: &Rc<Self>, key: UpstreamKey) {
+    /// Handles the removal of an upstream's record: the requests in flight there may be lost, or
+    /// the upstream may still finish them.
+    fn handle_gone(self: &Rc<Self>, key: UpstreamKey) {
         let now = self.now();
-        let there = self.in_hand.borrow().get(&key).map(|there| {
-            (there.target.clone(), there.contents.keys().copied().collect::<Vec<_>>())
+        let entry = self.in_flight.borrow().get(&key).map(|entry| {
+            (entry.target.clone(), entry.fingerprints.keys().copied().collect::<Vec<_>>())
         });
-        let mut endings = self.endings.borrow_mut();
-        if let Some((target, contents)) = &there {
-            for content in contents {
-                endings.broke(now, place(target), &target.incarnation(), Break::Silent, Some(*content));
+        let mut crash_detector = self.crash_detector.borrow_mut();
+        if let Some((target, fingerprints)) = &entry {
+            for fingerprint in fingerprints {
+                crash_detector.broke(
+                    now,
+                    endpoint(target),
+                    &target.incarnation(),
+                    Break::Silent,
+                    Some(*fingerprint),
+                );
             }
         }
-        let ended = endings.removed(now, key);
-        drop(endings);
-        self.has_ended(ended);
-        if let Some((target, _)) = there {
-            self.look(&target);
+        let crash = crash_detector.removed(now, key);
+        drop(crash_detector);
+        self.report_crash(crash);
+        if let Some((target, _)) = entry {
+            self.probe_if_due(&target);
         }
     }
 
-    /// Looks whether anybody is there where a send broke off, if that is still to be found out.
-    fn look(self: &Rc<Self>, target: &Target) {
-        if self.endings.borrow_mut().shall_probe(self.now(), target.key) {
+    /// Starts a probe of the address where a send broke off, if the cause is still unknown.
+    fn probe_if_due(self: &Rc<Self>, target: &Target) {
+        if self.crash_detector.borrow_mut().shall_probe(self.now(), target.key) {
             spawn_local(self.clone().probe(target.clone()));
         }
     }
@@ -300,128 +336,135 @@
             let found = probe(target.address).await;
             let line = LogLine::event("upstream_probed").with("upstream", target.incarnation());
             log::info(line.with("address", target.address).with("found", found.name()));
-            let ended = self.endings.borrow_mut().probed(target.key, found);
-            self.has_ended(ended);
-            self.probed.notify_waiters();
+            let crash = self.crash_detector.borrow_mut().probed(target.key, found);
+            self.report_crash(crash);
+            self.probe_finished.notify_waiters();
             if found != Probe::Accepted {
                 return;
             }
         }
     }
 
-    fn has_ended(self: &Rc<Self>, ended: Option<Ended>) {
-        let Some(Ended { run, contents }) = ended else {
+    fn report_crash(self: &Rc<Self>, crash: Option<Ended>) {
+        let Some(Ended { run: incarnation, contents: fingerprints }) = crash else {
             return;
         };
-        for content in &contents {
-            let line = LogLine::event("upstream_ended").with("upstream", &run);
-            log::warn(line.with("content", content));
+        for fingerprint in &fingerprints {
+            let line = LogLine::event("upstream_ended").with("upstream", &incarnation);
+            log::warn(line.with("content", fingerprint));
         }
         measures::upstream_ended();
-        let fact = EndFact { run, at: self.now(), contents };
-        self.charge(&fact);
-        self.tell_all(Some(fact), None);
+        let fact = EndFact { run: incarnation, at: self.now(), contents: fingerprints };
+        self.attribute(&fact);
+        self.publish(Some(fact), None);
     }
 
-    /// Tells all peers what this node has seen.
-    fn tell_all(self: &Rc<Self>, end: Option<EndFact>, cleared: Option<ClearFact>) {
-        let mut news = self.news.borrow_mut();
-        let was_empty = news.0.is_empty() && news.1.is_empty();
-        news.0.extend(end);
-        news.1.extend(cleared);
+    /// Reports what this node has observed to all peers, after [`BATCH_DELAY`].
+    fn publish(self: &Rc<Self>, crash: Option<EndFact>, cleared: Option<ClearFact>) {
+        let mut pending_reports = self.pending_reports.borrow_mut();
+        let was_empty = pending_reports.0.is_empty() && pending_reports.1.is_empty();
+        pending_reports.0.extend(crash);
+        pending_reports.1.extend(cleared);
         if !was_empty {
             return;
         }
-        let blame = self.clone();
+        let crash_attribution = self.clone();
         spawn_local(async move {
-            sleep(GATHER_TIME).await;
-            let (ends, cleared) = std::mem::take(&mut *blame.news.borrow_mut());
-            blame.peers.send_to_live_peers(blame.reports(ends, cleared));
+            sleep(BATCH_DELAY).await;
+            let (crashes, cleared) =
+                std::mem::take(&mut *crash_attribution.pending_reports.borrow_mut());
+            crash_attribution
+                .peers
+                .send_to_live_peers(crash_attribution.encode_reports(crashes, cleared));
         });
     }
 
-    fn charge(&self, fact: &EndFact) -> bool {
-        let mut suspects = self.suspects.borrow_mut();
-        let News { is_new, turned_away } =
-            suspects.ended(self.now(), &fact.run, fact.at, &fact.contents);
-        for content in &turned_away {
-            let line = LogLine::event("request_turned_away").with("content", content);
-            log::warn(line.with("ended", names(&suspects.ends_of(*content))));
+    fn attribute(&self, fact: &EndFact) -> bool {
+        let mut quarantine = self.quarantine.borrow_mut();
+        let News { is_new, turned_away: quarantined } =
+            quarantine.ended(self.now(), &fact.run, fact.at, &fact.contents);
+        for fingerprint in &quarantined {
+            let line = LogLine::event("request_turned_away").with("content", fingerprint);
+            log::warn(line.with("ended", join_names(&quarantine.ends_of(*fingerprint))));
         }
-        drop(suspects);
-        if !turned_away.is_empty() {
-            self.turned_away.notify_waiters();
+        drop(quarantine);
+        if !quarantined.is_empty() {
+            self.quarantine_changed.notify_waiters();
         }
         is_new
     }
 
-    /// Takes in what a peer tells of ends and answers, and passes on what is new to those that depend on this node. A peer
-    /// that charges what was answered here is told so.
-    pub fn handle_reports(&self, sender: SocketAddr, told: EndReports) {
+    /// Handles a peer's reports of crashes and answers, and forwards those that are new to the
+    /// followers of this node. A peer that attributes crashes to a request that got a complete
+    /// answer here gets that answer reported back.
+    pub fn handle_reports(&self, sender: SocketAddr, received: EndReports) {
         let now = self.now();
         let at = |age_ms: u32| now.saturating_sub(Duration::from_millis(age_ms.into()));
-        let key = |bytes: &Bytes| ContentKey::from_bytes(bytes);
-        let mut news = EndReports::default();
-        let mut covering = Vec::new();
-        for report in told.cleared {
-            let fact =
-                key(&report.content).map(|c| ClearFact { content: c, at: at(report.age_ms) });
-            if fact.is_some_and(|fact| self.suspects.borrow_mut().cleared(now, fact)) {
-                news.cleared.push(report);
+        let fingerprint_of = |bytes: &Bytes| ContentKey::from_bytes(bytes);
+        let mut new_reports = EndReports::default();
+        let mut covering_answers = Vec::new();
+        for report in received.cleared {
+            let fact = fingerprint_of(&report.content)
+                .map(|c| ClearFact { content: c, at: at(report.age_ms) });
+            if fact.is_some_and(|fact| self.quarantine.borrow_mut().cleared(now, fact)) {
+                new_reports.cleared.push(report);
             }
         }
-        for report in told.ends {
-            let run =
+        for report in received.ends {
+            let incarnation =
                 Run { instance: report.instance.as_str().into(), started_ms: report.started_ms };
-            let contents: Vec<_> = report.contents.iter().filter_map(key).collect();
-            let ended_at = at(report.age_ms);
-            let suspects = self.suspects.borrow();
-            covering.extend(contents.iter().filter_map(|c| suspects.covering(*c, ended_at)));
-            drop(suspects);
-            if self.charge(&EndFact { run, at: ended_at, contents }) {
-                news.ends.push(report);
+            let fingerprints: Vec<_> = report.contents.iter().filter_map(fingerprint_of).collect();
+            let crashed_at = at(report.age_ms);
+            let quarantine = self.quarantine.borrow();
+            covering_answers
+                .extend(fingerprints.iter().filter_map(|c| quarantine.covering(*c, crashed_at)));
+            drop(quarantine);
+            if self.attribute(&EndFact { run: incarnation, at: crashed_at, contents: fingerprints })
+            {
+                new_reports.ends.push(report);
             }
         }
-        if !covering.is_empty() {
-            self.peers.send(sender, self.reports(Vec::new(), covering));
+        if !covering_answers.is_empty() {
+            self.peers.send(sender, self.encode_reports(Vec::new(), covering_answers));
         }
-        if news != EndReports::default() {
-            self.peers.send_to_followers(GatewayBody::Ends(news));
+        if new_reports != EndReports::default() {
+            self.peers.send_to_followers(GatewayBody::Ends(new_reports));
         }
     }
 
-    /// Tells a peer that has just come all that matters.
+    /// Sends the most important reports to a peer that has just joined.
     pub fn handle_peer_joined(&self, peer: SocketAddr) {
-        self.tell(peer, TOLD_FIRST);
+        self.send_known(peer, JOIN_SYNC_MAX);
     }
 
-    fn tell(&self, peer: SocketAddr, most: usize) {
-        let (ends, cleared) = self.suspects.borrow().facts(most);
-        if !ends.is_empty() || !cleared.is_empty() {
-            self.peers.send(peer, self.reports(ends, cleared));
+    fn send_known(&self, peer: SocketAddr, limit: usize) {
+        let (crashes, cleared) = self.quarantine.borrow().facts(limit);
+        if !crashes.is_empty() || !cleared.is_empty() {
+            self.peers.send(peer, self.encode_reports(crashes, cleared));
         }
     }
 
-    /// Tells one peer after the other again what matters most, for as long as the process runs.
+    /// Repeats the most important reports to random peers and expires old entries, for as long as
+    /// the process runs.
     pub async fn run(self: Rc<Self>) {
         loop {
-            sleep(TELL_INTERVAL).await;
-            self.endings.borrow_mut().expire(self.now());
-            for content in self.suspects.borrow_mut().expire(self.now()) {
-                log::info(LogLine::event("suspect_forgotten").with("content", content));
+            sleep(GOSSIP_INTERVAL).await;
+            self.crash_detector.borrow_mut().expire(self.now());
+            for fingerprint in self.quarantine.borrow_mut().expire(self.now()) {
+                log::info(LogLine::event("suspect_forgotten").with("content", fingerprint));
             }
             if let Some(peer) = self.peers.random_peer() {
-                self.tell(peer, TOLD_AGAIN);
+                self.send_known(peer, GOSSIP_MAX);
             }
-            self.keep().await;
+            self.persist().await;
         }
     }
 
-    fn reports(&self, ends: Vec<EndFact>, cleared: Vec<ClearFact>) -> GatewayBody {
+    fn encode_reports(&self, crashes: Vec<EndFact>, cleared: Vec<ClearFact>) -> GatewayBody {
         let now = self.now();
         let age_ms = |at: Duration| now.saturating_sub(at).as_millis() as u32;
-        let bytes = |content: &ContentKey| Bytes::copy_from_slice(content.bytes());
-        let ends = ends.into_iter().map(|fact| EndReport {
+        let bytes = |fingerprint: &ContentKey| Bytes::copy_from_slice(fingerprint.bytes());
+        let crashes = crashes.into_iter().map(|fact| EndReport {
             instance: fact.run.instance.to_string(),
             started_ms: fact.run.started_ms,
             age_ms: age_ms(fact.at),
@@ -430,30 +473,31 @@
         let cleared = cleared
             .into_iter()
             .map(|fact| ClearReport { content: bytes(&fact.content), age_ms: age_ms(fact.at) });
-        GatewayBody::Ends(EndReports { ends: ends.collect(), cleared: cleared.collect() })
+        GatewayBody::Ends(EndReports { ends: crashes.collect(), cleared: cleared.collect() })
     }
 
-    /// Returns the number of requests that are turned away.
+    /// Returns the number of quarantined requests.
     pub fn quarantined_count(&self) -> usize {
-        self.suspects.borrow().turned_away().count()
+        self.quarantine.borrow().turned_away().count()
     }
 
-    /// Time that counts from long before the process started, so that what is older than it has an age.
+    /// Returns the time on a clock that started long before the process, so that older events have
+    /// an age.
     fn now(&self) -> Duration {
         LIFETIME * 2 + self.clock.now().monotonic
     }
 }
 
-fn place(target: &Target) -> (UpstreamKey, SocketAddr) {
+fn endpoint(target: &Target) -> (UpstreamKey, SocketAddr) {
     (target.key, target.address)
 }
 
-fn names(runs: &[Run]) -> String {
-    let names: Vec<_> = runs.iter().map(Run::to_string).collect();
-    names.join(",")
+fn join_names(incarnations: &[Run]) -> String {
+    let join_names: Vec<_> = incarnations.iter().map(Run::to_string).collect();
+    join_names.join(",")
 }
 
-/// Looks whether anybody takes connections at an address.
+/// Probes whether an address accepts connections.
 async fn probe(address: SocketAddr) -> Probe {
     match timeout(PROBE_TIMEOUT, connect(address)).await {
         Ok(Ok(_)) => Probe::Accepted,
--- a/crates/fernring-gateway/src/crash_attribution/persistence.rs
+++ b/crates/fernring-gateway/src/crash_attribution/persistence.rs
@@ -1,4 +1,4 @@
-//! What of it is kept in the store: the requests that are turned away, so that nodes that all start at once know them.
+//! Keeps quarantined requests in the store, so that they survive a restart of all nodes at once.
 
 use {
     super::CrashAttribution,
@@ -14,65 +14,72 @@
     std::{collections::BTreeSet, time::Duration},
 };
 
-/// What the keys of such records begin with, among those of nodes, which are read at the start anyway.
-const KEY_PREFIX: &str = "turned-away/";
+/// Prefix of the keys of these records among the records of nodes, which every node reads at its
+/// start anyway.
+const RECORD_KEY_PREFIX: &str = "turned-away/";
 
 /// Requests whose records are in the store, as far as this node knows.
 #[derive(Debug, Default)]
-pub(super) struct Kept(BTreeSet<ContentKey>);
+pub(super) struct PersistedFingerprints(BTreeSet<ContentKey>);
 
-/// A record, in TOML.
+/// A quarantined request as stored, in TOML.
 #[derive(Debug, Serialize, Deserialize)]
-struct Record {
-    /// When the last start ended, in Unix milliseconds.
+struct QuarantineRecord {
+    /// When the last incarnation crashed, in Unix milliseconds.
     at_ms: u64,
-    ended: Vec<EndedStart>,
+    ended: Vec<CrashedIncarnation>,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-struct EndedStart {
+struct CrashedIncarnation {
     instance: String,
     started_ms: Option<u64>,
 }
 
-fn key(content: ContentKey) -> String {
-    format!("{KEY_PREFIX}{content}")
+fn record_key(fingerprint: ContentKey) -> String {
+    format!("{RECORD_KEY_PREFIX}{fingerprint}")
 }
 
 impl CrashAttribution {
-    /// Writes and removes the records that are this node's to keep: those of which it is the first among the nodes.
-    pub(super) async fn keep(&self) {
-        let (now, turned_away) = (self.now(), self.all_turned_away());
-        let is_mine =
-            |content: &ContentKey| self.peers.owner(&key(*content)) == self.peers.address();
-        let missing = turned_away.iter().filter(|content| !self.kept.borrow().0.contains(content));
-        for content in missing.copied().filter(is_mine).collect::<Vec<_>>() {
-            let record = self.record(now, content);
-            self.write(content, record.as_deref()).await;
+    /// Writes missing records and removes expired ones, among those whose keys this node owns.
+    pub(super) async fn persist(&self) {
+        let (now, quarantined) = (self.now(), self.quarantined_fingerprints());
+        let is_mine = |fingerprint: &ContentKey| {
+            self.peers.owner(&record_key(*fingerprint)) == self.peers.address()
+        };
+        let missing_records = quarantined
+            .iter()
+            .filter(|fingerprint| !self.persisted.borrow().0.contains(fingerprint));
+        for fingerprint in missing_records.copied().filter(is_mine).collect::<Vec<_>>() {
+            let record = self.record(now, fingerprint);
+            self.write_record(fingerprint, record.as_deref()).await;
         }
-        let over = self.kept.borrow().0.difference(&turned_away).copied().collect::<Vec<_>>();
-        for content in over {
-            match is_mine(&content) {
-                true => self.write(content, None).await,
-                false => drop(self.kept.borrow_mut().0.remove(&content)),
+        let expired =
+            self.persisted.borrow().0.difference(&quarantined).copied().collect::<Vec<_>>();
+        for fingerprint in expired {
+            match is_mine(&fingerprint) {
+                true => self.write_record(fingerprint, None).await,
+                false => drop(self.persisted.borrow_mut().0.remove(&fingerprint)),
             }
         }
     }
 
-    fn all_turned_away(&self) -> BTreeSet<ContentKey> {
-        self.suspects.borrow().turned_away().map(|(content, _)| content).collect()
+    fn quarantined_fingerprints(&self) -> BTreeSet<ContentKey> {
+        self.quarantine.borrow().turned_away().map(|(fingerprint, _)| fingerprint).collect()
     }
 
-    fn record(&self, now: Duration, content: ContentKey) -> Option<String> {
-        let suspects = self.suspects.borrow();
-        let (_, at) = suspects.turned_away().find(|(turned_away, _)| *turned_away == content)?;
-        let ended = suspects.ends_of(content).into_iter().map(|run| EndedStart {
-            instance: run.instance.to_string(),
-            started_ms: run.started_ms,
-        });
+    fn record(&self, now: Duration, fingerprint: ContentKey) -> Option<String> {
+        let quarantine = self.quarantine.borrow();
+        let (_, at) =
+            quarantine.turned_away().find(|(quarantined, _)| *quarantined == fingerprint)?;
+        let ended =
+            quarantine.ends_of(fingerprint).into_iter().map(|incarnation| CrashedIncarnation {
+                instance: incarnation.instance.to_string(),
+                started_ms: incarnation.started_ms,
+            });
         let age_ms = saturating_ms(now.saturating_sub(at));
         let at_ms = self.clock.now().wall_ms().saturating_sub(age_ms);
-        match toml::to_string(&Record { at_ms, ended: ended.collect() }) {
+        match toml::to_string(&QuarantineRecord { at_ms, ended: ended.collect() }) {
             Ok(record) => Some(record),
             Err(error) => {
                 log::warn(LogLine::event("suspect_not_kept").with("error", error));
@@ -81,46 +88,52 @@
         }
     }
 
-    /// Takes in that the store has come back from a copy: what was written may be lost, and is written again.
+    /// Forgets which records are in the store after it was restored from a backup: they may be
+    /// lost, and are written again.
     pub fn handle_store_restored(&self) {
-        self.kept.borrow_mut().0.clear();
+        self.persisted.borrow_mut().0.clear();
     }
 
-    /// Writes a record, or removes it; what fails is tried again in the next round.
-    async fn write(&self, content: ContentKey, record: Option<&str>) {
+    /// Writes a record, or removes it if `record` is `None`. A failed write is repeated in the next
+    /// round.
+    async fn write_record(&self, fingerprint: ContentKey, record: Option<&str>) {
         let value = record.map(str::as_bytes);
-        let written = self.store.write(Topic::Nodes, &key(content), value).await;
+        let written = self.store.write(Topic::Nodes, &record_key(fingerprint), value).await;
         match (written, record) {
-            (Ok(()), Some(_)) => drop(self.kept.borrow_mut().0.insert(content)),
-            (Ok(()), None) => drop(self.kept.borrow_mut().0.remove(&content)),
-            (Err(error), _) => self.not_kept(content, &error),
+            (Ok(()), Some(_)) => drop(self.persisted.borrow_mut().0.insert(fingerprint)),
+            (Ok(()), None) => drop(self.persisted.borrow_mut().0.remove(&fingerprint)),
+            (Err(error), _) => self.log_not_persisted(fingerprint, &error),
         }
     }
 
-    fn not_kept(&self, content: ContentKey, error: &StoreError) {
-        let line = LogLine::event("suspect_not_kept").with("content", content);
+    fn log_not_persisted(&self, fingerprint: ContentKey, error: &StoreError) {
+        let line = LogLine::event("suspect_not_kept").with("content", fingerprint);
         log::warn(line.with("error", error));
     }
 
-    /// Takes in the records that a starting node finds among those of nodes. Those of before the lifetime of an end
-    /// are removed by whom they belong to.
+    /// Attributes the crashes of the records that a starting node finds among those of nodes.
+    /// Records older than the lifetime of an attribution are removed by their owner.
     pub fn load_records(&self, records: &[KeyedRecord]) {
         for record in records {
-            let Some(content) = record.key.strip_prefix(KEY_PREFIX).and_then(ContentKey::parse)
+            let Some(fingerprint) =
+                record.key.strip_prefix(RECORD_KEY_PREFIX).and_then(ContentKey::parse)
             else {
                 continue;
             };
             let value = record.value.as_deref().and_then(|value| std::str::from_utf8(value).ok());
-            let Some(read) = value.and_then(|value| toml::from_str::<Record>(value).ok()) else {
-                log::warn(LogLine::event("suspect_unreadable").with("content", content));
+            let Some(stored) =
+                value.and_then(|value| toml::from_str::<QuarantineRecord>(value).ok())
+            else {
+                log::warn(LogLine::event("suspect_unreadable").with("content", fingerprint));
                 continue;
             };
-            self.kept.borrow_mut().0.insert(content);
-            let age_ms = self.clock.now().wall_ms().saturating_sub(read.at_ms);
+            self.persisted.borrow_mut().0.insert(fingerprint);
+            let age_ms = self.clock.now().wall_ms().saturating_sub(stored.at_ms);
             let at = self.now().saturating_sub(Duration::from_millis(age_ms));
-            for end in read.ended {
-                let run = Run { instance: end.instance.into(), started_ms: end.started_ms };
-                self.charge(&EndFact { run, at, contents: vec![content] });
+            for crash in stored.ended {
+                let incarnation =
+                    Run { instance: crash.instance.into(), started_ms: crash.started_ms };
+                self.attribute(&EndFact { run: incarnation, at, contents: vec![fingerprint] });
             }
         }
     }
--- a/crates/fernring-gateway/src/lib.rs
+++ b/crates/fernring-gateway/src/lib.rs
@@ -5,7 +5,7 @@
 //! [`exchange`]; streams are passed on by [`relay`].
 //!
 //! What a node decides stands in [`decide`], without I/O; who is there in [`members`]; what the store holds in [`store`]; a
-//! request's way in [`serving`]. [`blame`] gathers the signs of upstreams that end. A platform's formats and calls are behind the
+//! request's way in [`serving`]. [`crash_attribution`] gathers the signs of upstreams that end. A platform's formats and calls are behind the
 //! traits of [`wire`]. Everything runs on one thread.
 //!
 //! ```
--- a/crates/fernring-gateway/src/store/freshness.rs
+++ b/crates/fernring-gateway/src/store/freshness.rs
@@ -8,16 +8,16 @@
 //!
 //! ```
 //! use {
-//!     fernring_gateway::{freshness::{Freshness, STALE_AFTER}, members::ReaderPart},
+//!     fernring_gateway::{freshness::{Freshness, STALE_AFTER}, members::ReaderRole},
 //!     std::time::Duration,
 //! };
 //!
 //! let now = Duration::from_secs(10);
 //! let mut freshness = Freshness::new(0.0);
-//! assert!(freshness.shall_read(now, ReaderPart::None), "nothing is known yet");
+//! assert!(freshness.shall_read(now, ReaderRole::None), "nothing is known yet");
 //! freshness.confirmed(now);
-//! assert!(!freshness.shall_read(now, ReaderPart::None));
-//! assert!(freshness.shall_read(now + STALE_AFTER, ReaderPart::None));
+//! assert!(!freshness.shall_read(now, ReaderRole::None));
+//! assert!(freshness.shall_read(now + STALE_AFTER, ReaderRole::None));
 //! ```
 
 use {
