--- a/crates/fernring-gateway/src/members/pause_detector.rs
+++ b/crates/fernring-gateway/src/members/pause_detector.rs
@@ -1,72 +1,82 @@
-//! Whether this process stood still: frozen, or with its VM suspended. No I/O.
+//! Detects that this process was paused: stopped, or with its VM suspended. No I/O.
 //!
-//! What peers had said before lies in its sockets on waking, and is as old as the pause; nothing in it says so.
+//! Messages that peers sent before the pause are still in the sockets when the process resumes.
+//! They are as old as the pause, and nothing in them says so.
 //!
 //! ```
-//! use {fernring_gateway::pause_detector::Stillness, std::time::Duration};
+//! use {fernring_gateway::pause_detector::PauseDetector, std::time::Duration};
 //!
 //! let second = Duration::from_secs(1);
-//! let mut stillness = Stillness::new(second);
-//! assert!(!stillness.hears_leftovers(second));
-//! assert!(stillness.hears_leftovers(second * 9), "it has not yet found out itself");
-//! assert_eq!(stillness.round(second * 9), Some(second * 8));
-//! assert!(stillness.hears_leftovers(second * 9));
-//! assert!(!stillness.hears_leftovers(second * 9 + Duration::from_millis(200)));
+//! let mut detector = PauseDetector::new(second);
+//! assert!(!detector.may_receive_stale(second));
+//! assert!(detector.may_receive_stale(second * 9), "the pause is not detected yet");
+//! assert_eq!(detector.record_round(second * 9), Some(second * 8));
+//! assert!(detector.may_receive_stale(second * 9));
+//! assert!(!detector.may_receive_stale(second * 9 + Duration::from_millis(200)));
 //! ```
 
 use std::time::Duration;
 
-/// Gap between two rounds from which on the process stood still: five heartbeats, more than a node that is merely slow
-/// leaves out.
-const STILL_MIN: Duration = Duration::from_secs(1);
-/// How long on waking what comes may have lain in a socket: reading it all takes milliseconds.
-const LEFTOVER_TIME: Duration = Duration::from_millis(100);
+/// Shortest gap between two rounds that counts as a pause: five heartbeats, more than a slow node
+/// misses.
+const PAUSE_MIN: Duration = Duration::from_secs(1);
+/// Time after a pause in which received messages may have waited in a socket. Reading all of them
+/// takes milliseconds.
+const STALE_INPUT_TIME: Duration = Duration::from_millis(100);
 
-/// Longest time after waking, or after the start, in which a process counts as behind: a heartbeat and a little.
-const BEHIND_MAX: Duration = Duration::from_millis(300);
+/// Longest time after a pause, or after the start, in which a process counts as catching up: one
+/// heartbeat interval and some delay.
+const CATCH_UP_MAX: Duration = Duration::from_millis(300);
 
-/// When this process last ran.
+/// Detects pauses of this process from the gaps between its rounds.
 #[derive(Debug, Clone, Copy)]
 pub struct PauseDetector {
-    round_at: Duration,
-    leftovers_until: Duration,
-    woke_at: Duration,
-    /// Whether a peer was heard since then.
-    has_heard: bool,
+    last_round_at: Duration,
+    stale_until: Duration,
+    resumed_at: Duration,
+    /// Whether a heartbeat was received since `resumed_at`.
+    has_received: bool,
 }
 
 impl PauseDetector {
     /// Starts with a process that runs.
     pub fn new(now: Duration) -> Self {
-        Self { round_at: now, leftovers_until: Duration::ZERO, woke_at: now, has_heard: false }
+        Self {
+            last_round_at: now,
+            stale_until: Duration::ZERO,
+            resumed_at: now,
+            has_received: false,
+        }
     }
 
-    /// Takes in that a round begins, several of which do in a second; tells how long the process stood still.
+    /// Records the start of a round, of which there are several in a second. Returns how long the
+    /// process was paused, if it was.
     pub fn record_round(&mut self, now: Duration) -> Option<Duration> {
-        let gap = now.saturating_sub(self.round_at);
-        self.round_at = now;
-        if gap < STILL_MIN {
+        let gap = now.saturating_sub(self.last_round_at);
+        self.last_round_at = now;
+        if gap < PAUSE_MIN {
             return None;
         }
-        self.leftovers_until = now + LEFTOVER_TIME;
-        (self.woke_at, self.has_heard) = (now, false);
+        self.stale_until = now + STALE_INPUT_TIME;
+        (self.resumed_at, self.has_received) = (now, false);
         Some(gap)
     }
 
-    /// Takes in that a peer was heard, by whatever lay in a socket.
+    /// Records that a heartbeat was received, even if it waited in a socket.
     pub fn record_heartbeat(&mut self) {
-        self.has_heard = true;
+        self.has_received = true;
     }
 
-    /// Tells whether others may have said something meanwhile that binds this process and that it hasn't read yet. What was asked
-    /// of it while it stood still lies in its sockets as well, and may be read first.
+    /// Returns whether peers may have sent something binding during the pause that this process
+    /// hasn't read yet. Requests that arrived during the pause wait in its sockets as well, and may
+    /// be read first.
     pub fn is_catching_up(&self, now: Duration) -> bool {
-        let has_just_woken = !self.has_heard && now < self.woke_at + BEHIND_MAX;
-        has_just_woken || now >= self.round_at + STILL_MIN
+        let has_just_resumed = !self.has_received && now < self.resumed_at + CATCH_UP_MAX;
+        has_just_resumed || now >= self.last_round_at + PAUSE_MIN
     }
 
-    /// Tells whether what comes now may be older than it says.
+    /// Returns whether messages received now may be older than they say.
     pub fn may_receive_stale(&self, now: Duration) -> bool {
-        now < self.leftovers_until || now >= self.round_at + STILL_MIN
+        now < self.stale_until || now >= self.last_round_at + PAUSE_MIN
     }
 }
--- a/crates/fernring-gateway/src/members/peers.rs
+++ b/crates/fernring-gateway/src/members/peers.rs
@@ -1,9 +1,9 @@
-//! Links to the other nodes: framed messages, each one way, and the heartbeat loop.
+//! Links to the other nodes: framed messages, each link in one direction, and the heartbeat loop.
 
 use {
     crate::{
         connections::{CONNECT_TIMEOUT, UNACKNOWLEDGED_MAX, connect},
-        delegates::{HeartbeatRate, DelegateRole},
+        delegates::{DelegateRole, HeartbeatRate},
         log,
         members::{HEARTBEAT_INTERVAL, Member, Members, ReaderRole},
         pause_detector::PauseDetector,
@@ -35,61 +35,64 @@
     tokio_util::codec::{Encoder, Framed},
 };
 
-/// Size from which on a record goes over a connection of its own, in bytes: 13 ms over 10 Mbit/s. On the link
-/// it would hold up heartbeats; 530 KB took longer than a peer may be silent, and 21 nodes took their peers for lost.
-const APART_BYTES: usize = 16 << 10;
-/// Messages that wait for a link. More than a second of the heaviest traffic; a peer that takes
-/// none of them is about to be found silent.
-const LINK_QUEUE: usize = 1_024;
-/// How long a link is kept that carries nothing. A peer that is told once a second keeps its own.
+/// Size from which a record is sent on a separate connection, in bytes: 13 ms over 10 Mbit/s. On
+/// the link it would delay heartbeats: 530 KB took longer than a peer may be silent, and 21 nodes
+/// took their peers for lost.
+const SEPARATE_CONNECTION_MIN_BYTES: usize = 16 << 10;
+/// Messages that may wait for a link: more than a second of the heaviest traffic. A peer that
+/// accepts none of them is about to become silent.
+const LINK_QUEUE_MAX: usize = 1_024;
+/// How long an unused link is kept. A peer that gets a heartbeat once a second keeps its link.
 const LINK_IDLE_MAX: Duration = Duration::from_secs(5);
-/// Addresses of peers that the heartbeats of one round name. Two of eight, five times a second, tell everybody of
-/// everybody within a second or two.
-const NAMED_PEERS: usize = 2;
-/// The same for a delegate among many: fifteen of them name 295 nodes within a second.
-const NAMED_PEERS_MANY: usize = 4;
-/// Rounds of heartbeats after which a delegate tells the loads of its domain again.
-const DOMAIN_LOADS_ROUNDS: u64 = 2;
-/// Addresses that a heartbeat names to a peer that hasn't been heard yet.
-const NAMED_PEERS_FIRST: usize = 16;
-
-/// What the rest of a node does with messages of peers.
+/// Addresses of peers that the heartbeats of one round name. Two of eight, five times a second,
+/// make all nodes known to each other within one or two seconds.
+const PEERS_PER_HEARTBEAT: usize = 2;
+/// The same for a delegate in a large fleet: fifteen delegates name 295 nodes within a second.
+const PEERS_PER_DELEGATE_HEARTBEAT: usize = 4;
+/// Rounds of heartbeats between two reports of a delegate on the loads of its domain.
+const DOMAIN_LOADS_INTERVAL_ROUNDS: u64 = 2;
+/// Addresses that a heartbeat names to a peer that hasn't sent one yet.
+const PEERS_PER_FIRST_HEARTBEAT: usize = 16;
+
+/// Handler of a node for the messages of its peers.
 pub trait PeerHandler {
-    /// Takes in a message other than a heartbeat.
+    /// Handles a message other than a heartbeat.
     fn handle_message(&self, sender: SocketAddr, body: GatewayBody);
 
-    /// Takes in the rest of a heartbeat.
+    /// Handles the fields of a heartbeat that [`Peers`] doesn't use itself.
     fn handle_heartbeat(&self, sender: SocketAddr, heartbeat: &GatewayHeartbeat);
 
-    /// Adds what the node says of itself besides who it is, with the loads that are to be told.
-    fn fill_heartbeat(&self, heartbeat: &mut GatewayHeartbeat, loads_of: LoadsOf);
+    /// Fills in what the node reports besides its identity, with the loads of `load_scope`.
+    fn fill_heartbeat(&self, heartbeat: &mut GatewayHeartbeat, load_scope: LoadsOf);
 
-    /// Says that a peer is heard that was silent before.
+    /// Handles the first heartbeat of a peer that was silent before.
     fn handle_peer_joined(&self, peer: SocketAddr);
 
-    /// Says that a peer isn't heard from now on, since delegates add up what it says.
+    /// Handles that a peer sends this node no further heartbeats, since delegates add up its
+    /// reports.
     fn handle_peer_unfollowed(&self, peer: SocketAddr);
 
-    /// Says that a peer is silent or unreachable: what it was asked for is to be asked elsewhere.
+    /// Handles that a peer became silent or unreachable: work requested from it has to be requested
+    /// elsewhere.
     fn handle_peer_lost(&self, peer: SocketAddr);
 }
 
 type Link = mpsc::Sender<Bytes>;
 
-/// What heartbeats of one round differ in.
+/// The properties in which heartbeats of one round differ.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct HeartbeatKind {
-    pace: HeartbeatRate,
-    /// Whether the peer hasn't been heard yet.
+    rate: HeartbeatRate,
+    /// Whether no heartbeat of the peer was received yet.
     is_first: bool,
-    loads_of: LoadsOf,
+    load_scope: LoadsOf,
 }
 
 /// The heartbeats of one round, encoded.
 #[derive(Debug, Default)]
-struct Round {
-    /// Whether this node tells the loads of its domain in this round.
-    tells_domain: bool,
+struct HeartbeatRound {
+    /// Whether this node reports the loads of its domain in this round.
+    includes_domain_loads: bool,
     encoded: Vec<(HeartbeatKind, Bytes)>,
 }
 
@@ -98,8 +101,8 @@
     me: RefCell<Member>,
     role: RefCell<DelegateRole>,
     /// Rounds of heartbeats so far.
-    rounds: Cell<u64>,
-    stillness: Cell<PauseDetector>,
+    round_count: Cell<u64>,
+    pause_detector: Cell<PauseDetector>,
     members: RefCell<Members>,
     links: RefCell<HashMap<SocketAddr, Link>>,
     handler: RefCell<Option<Rc<dyn PeerHandler>>>,
@@ -107,13 +110,13 @@
 }
 
 impl Peers {
-    /// Creates the links of a node, none so far.
+    /// Creates the peers of a node, without any links.
     pub fn new(me: Member, clock: Rc<dyn Clock>) -> Self {
         Self {
             me: RefCell::new(me),
             role: RefCell::new(DelegateRole::new(rand::random())),
-            rounds: Cell::new(0),
-            stillness: Cell::new(PauseDetector::new(clock.now().monotonic)),
+            round_count: Cell::new(0),
+            pause_detector: Cell::new(PauseDetector::new(clock.now().monotonic)),
             members: RefCell::default(),
             links: RefCell::default(),
             handler: RefCell::default(),
@@ -121,7 +124,7 @@
         }
     }
 
-    /// Sets who takes messages in; done once, before anything runs.
+    /// Sets the handler of messages; called once, before anything runs.
     pub fn set_handler(&self, handler: Rc<dyn PeerHandler>) {
         *self.handler.borrow_mut() = Some(handler);
     }
@@ -131,46 +134,51 @@
         self.me.borrow().address
     }
 
-    /// Says that this node is shutting down; peers are told at once.
+    /// Marks this node as shutting down, and reports that to its peers at once.
     pub fn set_draining(self: &Rc<Self>) {
         self.me.borrow_mut().is_draining = true;
         self.send_heartbeats();
     }
 
-    /// Takes in addresses where there may be peers.
+    /// Adds addresses at which there may be peers.
     pub fn suggest(&self, addresses: impl IntoIterator<Item = SocketAddr>) {
         let me = self.address();
         let others = addresses.into_iter().filter(|address| *address != me);
         self.members.borrow_mut().suggest(self.now(), others);
     }
 
-    /// Returns this run of the process.
+    /// Returns the identity of this run of the process.
     pub fn incarnation(&self) -> u64 {
         self.me.borrow().incarnation
     }
 
-    /// Lists the live peers that are heard here.
+    /// Lists the live peers that are reachable from here.
     pub fn live_peers(&self) -> Vec<SocketAddr> {
         self.members.borrow().live(self.now()).map(|peer| peer.address).collect()
     }
 
-    /// Returns the owner of something: this node or a live peer.
-    pub fn owner(&self, what: &str) -> SocketAddr {
-        self.members.borrow().owner(self.now(), &self.me.borrow(), what)
+    /// Returns the owner of `key`: this node or a live peer.
+    pub fn owner(&self, key: &str) -> SocketAddr {
+        self.members.borrow().owner(self.now(), &self.me.borrow(), key)
     }
 
-    /// Returns the owner of something among the live nodes of some failure domains; `None` if there are none.
-    pub fn owner_among(&self, what: &str, is_there: impl Fn(&str) -> bool) -> Option<SocketAddr> {
+    /// Returns the owner of `key` among the live nodes of some failure domains; `None` if there are
+    /// none.
+    pub fn owner_among(
+        &self,
+        key: &str,
+        includes_domain: impl Fn(&str) -> bool,
+    ) -> Option<SocketAddr> {
         let me = self.me.borrow();
-        self.members.borrow().owner_among(self.now(), &me, what, is_there)
+        self.members.borrow().owner_among(self.now(), &me, key, includes_domain)
     }
 
-    /// Sets what this node's link carries, in Mbit/s.
+    /// Sets the capacity of this node's network link, in Mbit/s.
     pub fn set_link_mbps(&self, link_mbps: u32) {
         self.me.borrow_mut().link_mbps = link_mbps;
     }
 
-    /// Returns the number of live nodes, this one included.
+    /// Returns the number of live nodes, including this one.
     pub fn node_count(&self) -> usize {
         let members = self.members.borrow();
         match self.role.borrow().is_mesh() {
@@ -179,7 +187,7 @@
         }
     }
 
-    /// Returns the number of live peers that are heard here, by failure domain.
+    /// Returns the number of live peers that are reachable from here, by failure domain.
     pub fn reachable_by_domain(&self) -> BTreeMap<Arc<str>, usize> {
         let mut counts = BTreeMap::new();
         for peer in self.members.borrow().live(self.now()) {
@@ -188,29 +196,30 @@
         counts
     }
 
-    /// Tells whether this node is a delegate of its failure domain.
+    /// Returns whether this node is a delegate of its failure domain.
     pub fn is_delegate(&self) -> bool {
         self.role.borrow().is_delegate()
     }
 
-    /// Tells whether this node is a delegate among many nodes, whose domain depends on what it tells on.
+    /// Returns whether this node is a delegate in a large fleet, so that followers in its domain
+    /// depend on the reports that it forwards.
     pub fn has_followers(&self) -> bool {
         let role = self.role.borrow();
         role.is_delegate() && !role.is_mesh()
     }
 
-    /// Tells whether peers may have said something that binds this node and that it hasn't read yet.
+    /// Returns whether peers may have sent something binding that this node hasn't read yet.
     pub fn is_catching_up(&self) -> bool {
-        self.stillness.get().is_catching_up(self.now())
+        self.pause_detector.get().is_catching_up(self.now())
     }
 
-    /// Tells whether all peers of another failure domain are silent.
+    /// Returns whether all delegates of another failure domain are silent.
     pub fn is_domain_unreachable(&self, failure_domain: &str) -> bool {
-        let own = *self.me.borrow().failure_domain == *failure_domain;
-        !own && self.members.borrow().is_domain_unreachable(self.now(), failure_domain)
+        let is_own_domain = *self.me.borrow().failure_domain == *failure_domain;
+        !is_own_domain && self.members.borrow().is_domain_unreachable(self.now(), failure_domain)
     }
 
-    /// Returns this node's part in reading the store for the others.
+    /// Returns this node's role in reading the store for the others.
     pub fn reader_role(&self) -> ReaderRole {
         self.members.borrow().reader_role(self.now(), &self.me.borrow())
     }
@@ -221,12 +230,13 @@
         self.send_bytes(peer, frame.encode_to_vec().into());
     }
 
-    /// Sends a message to all peers that are heard here: among few nodes all, among many each node's delegates.
+    /// Sends a message to all peers that are reachable from here: in a small fleet all nodes, in a
+    /// large one the node's delegates.
     pub fn send_to_live_peers(self: &Rc<Self>, body: GatewayBody) {
         self.send_to(&self.live_peers(), body);
     }
 
-    /// Sends a message on to the nodes that depend on this one, if any do.
+    /// Forwards a message to the followers of this node, if there are any.
     pub fn send_to_followers(self: &Rc<Self>, body: GatewayBody) {
         let (role, me) = (self.role.borrow(), self.me.borrow());
         let dependents = role.followers(self.now(), &me, &self.members.borrow());
@@ -242,23 +252,23 @@
         }
     }
 
-    /// Returns one of the live peers, drawn at random.
+    /// Returns a random live peer.
     pub fn random_peer(&self) -> Option<SocketAddr> {
         let members = self.members.borrow();
         members.live(self.now()).choose(&mut rand::rng()).map(|peer| peer.address)
     }
 
-    /// Sends a record, which may be large and is asked for again if it is lost.
+    /// Sends a record, which may be large. The receiver requests it again if it is lost.
     pub fn send_record(self: &Rc<Self>, peer: SocketAddr, body: GatewayBody) {
         let frame = GatewayFrame { sender: self.address().to_string(), body: Some(body) };
         let bytes: Bytes = frame.encode_to_vec().into();
-        if bytes.len() < APART_BYTES {
+        if bytes.len() < SEPARATE_CONNECTION_MIN_BYTES {
             self.send_bytes(peer, bytes);
             return;
         }
         spawn_local(async move {
             let size = bytes.len();
-            if let Err(error) = send_apart(peer, bytes).await {
+            if let Err(error) = send_on_separate_connection(peer, bytes).await {
                 let line = LogLine::event("peer_record_failed").with("peer", peer);
                 log::warn(line.with("bytes", size).with("error", error));
             }
@@ -276,12 +286,12 @@
     }
 
     fn open_link(self: &Rc<Self>, peer: SocketAddr) -> Link {
-        let (sender, receiver) = mpsc::channel(LINK_QUEUE);
+        let (sender, receiver) = mpsc::channel(LINK_QUEUE_MAX);
         let peers = self.clone();
         spawn_local(async move {
             match run_link(peer, receiver).await {
                 Ok(LinkEnd::Dropped) => {}
-                // Nothing was queued since: there is no await in between.
+                // Nothing was queued in the meantime: there is no await in between.
                 Ok(LinkEnd::Idle) => drop(peers.links.borrow_mut().remove(&peer)),
                 Err(reason) => {
                     peers.links.borrow_mut().remove(&peer);
@@ -299,16 +309,16 @@
         }
         let line = LogLine::event("peer_lost").with("peer", peer).with("reason", reason);
         log::warn(line);
-        self.lost(peer);
+        self.notify_lost(peer);
     }
 
-    fn lost(&self, peer: SocketAddr) {
+    fn notify_lost(&self, peer: SocketAddr) {
         if let Some(handler) = self.handler() {
             handler.handle_peer_lost(peer);
         }
     }
 
-    /// Takes connections of peers for as long as the process runs.
+    /// Accepts connections of peers for as long as the process runs.
     pub async fn listen(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
@@ -327,7 +337,7 @@
         let mut framed = Framed::new(stream, codec());
         while let Some(Ok(bytes)) = framed.next().await {
             match GatewayFrame::decode(bytes) {
-                Ok(frame) => self.take(frame),
+                Ok(frame) => self.handle_frame(frame),
                 Err(error) => {
                     log::warn(LogLine::event("peer_frame_malformed").with("error", error));
                     return;
@@ -336,25 +346,27 @@
         }
     }
 
-    fn take(self: &Rc<Self>, frame: GatewayFrame) {
+    fn handle_frame(self: &Rc<Self>, frame: GatewayFrame) {
         let (Ok(sender), Some(body)) = (frame.sender.parse(), frame.body) else {
             log::warn(LogLine::event("peer_frame_malformed").with("sender", frame.sender));
             return;
         };
-        let is_leftover = self.stillness.get().may_receive_stale(self.now());
+        let may_be_stale = self.pause_detector.get().may_receive_stale(self.now());
         match body {
             GatewayBody::Heartbeat(mut heartbeat) => {
-                if is_leftover {
-                    // It would confirm what may have changed while this process stood still.
+                if may_be_stale {
+                    // These ages would confirm state that may have changed while this process was
+                    // paused.
                     (heartbeat.config_age_ms, heartbeat.directory_age_ms) = (None, None);
-                    // That one is over may have been said before it was named; a limit that is over is lifted by the next answer.
-                    heartbeat.limits.retain(|word| word.per_s.is_some());
+                    // A lifted limit may have been reported before the limit was set; a limit that
+                    // has ended is lifted by the upstream's next response.
+                    heartbeat.limits.retain(|limit| limit.per_s.is_some());
                 }
-                self.heard(sender, &heartbeat);
+                self.handle_heartbeat(sender, &heartbeat);
             }
             mut body => {
                 if let GatewayBody::Directory(records) = &mut body
-                    && is_leftover
+                    && may_be_stale
                 {
                     records.age_ms = None;
                 }
@@ -365,7 +377,7 @@
         }
     }
 
-    fn heard(self: &Rc<Self>, sender: SocketAddr, heartbeat: &GatewayHeartbeat) {
+    fn handle_heartbeat(self: &Rc<Self>, sender: SocketAddr, heartbeat: &GatewayHeartbeat) {
         let interval = match heartbeat.interval_ms {
             0 => HEARTBEAT_INTERVAL,
             ms => Duration::from_millis(ms.into()),
@@ -380,108 +392,118 @@
             known_nodes: heartbeat.nodes as usize,
             interval,
         };
-        let is_new = self.members.borrow_mut().record_heartbeat(self.now(), member);
+        let has_joined = self.members.borrow_mut().record_heartbeat(self.now(), member);
         self.suggest(heartbeat.peers.iter().filter_map(|peer| peer.parse().ok()));
-        if is_new {
+        if has_joined {
             log::info(LogLine::event("peer_joined").with("peer", sender));
             let is_delegate = !heartbeat.is_follower;
             let domain = &heartbeat.failure_domain;
-            let pace = self.role.borrow().reply_rate(&self.me.borrow(), is_delegate, domain);
-            if let Some(pace) = pace {
-                self.send_heartbeat(&mut Round::default(), sender, pace);
+            let rate = self.role.borrow().reply_rate(&self.me.borrow(), is_delegate, domain);
+            if let Some(rate) = rate {
+                self.send_heartbeat(&mut HeartbeatRound::default(), sender, rate);
             }
         }
         if let Some(handler) = self.handler() {
-            if is_new {
+            if has_joined {
                 handler.handle_peer_joined(sender);
             }
             handler.handle_heartbeat(sender, heartbeat);
         }
-        let mut stillness = self.stillness.get();
-        stillness.record_heartbeat();
-        self.stillness.set(stillness);
+        let mut pause_detector = self.pause_detector.get();
+        pause_detector.record_heartbeat();
+        self.pause_detector.set(pause_detector);
     }
 
     /// Sends heartbeats for as long as the process runs.
     pub async fn run_heartbeats(self: Rc<Self>) {
-        let mut before = self.now();
+        let mut previous_at = self.now();
         loop {
             let round_at = self.now();
-            self.note_stillness(round_at);
+            self.detect_pause(round_at);
             self.send_heartbeats();
             tokio::time::sleep(HEARTBEAT_INTERVAL).await;
             let now = self.now();
-            let lost = self.members.borrow_mut().expire(before, now);
-            before = now;
-            for silent in lost {
-                let line = LogLine::event("peer_lost").with("peer", silent.address);
-                let line =
-                    line.with("reason", "silent").with("silent_ms", silent.silent_for.as_millis());
-                let line = line.with("is_delegate", silent.is_delegate);
-                // A node that stood still itself finds many silent at once.
+            let lost_peers = self.members.borrow_mut().expire(previous_at, now);
+            previous_at = now;
+            for silent_peer in lost_peers {
+                let line = LogLine::event("peer_lost").with("peer", silent_peer.address);
+                let line = line
+                    .with("reason", "silent")
+                    .with("silent_ms", silent_peer.silent_for.as_millis());
+                let line = line.with("is_delegate", silent_peer.is_delegate);
+                // A node that was paused itself finds many peers silent at once.
                 log::warn(line.with("round_ms", (now - round_at).as_millis()));
-                self.lost(silent.address);
+                self.notify_lost(silent_peer.address);
             }
         }
     }
 
-    fn note_stillness(&self, now: Duration) {
-        let mut stillness = self.stillness.get();
-        if let Some(gap) = stillness.record_round(now) {
+    fn detect_pause(&self, now: Duration) {
+        let mut pause_detector = self.pause_detector.get();
+        if let Some(gap) = pause_detector.record_round(now) {
             log::warn(LogLine::event("stood_still").with("for_ms", gap.as_millis()));
         }
-        self.stillness.set(stillness);
+        self.pause_detector.set(pause_detector);
     }
 
     fn send_heartbeats(self: &Rc<Self>) {
-        self.rounds.set(self.rounds.get() + 1);
-        let has_changed = self.update_role();
+        self.round_count.set(self.round_count.get() + 1);
+        let role_changed = self.update_role();
         let now = self.now();
         let me = self.me.borrow().clone();
         let members = self.members.borrow();
-        let audience = match has_changed && !me.is_delegate {
-            // Nobody is to wait for the next heartbeat of a node that is no delegate any more.
-            true => members.contacts().into_iter().map(|peer| (peer, HeartbeatRate::Slow)).collect(),
-            false => self.role.borrow().heartbeat_targets(now, &me, &members, self.rounds.get()),
+        let targets = match role_changed && !me.is_delegate {
+            // A node that stops being a delegate reports that to all peers at once.
+            true => {
+                members.contacts().into_iter().map(|peer| (peer, HeartbeatRate::Slow)).collect()
+            }
+            false => {
+                self.role.borrow().heartbeat_targets(now, &me, &members, self.round_count.get())
+            }
         };
         drop(members);
-        let is_due = self.rounds.get().is_multiple_of(DOMAIN_LOADS_ROUNDS);
-        let tells_domain = is_due && self.members.borrow().is_load_reporter(now, &me);
-        let mut round = Round { tells_domain, ..Round::default() };
-        for (peer, pace) in audience {
-            self.send_heartbeat(&mut round, peer, pace);
+        let is_due = self.round_count.get().is_multiple_of(DOMAIN_LOADS_INTERVAL_ROUNDS);
+        let includes_domain_loads = is_due && self.members.borrow().is_load_reporter(now, &me);
+        let mut round = HeartbeatRound { includes_domain_loads, ..HeartbeatRound::default() };
+        for (peer, rate) in targets {
+            self.send_heartbeat(&mut round, peer, rate);
         }
     }
 
-    /// Takes in who is there now, and what follows for this node's own part; tells whether that has changed.
+    /// Updates this node's role from the current members. Returns whether the role changed.
     fn update_role(&self) -> bool {
         let now = self.now();
         let mut me = self.me.borrow_mut();
-        let changed = self.role.borrow_mut().update(now, &me, &self.members.borrow());
+        let role_changed = self.role.borrow_mut().update(now, &me, &self.members.borrow());
         me.is_delegate = self.role.borrow().is_delegate();
         me.known_nodes = self.members.borrow().reachable_node_count(now);
         let is_delegate = me.is_delegate;
         drop(me);
-        if changed {
+        if role_changed {
             let line = LogLine::event("delegate_changed").with("is_delegate", is_delegate);
             log::info(line.with("nodes", self.node_count()));
         }
         if !is_delegate {
-            let unfollowed = self.members.borrow_mut().drop_followers(now);
-            for peer in unfollowed {
+            let followers = self.members.borrow_mut().drop_followers(now);
+            for peer in followers {
                 if let Some(handler) = self.handler() {
                     handler.handle_peer_unfollowed(peer);
                 }
             }
         }
-        changed
+        role_changed
     }
 
-    /// Sends a heartbeat; those of one round that say the same are encoded once for all who get them.
-    fn send_heartbeat(self: &Rc<Self>, round: &mut Round, peer: SocketAddr, pace: HeartbeatRate) {
+    /// Sends a heartbeat. Heartbeats of one round with equal content are encoded once.
+    fn send_heartbeat(
+        self: &Rc<Self>,
+        round: &mut HeartbeatRound,
+        peer: SocketAddr,
+        rate: HeartbeatRate,
+    ) {
         let is_first = !self.members.borrow().is_live(self.now(), peer);
-        let loads_of = self.loads_for(peer, pace, round.tells_domain);
-        let kind = HeartbeatKind { pace, is_first, loads_of };
+        let load_scope = self.load_scope_for(peer, rate, round.includes_domain_loads);
+        let kind = HeartbeatKind { rate, is_first, load_scope };
         let bytes = match round.encoded.iter().find(|(encoded, _)| *encoded == kind) {
             Some((_, bytes)) => bytes.clone(),
             None => {
@@ -495,11 +517,17 @@
         self.send_bytes(peer, bytes);
     }
 
-    /// Returns whose loads a peer is told of. The first delegate of a domain tells those of the domain to all but the
-    /// domain's other delegates, which hear its nodes themselves.
-    fn loads_for(&self, peer: SocketAddr, pace: HeartbeatRate, tells_domain: bool) -> LoadsOf {
+    /// Returns whose loads a peer gets. The first delegate of a domain reports the loads of the
+    /// whole domain to all peers except the domain's other delegates, which receive heartbeats of
+    /// its nodes themselves.
+    fn load_scope_for(
+        &self,
+        peer: SocketAddr,
+        rate: HeartbeatRate,
+        includes_domain_loads: bool,
+    ) -> LoadsOf {
         let role = self.role.borrow();
-        if role.is_mesh() || (!role.is_delegate() && pace == HeartbeatRate::Fast) {
+        if role.is_mesh() || (!role.is_delegate() && rate == HeartbeatRate::Fast) {
             return LoadsOf::Sender;
         }
         if !role.is_delegate() {
@@ -508,20 +536,20 @@
         if self.members.borrow().is_delegate_of(peer, &self.me.borrow().failure_domain) {
             return LoadsOf::Sender;
         }
-        if tells_domain { LoadsOf::Domain } else { LoadsOf::Nobody }
+        if includes_domain_loads { LoadsOf::Domain } else { LoadsOf::Nobody }
     }
 
     fn heartbeat(&self, kind: HeartbeatKind) -> GatewayHeartbeat {
         let is_mesh = self.role.borrow().is_mesh();
-        let named = match (kind.is_first, is_mesh) {
-            (true, _) => NAMED_PEERS_FIRST,
-            (false, true) => NAMED_PEERS,
-            (false, false) => NAMED_PEERS_MANY,
+        let named_count = match (kind.is_first, is_mesh) {
+            (true, _) => PEERS_PER_FIRST_HEARTBEAT,
+            (false, true) => PEERS_PER_HEARTBEAT,
+            (false, false) => PEERS_PER_DELEGATE_HEARTBEAT,
         };
         let mut heartbeat = {
             let me = self.me.borrow();
             let members = self.members.borrow();
-            let others = members.live(self.now()).sample(&mut rand::rng(), named);
+            let others = members.live(self.now()).sample(&mut rand::rng(), named_count);
             GatewayHeartbeat {
                 incarnation: me.incarnation,
                 failure_domain: me.failure_domain.to_string(),
@@ -530,13 +558,13 @@
                 is_follower: !me.is_delegate,
                 link_mbps: me.link_mbps,
                 nodes: me.known_nodes as u32,
-                interval_ms: kind.pace.interval().as_millis() as u32,
-                loads_of: kind.loads_of.into(),
+                interval_ms: kind.rate.interval().as_millis() as u32,
+                loads_of: kind.load_scope.into(),
                 ..GatewayHeartbeat::default()
             }
         };
         if let Some(handler) = self.handler() {
-            handler.fill_heartbeat(&mut heartbeat, kind.loads_of);
+            handler.fill_heartbeat(&mut heartbeat, kind.load_scope);
         }
         heartbeat
     }
@@ -550,15 +578,15 @@
     }
 }
 
-/// Why a link ended that didn't fail.
+/// Why a link ended without a failure.
 enum LinkEnd {
-    /// Nobody sends on it any more.
+    /// Its sender was dropped.
     Dropped,
-    /// Nothing was sent for a while.
+    /// Nothing was sent for [`LINK_IDLE_MAX`].
     Idle,
 }
 
-/// Writes the messages of a link until it fails, is idle or nobody sends any more.
+/// Writes the messages of a link until it fails, is idle or its sender is dropped.
 async fn run_link(peer: SocketAddr, mut queue: mpsc::Receiver<Bytes>) -> std::io::Result<LinkEnd> {
     let mut stream = timeout(CONNECT_TIMEOUT, connect(peer)).await??;
     let mut codec = codec();
@@ -577,8 +605,8 @@
     }
 }
 
-/// Sends one message over a connection of its own.
-async fn send_apart(peer: SocketAddr, bytes: Bytes) -> std::io::Result<()> {
+/// Sends one message on a separate connection.
+async fn send_on_separate_connection(peer: SocketAddr, bytes: Bytes) -> std::io::Result<()> {
     let mut stream = timeout(CONNECT_TIMEOUT, connect(peer)).await??;
     let mut written = BytesMut::new();
     codec().encode(bytes, &mut written)?;
@@ -586,7 +614,7 @@
     stream.shutdown().await
 }
 
-/// Writes all bytes to a peer that goes on taking them, however long that takes.
+/// Writes all bytes, however long that takes, as long as the peer goes on receiving them.
 async fn write_all(stream: &mut TcpStream, bytes: &mut BytesMut) -> std::io::Result<()> {
     while bytes.has_remaining() {
         let written = timeout(UNACKNOWLEDGED_MAX, stream.write(bytes)).await??;
