--- a/crates/fernring-gateway/src/upstreams/access.rs
+++ b/crates/fernring-gateway/src/upstreams/access.rs
@@ -1,4 +1,5 @@
-//! What may be sent to an upstream now: evacuations, and this node's turns at cold ones.
+//! Which sends to an upstream are allowed now: evacuations, regions, versions, and this node's
+//! permits for cold upstreams.
 
 use {
     super::Upstreams,
@@ -20,34 +21,35 @@
 };
 
 /// The rank that goes before all others.
-const MOST_URGENT: usize = 0;
+const MOST_URGENT_RANK: usize = 0;
 
-/// What is known of cold upstreams, and of this node's turns at them.
+/// Cold upstreams, and this node's permits for them.
 #[derive(Debug)]
-pub(super) struct Cold {
+pub(super) struct ColdState {
     pub(super) settings: ColdSettings,
     /// Identity of this node.
     pub(super) node: u64,
     pub(super) started_at: Duration,
-    pub(super) nodes: MostNodes,
-    pub(super) turns: SecondaryMap<UpstreamKey, Turns>,
+    pub(super) peak_nodes: MostNodes,
+    pub(super) permits: SecondaryMap<UpstreamKey, Turns>,
     pub(super) no_listener: SecondaryMap<UpstreamKey, NoListener>,
 }
 
-impl Cold {
-    fn asker(&self, upstream: &Upstream) -> Asker {
+impl ColdState {
+    fn permit_scope(&self, upstream: &Upstream) -> Asker {
         let upstream = u64::from(upstream.record.run_hash());
-        Asker { node: self.node, upstream, nodes: self.nodes.most() }
+        Asker { node: self.node, upstream, nodes: self.peak_nodes.most() }
     }
 }
 
 impl Upstreams {
-    /// Says how many nodes have a record in the store: there may be so many, whether they are heard or not.
+    /// Sets how many nodes have a record in the store. That many nodes may exist, even if some of
+    /// them are unreachable.
     pub fn set_recorded_nodes(&self, nodes: usize) {
-        self.cold.borrow_mut().nodes.saw(self.clock.now().monotonic, nodes);
+        self.cold.borrow_mut().peak_nodes.saw(self.clock.now().monotonic, nodes);
     }
 
-    /// Sets what cold upstreams may be sent beside what the configuration says.
+    /// Sets the bounds on sends to cold upstreams that apply in addition to the configuration.
     pub fn set_cold_bounds(&self, settings: ColdSettings) {
         self.cold.borrow_mut().settings = settings;
     }
@@ -62,29 +64,30 @@
         self.regions.borrow()
     }
 
-    /// Tells whether what may be served in some regions only may be served in a failure domain.
+    /// Returns whether a request with this residency may be served in a failure domain.
     pub fn allows_domain(&self, residency: &Residency, failure_domain: &str) -> bool {
         !residency.is_restricted() || residency.allows(self.regions().of(failure_domain))
     }
 
-    /// Tells whether a service has upstreams that take work, and none of them in regions that are allowed.
+    /// Returns whether a service has upstreams that accept work, but none of them lies in an
+    /// allowed region.
     pub fn is_outside_regions(&self, service: &str, residency: &Residency) -> bool {
         if !residency.is_restricted() {
             return false;
         }
         let directory = self.directory.borrow();
-        let takes_work = |(key, upstream): &(UpstreamKey, &Upstream)| {
-            self.may_send_to(*key, upstream, None).is_ok()
+        let accepts_work = |(key, upstream): &(UpstreamKey, &Upstream)| {
+            self.check_upstream(*key, upstream, None).is_ok()
         };
         let mut domains = directory
             .of_service(service)
-            .filter(takes_work)
+            .filter(accepts_work)
             .map(|(_, upstream)| &upstream.record.failure_domain)
             .peekable();
         domains.peek().is_some() && !domains.any(|domain| self.allows_domain(residency, domain))
     }
 
-    /// Tells whether an upstream may be sent something of a request that is restricted to regions.
+    /// Checks that an upstream lies in a region that is allowed for a request.
     pub(super) fn check_region(
         &self,
         key: UpstreamKey,
@@ -98,38 +101,40 @@
         }
     }
 
-    /// Returns the operators' words on failure domains.
+    /// Returns the operators' evacuation orders for failure domains.
     pub fn evacuations(&self) -> &RefCell<Evacuations> {
         &self.evacuations
     }
 
-    /// Tells whether an upstream may be sent something new now: see [`crate::barred`].
+    /// Returns whether new work may be sent to an upstream now. The reasons against it are listed
+    /// in the module `eligibility`.
     ///
     /// # Errors
-    /// With the reason if it may not.
+    /// Returns the reason if nothing may be sent.
     pub fn may_send(&self, key: UpstreamKey) -> Result<(), Barred> {
-        self.asked(key)?;
+        self.check_eligibility(key)?;
         let directory = self.directory.borrow();
         let upstream = directory.get(key).ok_or(Barred::Gone)?;
         let now = self.clock.now().monotonic;
-        match self.takes_no_more(now, &upstream.record, MOST_URGENT) {
+        match self.is_limit_exhausted(now, &upstream.record, MOST_URGENT_RANK) {
             true => Err(Barred::Limited),
             false => Ok(()),
         }
     }
 
-    pub(super) fn asked(&self, key: UpstreamKey) -> Result<Option<ColdBounds>, Barred> {
+    pub(super) fn check_eligibility(&self, key: UpstreamKey) -> Result<Option<ColdBounds>, Barred> {
         let directory = self.directory.borrow();
         let upstream = directory.get(key).ok_or(Barred::Gone)?;
-        self.may_send_to(key, upstream, self.cold_start(&upstream.record.service))
+        self.check_upstream(key, upstream, self.cold_start(&upstream.record.service))
     }
 
     pub(super) fn cold_start(&self, service: &str) -> Option<ColdStart> {
         self.config.borrow().cold_start(service)
     }
 
-    /// Tells whether an upstream may be sent to; with what it bears if it is cold.
-    pub(super) fn may_send_to(
+    /// Checks whether an upstream may be sent new work, its announced limit aside. Returns the
+    /// bounds that apply if it is cold.
+    pub(super) fn check_upstream(
         &self,
         key: UpstreamKey,
         upstream: &Upstream,
@@ -149,14 +154,14 @@
             return Ok(None);
         };
         let cold = self.cold.borrow();
-        let turns = cold.turns.get(key).copied().unwrap_or_default();
+        let permits = cold.permits.get(key).copied().unwrap_or_default();
         let now = self.clock.now().monotonic;
-        let has_turn = now >= cold.started_at + START_TIME
-            && turns.has_turn(now, &bounds, cold.asker(upstream));
-        if has_turn { Ok(Some(bounds)) } else { Err(Barred::Cold) }
+        let has_permit = now >= cold.started_at + START_TIME
+            && permits.has_turn(now, &bounds, cold.permit_scope(upstream));
+        if has_permit { Ok(Some(bounds)) } else { Err(Barred::Cold) }
     }
 
-    /// Returns what an upstream bears, if it is cold.
+    /// Returns the bounds on sends to an upstream if it is cold.
     pub(super) fn cold_bounds(
         &self,
         key: UpstreamKey,
@@ -167,35 +172,37 @@
         let now = self.clock.now().monotonic;
         let no_listener = cold.no_listener.get(key);
         let record_at = upstream.at;
-        let is_suspected = no_listener.is_some_and(|no| no.is_cold(now, record_at, start.time));
+        let is_suspected =
+            no_listener.is_some_and(|refused| refused.is_cold(now, record_at, start.time));
         let ColdSettings { overage, slack } = cold.settings;
         let bounds = ColdBounds { per_s: start.per_s, overage, slack };
         (is_suspected || upstream.is_cold(now)).then_some(bounds)
     }
 
-    /// Takes this node's turn at an upstream if it is cold.
-    pub(super) fn take_turn(&self, key: UpstreamKey) -> Result<(), Barred> {
-        let Some(bounds) = self.asked(key)? else {
+    /// Acquires one of this node's permits for an upstream if it is cold.
+    pub(super) fn acquire_permit(&self, key: UpstreamKey) -> Result<(), Barred> {
+        let Some(bounds) = self.check_eligibility(key)? else {
             return Ok(());
         };
         let directory = self.directory.borrow();
         let upstream = directory.get(key).ok_or(Barred::Gone)?;
         let mut cold = self.cold.borrow_mut();
-        let asker = cold.asker(upstream);
-        let entry = cold.turns.entry(key).ok_or(Barred::Gone)?;
+        let permit_scope = cold.permit_scope(upstream);
+        let entry = cold.permits.entry(key).ok_or(Barred::Gone)?;
         let now = self.clock.now().monotonic;
-        if entry.or_default().take(now, &bounds, asker) { Ok(()) } else { Err(Barred::Cold) }
+        if entry.or_default().take(now, &bounds, permit_scope) { Ok(()) } else { Err(Barred::Cold) }
     }
 
-    /// Tells whether a service has upstreams that could take work, and all of them lie in evacuated failure domains.
+    /// Returns whether a service has upstreams that could accept work, and all of them lie in
+    /// evacuated failure domains.
     pub fn is_evacuated(&self, service: &str) -> bool {
         let directory = self.directory.borrow();
-        let asked = directory
+        let results = directory
             .of_service(service)
-            .map(|(key, upstream)| self.may_send_to(key, upstream, None));
+            .map(|(key, upstream)| self.check_upstream(key, upstream, None));
         let mut any_evacuated = false;
-        for asked in asked {
-            match asked {
+        for result in results {
+            match result {
                 Err(Barred::Evacuated) => any_evacuated = true,
                 Err(_) => {}
                 Ok(_) => return false,
@@ -204,16 +211,18 @@
         any_evacuated
     }
 
-    /// Tells whether an upstream at which this node has taken a turn may get nothing new any more.
-    pub(super) fn barred_since(&self, key: UpstreamKey) -> Result<(), Barred> {
+    /// Returns an error if an upstream for which this node holds a permit became ineligible since
+    /// the permit was acquired.
+    pub(super) fn ineligible_since(&self, key: UpstreamKey) -> Result<(), Barred> {
         match self.may_send(key) {
             Err(Barred::Cold | Barred::Limited) => Ok(()),
             other => other,
         }
     }
 
-    /// Takes in whether somebody listened at an upstream's address.
-    pub(super) fn note_listener(&self, key: UpstreamKey, failure: Option<&SendFailure>) {
+    /// Records whether a connection to an upstream's address was accepted, or refused because
+    /// nothing listens there.
+    pub(super) fn record_connect_result(&self, key: UpstreamKey, failure: Option<&SendFailure>) {
         let directory = self.directory.borrow();
         let Some(upstream) = directory.get(key) else {
             return;
--- a/crates/fernring-gateway/src/upstreams/announced_limits.rs
+++ b/crates/fernring-gateway/src/upstreams/announced_limits.rs
@@ -1,7 +1,9 @@
-//! What upstreams say of how much they take from all nodes together, and the question before each send there.
+//! Limits that upstreams announce for the requests of all nodes together, and the permit for each
+//! send to such an upstream.
 //!
-//! [`crate::limits`] knows the newest words, [`crate::turns_granted`] grants. All nodes ask the same node for an upstream, as far
-//! as they see the same members; a word is told on in heartbeats, in questions and in their answers.
+//! The module `limits` keeps the newest announced limits, the module `permit_issuer` decides on
+//! permits. All nodes request the permits of an upstream from the same node, as far as they see the
+//! same members. Limits are passed on in heartbeats, in permit requests and in their responses.
 
 use {
     super::{Target, Upstreams},
@@ -27,340 +29,386 @@
     },
 };
 
-/// Longest wait for the node that counts: some round trips between failure domains. A request that got no word goes elsewhere.
-const ANSWER_WAIT: Duration = Duration::from_millis(100);
-/// How long a node doesn't ask again that got no word: until it knows who counts now.
-const UNANSWERED_PAUSE: Duration = Duration::from_millis(200);
-/// Time after its start in which a node grants nothing: it may count while it doesn't know of the others yet.
-const START_TIME: Duration = Duration::from_secs(1);
-/// Pause between two looks whether this node has caught up, and how often it looks at most.
-const CATCH_UP_PAUSE: Duration = Duration::from_millis(5);
-const CATCH_UP_LOOKS: usize = 80;
-/// Most words that a heartbeat tells, some 400 bytes. Further ones have their turn in the next.
-const TOLD_MAX: usize = 24;
-
-/// Finds and asks the nodes that count for all.
+/// Longest wait for a permit response: some round trips between failure domains. A request that
+/// gets none is sent to another upstream.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(100);
+/// How long a node requests no permits after one request got no response: by then it knows which
+/// node is the issuer.
+const UNANSWERED_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Time after its start in which a node issues no permits: it may be the issuer only because it
+/// doesn't know the other nodes yet.
+const STARTUP_TIME: Duration = Duration::from_secs(1);
+/// Pause between two checks whether this node has caught up, and the most checks it makes.
+const CATCH_UP_POLL_INTERVAL: Duration = Duration::from_millis(5);
+const CATCH_UP_POLLS_MAX: usize = 80;
+/// Most limits in a heartbeat: 400 bytes. Further ones follow in the next heartbeats.
+const PUBLISHED_LIMITS_MAX: usize = 24;
+
+/// Finds the nodes that issue permits, and carries requests and responses.
 pub trait PermitTransport {
-    /// Returns the node that counts for a start of an upstream; `None` if it is this one.
-    fn issuer(&self, run: u64) -> Option<SocketAddr>;
+    /// Returns the node that issues the permits for an incarnation of an upstream; `None` if it is
+    /// this node.
+    fn issuer(&self, incarnation_id: u64) -> Option<SocketAddr>;
 
-    /// Returns how many nodes are heard, this one included.
+    /// Returns the number of reachable nodes, including this one.
     fn node_count(&self) -> usize;
 
-    /// Tells whether peers may have named a limit that this node hasn't read yet.
+    /// Returns whether peers may have reported a limit that this node hasn't read yet.
     fn is_catching_up(&self) -> bool;
 
-    /// Sends a question.
-    fn send_request(&self, counter: SocketAddr, question: TurnQuestion);
+    /// Sends a permit request.
+    fn send_request(&self, issuer: SocketAddr, request: TurnQuestion);
 
-    /// Sends an answer.
-    fn send_response(&self, asker: SocketAddr, answer: TurnAnswer);
+    /// Sends a permit response.
+    fn send_response(&self, requester: SocketAddr, response: TurnAnswer);
 }
 
-/// That an upstream takes no more for some time, as this node was told.
+/// The permits of an upstream are used up for some time, as a denial said.
 #[derive(Debug, Clone, Copy, Default)]
-struct Closed {
-    /// By rank. Invariant: a less urgent rank isn't told to ask sooner.
-    until: [Duration; RANKS],
-    /// When what is asked for should be done.
+struct Exhaustion {
+    /// When to request permits again, by rank. Invariant: no rank retries sooner than a more urgent
+    /// one.
+    retry_at: [Duration; RANKS],
+    /// When the current demand should have drained.
     drained_at: Duration,
 }
 
-/// What is known of upstreams that name limits.
+/// State of the upstreams that announce limits.
 #[derive(Default)]
-pub(super) struct Limited {
+pub(super) struct LimitedUpstreams {
     limits: Limits,
-    closed: HashMap<u64, Closed>,
-    /// What this node has granted.
-    grants: HashMap<u64, Grants>,
-    /// Questions that wait for their answers.
+    exhausted: HashMap<u64, Exhaustion>,
+    /// The permits that this node issues.
+    permit_issuers: HashMap<u64, Grants>,
+    /// Permit requests that wait for their responses.
     pending: HashMap<u64, oneshot::Sender<TurnAnswer>>,
-    /// Starts whose last answer named a limit that is no number: said once, not with each answer.
-    refused: HashSet<u64>,
+    /// Incarnations whose last response announced an unreadable limit. Logged once, not for each
+    /// response.
+    unreadable: HashSet<u64>,
     last_ticket: u64,
-    /// Words told so far, for whose turn it is.
-    told: usize,
-    counters: Option<Rc<dyn PermitTransport>>,
+    /// Limits published so far; selects the ones for the next heartbeat.
+    published_count: usize,
+    permit_transport: Option<Rc<dyn PermitTransport>>,
 }
 
-impl std::fmt::Debug for Limited {
+impl std::fmt::Debug for LimitedUpstreams {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Limited").field("limits", &self.limits).finish_non_exhaustive()
     }
 }
 
-impl Limited {
-    fn close(&mut self, now: Duration, run: u64, rank: usize, denied: Denied) {
-        let closed = self.closed.entry(run).or_default();
-        closed.drained_at = now + denied.drained_after;
-        for until in closed.until.iter_mut().skip(rank) {
-            *until = (*until).max(now + denied.ask_again_after);
+impl LimitedUpstreams {
+    fn mark_exhausted(&mut self, now: Duration, incarnation_id: u64, rank: usize, denied: Denied) {
+        let exhausted = self.exhausted.entry(incarnation_id).or_default();
+        exhausted.drained_at = now + denied.drained_after;
+        for retry_at in exhausted.retry_at.iter_mut().skip(rank) {
+            *retry_at = (*retry_at).max(now + denied.ask_again_after);
         }
     }
 
-    fn is_closed(&self, now: Duration, run: u64, rank: usize) -> bool {
-        let until = self.closed.get(&run).map(|closed| closed.until[rank.min(RANKS - 1)]);
-        self.limits.of(run).is_some() && until.is_some_and(|until| now < until)
+    fn is_exhausted(&self, now: Duration, incarnation_id: u64, rank: usize) -> bool {
+        let retry_at = self
+            .exhausted
+            .get(&incarnation_id)
+            .map(|exhausted| exhausted.retry_at[rank.min(RANKS - 1)]);
+        self.limits.of(incarnation_id).is_some() && retry_at.is_some_and(|retry_at| now < retry_at)
     }
 
-    fn message(&self, now: Duration, run: u64) -> gateway::LimitWord {
-        let word = self.limits.word(run);
+    fn limit_report(&self, now: Duration, incarnation_id: u64) -> gateway::LimitWord {
+        let announced = self.limits.word(incarnation_id);
         gateway::LimitWord {
-            run,
-            per_s: word.and_then(|word| word.per_s),
-            age_ms: word.map_or(u32::MAX, |word| age_ms(now, word.at)),
+            run: incarnation_id,
+            per_s: announced.and_then(|limit| limit.per_s),
+            age_ms: announced.map_or(u32::MAX, |limit| age_ms(now, limit.at)),
         }
     }
 }
 
 impl Upstreams {
-    /// Sets who finds and asks the nodes that count; without, this node counts alone.
-    pub fn set_permit_transport(&self, counters: Rc<dyn PermitTransport>) {
-        self.limited.borrow_mut().counters = Some(counters);
+    /// Sets the transport of permit requests. Without it, this node issues all permits itself.
+    pub fn set_permit_transport(&self, permit_transport: Rc<dyn PermitTransport>) {
+        self.limited_upstreams.borrow_mut().permit_transport = Some(permit_transport);
     }
 
-    /// Takes in what an answer of an upstream says of how much it takes, whose request left at `sent_at`.
-    pub fn record_announced_limit(&self, target: &Target, sent_at: Duration, said: SaidLimit) {
-        let (now, run) = (self.clock.now().monotonic, target.incarnation_id());
-        let mut limited = self.limited.borrow_mut();
-        if said == SaidLimit::Unreadable {
-            // What was known stays.
-            if limited.refused.insert(run) {
+    /// Records the limit that a response of an upstream announces. The request was sent at
+    /// `sent_at`.
+    pub fn record_announced_limit(&self, target: &Target, sent_at: Duration, announced: SaidLimit) {
+        let (now, incarnation_id) = (self.clock.now().monotonic, target.incarnation_id());
+        let mut limited_upstreams = self.limited_upstreams.borrow_mut();
+        if announced == SaidLimit::Unreadable {
+            // The known limit stays in force.
+            if limited_upstreams.unreadable.insert(incarnation_id) {
                 let line = LogLine::event("upstream_limit_refused");
                 log::warn(line.with("upstream", &target.instance));
             }
             return;
         }
-        limited.refused.remove(&run);
-        if let Some(change) = limited.limits.heard(now, run, sent_at, said) {
-            log_limit(run, change, &target.instance);
+        limited_upstreams.unreadable.remove(&incarnation_id);
+        if let Some(change) =
+            limited_upstreams.limits.heard(now, incarnation_id, sent_at, announced)
+        {
+            log_limit(incarnation_id, change, &target.instance);
         }
     }
 
-    /// Takes in what a peer tells of upstreams' limits.
-    pub fn apply_peer_limits(&self, words: &[gateway::LimitWord]) {
+    /// Applies the limits that a peer reports.
+    pub fn apply_peer_limits(&self, reports: &[gateway::LimitWord]) {
         let now = self.clock.now().monotonic;
-        for word in words {
-            let at = now.saturating_sub(Duration::from_millis(word.age_ms.into()));
-            if word.per_s.is_some_and(|per_s| !(per_s.is_finite() && per_s >= 0.0)) {
+        for report in reports {
+            let at = now.saturating_sub(Duration::from_millis(report.age_ms.into()));
+            if report.per_s.is_some_and(|per_s| !(per_s.is_finite() && per_s >= 0.0)) {
                 continue;
             }
-            let told = LimitWord { per_s: word.per_s, at };
-            let change = self.limited.borrow_mut().limits.told(word.run, told);
+            let limit = LimitWord { per_s: report.per_s, at };
+            let change = self.limited_upstreams.borrow_mut().limits.told(report.run, limit);
             if let Some(change) = change {
-                log_limit(word.run, change, "peer");
+                log_limit(report.run, change, "peer");
             }
         }
     }
 
-    /// Lists what peers are to be told of upstreams' limits.
+    /// Lists the limits for the next heartbeat.
     pub fn limits_to_publish(&self) -> Vec<gateway::LimitWord> {
         let now = self.clock.now().monotonic;
-        let mut limited = self.limited.borrow_mut();
-        let mut runs: Vec<_> = limited.limits.to_tell(now).map(|(run, _)| run).collect();
-        runs.sort_unstable();
-        let count = runs.len().min(TOLD_MAX);
-        let first = limited.told % runs.len().max(1);
-        limited.told = first + count;
-        let in_turn = runs.iter().cycle().skip(first).take(count);
-        in_turn.map(|run| limited.message(now, *run)).collect()
+        let mut limited_upstreams = self.limited_upstreams.borrow_mut();
+        let mut incarnation_ids: Vec<_> = limited_upstreams
+            .limits
+            .to_tell(now)
+            .map(|(incarnation_id, _)| incarnation_id)
+            .collect();
+        incarnation_ids.sort_unstable();
+        let count = incarnation_ids.len().min(PUBLISHED_LIMITS_MAX);
+        let first = limited_upstreams.published_count % incarnation_ids.len().max(1);
+        limited_upstreams.published_count = first + count;
+        let selected = incarnation_ids.iter().cycle().skip(first).take(count);
+        selected
+            .map(|incarnation_id| limited_upstreams.limit_report(now, *incarnation_id))
+            .collect()
     }
 
-    /// Returns the number of upstreams that name a limit.
+    /// Returns the number of upstreams that announce a limit.
     pub fn limited_count(&self) -> usize {
-        self.limited.borrow().limits.in_force()
+        self.limited_upstreams.borrow().limits.in_force()
     }
 
-    /// Returns the requests a second that an upstream takes from all nodes, if it names a limit.
+    /// Returns the limit that an upstream announces for all nodes, in requests a second.
     pub fn limit_of(&self, record: &UpstreamRecord) -> Option<f64> {
-        self.limited.borrow().limits.of(record.run_id())
+        self.limited_upstreams.borrow().limits.of(record.run_id())
     }
 
-    /// Tells whether this node knows that an upstream takes no more of a rank now.
-    pub(super) fn takes_no_more(
+    /// Returns whether the permits of an upstream are known to be used up for a rank.
+    pub(super) fn is_limit_exhausted(
         &self,
         now: Duration,
         record: &UpstreamRecord,
         rank: usize,
     ) -> bool {
-        let limited = self.limited.borrow();
-        !limited.closed.is_empty() && limited.is_closed(now, record.run_id(), rank)
+        let limited_upstreams = self.limited_upstreams.borrow();
+        !limited_upstreams.exhausted.is_empty()
+            && limited_upstreams.is_exhausted(now, record.run_id(), rank)
     }
 
-    /// Tells whether an upstream takes no word of results that are given up now.
+    /// Returns whether an upstream accepts no releases of results now, because its permits are used
+    /// up.
     pub fn refuses_release(&self, key: UpstreamKey) -> bool {
         let now = self.clock.now().monotonic;
         let directory = self.directory.borrow();
-        directory.get(key).is_some_and(|u| self.takes_no_more(now, &u.record, RANKS - 1))
+        directory
+            .get(key)
+            .is_some_and(|upstream| self.is_limit_exhausted(now, &upstream.record, RANKS - 1))
     }
 
-    /// Returns when requests to a service may be served again of which all upstreams that could take work have said how much
-    /// they take, and have no turn left for a rank; `None` if that isn't so.
+    /// Returns the time until a service may accept requests of a rank again, if all its eligible
+    /// upstreams announce limits and have no permits left for that rank; otherwise `None`.
     pub fn limit_retry_after(&self, service: &str, rank: usize) -> Option<Duration> {
         let now = self.clock.now().monotonic;
         let directory = self.directory.borrow();
-        let limited = self.limited.borrow();
+        let limited_upstreams = self.limited_upstreams.borrow();
         let cold_start = self.cold_start(service);
-        let able = directory
+        let eligible = directory
             .of_service(service)
-            .filter(|(key, upstream)| self.may_send_to(*key, upstream, cold_start).is_ok());
-        let mut drained = Vec::new();
-        for (_, upstream) in able {
-            let run = upstream.record.run_id();
-            if !limited.is_closed(now, run, rank) {
+            .filter(|(key, upstream)| self.check_upstream(*key, upstream, cold_start).is_ok());
+        let mut drain_times = Vec::new();
+        for (_, upstream) in eligible {
+            let incarnation_id = upstream.record.run_id();
+            if !limited_upstreams.is_exhausted(now, incarnation_id, rank) {
                 return None;
             }
-            let drained_at = limited.closed.get(&run).map(|closed| closed.drained_at)?;
-            drained.push(drained_at.saturating_sub(now));
+            let drained_at = limited_upstreams
+                .exhausted
+                .get(&incarnation_id)
+                .map(|exhausted| exhausted.drained_at)?;
+            drain_times.push(drained_at.saturating_sub(now));
         }
-        drained_together(&drained)
+        drained_together(&drain_times)
     }
 
-    /// Asks for a turn at an upstream if it names a limit.
-    pub(super) async fn take_limited_turn(
+    /// Acquires a permit for a send to an upstream if it announces a limit.
+    pub(super) async fn acquire_limit_permit(
         &self,
         target: &Target,
         rank: usize,
     ) -> Result<(), Barred> {
-        let run = target.incarnation_id();
-        self.catch_up(run).await;
+        let incarnation_id = target.incarnation_id();
+        self.catch_up(incarnation_id).await;
         let now = self.clock.now().monotonic;
-        let counters = {
-            let limited = self.limited.borrow();
-            if limited.limits.of(run).is_none() {
+        let permit_transport = {
+            let limited_upstreams = self.limited_upstreams.borrow();
+            if limited_upstreams.limits.of(incarnation_id).is_none() {
                 return Ok(());
             }
-            if limited.is_closed(now, run, rank) {
+            if limited_upstreams.is_exhausted(now, incarnation_id, rank) {
                 return Err(Barred::Limited);
             }
-            limited.counters.clone()
+            limited_upstreams.permit_transport.clone()
         };
-        let elsewhere = counters.as_ref().and_then(|c| Some((c, c.issuer(run)?)));
-        let asked = match elsewhere {
-            None => self.grant(run, rank),
-            Some((counters, counter)) => self.ask(&**counters, counter, run, rank).await,
+        let remote_issuer = permit_transport
+            .as_ref()
+            .and_then(|transport| Some((transport, transport.issuer(incarnation_id)?)));
+        let permit = match remote_issuer {
+            None => self.issue_permit(incarnation_id, rank),
+            Some((permit_transport, issuer)) => {
+                self.request_permit(&**permit_transport, issuer, incarnation_id, rank).await
+            }
         };
-        measures::turn_asked(asked.is_ok());
+        measures::turn_asked(permit.is_ok());
         let now = self.clock.now().monotonic;
-        asked.map_err(|denied| {
-            self.limited.borrow_mut().close(now, run, rank, denied);
+        permit.map_err(|denied| {
+            self.limited_upstreams.borrow_mut().mark_exhausted(now, incarnation_id, rank, denied);
             Barred::Limited
         })
     }
 
-    /// Waits for what peers have said while this node stood still, unless a limit of the upstream is known. Without it, what callers
-    /// had asked for meanwhile is all sent on waking, whatever the upstream takes.
-    async fn catch_up(&self, run: u64) {
-        for _ in 0..CATCH_UP_LOOKS {
-            if !self.may_lack_limit(run) {
+    /// Waits until this node has read what peers sent while it was paused, unless a limit of the
+    /// upstream is known. Without this, all requests that arrived during the pause are sent when
+    /// the process resumes, regardless of the limit.
+    async fn catch_up(&self, incarnation_id: u64) {
+        for _ in 0..CATCH_UP_POLLS_MAX {
+            if !self.may_lack_limit(incarnation_id) {
                 return;
             }
-            sleep(CATCH_UP_PAUSE).await;
+            sleep(CATCH_UP_POLL_INTERVAL).await;
         }
     }
 
-    fn may_lack_limit(&self, run: u64) -> bool {
-        let limited = self.limited.borrow();
-        let is_behind = || limited.counters.as_ref().is_some_and(|counters| counters.is_catching_up());
-        limited.limits.of(run).is_none() && is_behind()
+    fn may_lack_limit(&self, incarnation_id: u64) -> bool {
+        let limited_upstreams = self.limited_upstreams.borrow();
+        let is_catching_up = || {
+            limited_upstreams
+                .permit_transport
+                .as_ref()
+                .is_some_and(|permit_transport| permit_transport.is_catching_up())
+        };
+        limited_upstreams.limits.of(incarnation_id).is_none() && is_catching_up()
     }
 
-    async fn ask(
+    async fn request_permit(
         &self,
-        counters: &dyn PermitTransport,
-        counter: SocketAddr,
-        run: u64,
+        permit_transport: &dyn PermitTransport,
+        issuer: SocketAddr,
+        incarnation_id: u64,
         rank: usize,
     ) -> Result<(), Denied> {
         let now = self.clock.now().monotonic;
         let (sender, receiver) = oneshot::channel();
-        let question = {
-            let mut limited = self.limited.borrow_mut();
-            limited.last_ticket += 1;
-            let ticket = limited.last_ticket;
-            limited.pending.retain(|_, waiting| !waiting.is_closed());
-            limited.pending.insert(ticket, sender);
-            TurnQuestion { ticket, word: limited.message(now, run), rank: rank as u32 }
+        let request = {
+            let mut limited_upstreams = self.limited_upstreams.borrow_mut();
+            limited_upstreams.last_ticket += 1;
+            let ticket = limited_upstreams.last_ticket;
+            limited_upstreams.pending.retain(|_, waiter| !waiter.is_closed());
+            limited_upstreams.pending.insert(ticket, sender);
+            TurnQuestion {
+                ticket,
+                word: limited_upstreams.limit_report(now, incarnation_id),
+                rank: rank as u32,
+            }
         };
-        counters.send_request(counter, question);
-        let Ok(Ok(answer)) = timeout(ANSWER_WAIT, receiver).await else {
-            log::info(LogLine::event("turn_unanswered").with("counter", counter));
+        permit_transport.send_request(issuer, request);
+        let Ok(Ok(response)) = timeout(RESPONSE_TIMEOUT, receiver).await else {
+            log::info(LogLine::event("turn_unanswered").with("counter", issuer));
             return Err(Denied {
-                ask_again_after: UNANSWERED_PAUSE,
-                drained_after: UNANSWERED_PAUSE,
+                ask_again_after: UNANSWERED_RETRY_DELAY,
+                drained_after: UNANSWERED_RETRY_DELAY,
             });
         };
-        self.apply_peer_limits(&[answer.word]);
-        match answer.is_granted {
+        self.apply_peer_limits(&[response.word]);
+        match response.is_granted {
             true => Ok(()),
             false => Err(Denied {
-                ask_again_after: Duration::from_millis(answer.ask_again_ms.into()),
-                drained_after: Duration::from_millis(answer.drained_ms.into()),
+                ask_again_after: Duration::from_millis(response.ask_again_ms.into()),
+                drained_after: Duration::from_millis(response.drained_ms.into()),
             }),
         }
     }
 
-    /// Grants a send by this node's own count, or not.
-    fn grant(&self, run: u64, rank: usize) -> Result<(), Denied> {
+    /// Issues a permit from this node's own count, or denies it.
+    fn issue_permit(&self, incarnation_id: u64, rank: usize) -> Result<(), Denied> {
         let now = self.clock.now().monotonic;
-        let (started_at, most) = {
+        let (started_at, peak_nodes) = {
             let cold = self.cold.borrow();
-            (cold.started_at, cold.nodes.most())
+            (cold.started_at, cold.peak_nodes.most())
         };
-        let mut limited = self.limited.borrow_mut();
-        let Some(limit) = limited.limits.of(run) else {
+        let mut limited_upstreams = self.limited_upstreams.borrow_mut();
+        let Some(limit) = limited_upstreams.limits.of(incarnation_id) else {
             return Ok(());
         };
-        if now < started_at + START_TIME {
-            let left = started_at + START_TIME - now;
-            return Err(Denied { ask_again_after: left, drained_after: left });
+        if now < started_at + STARTUP_TIME {
+            let remaining = started_at + STARTUP_TIME - now;
+            return Err(Denied { ask_again_after: remaining, drained_after: remaining });
         }
-        let heard = limited.counters.as_ref().map_or(1, |counters| counters.node_count());
-        let part = part_of(heard, most);
-        let grants =
-            limited.grants.entry(run).or_insert_with(|| Grants::new(now, part, rand::random()));
-        grants.ask(now, limit, part, rank, rand::random())
+        let node_count = limited_upstreams
+            .permit_transport
+            .as_ref()
+            .map_or(1, |permit_transport| permit_transport.node_count());
+        let share = part_of(node_count, peak_nodes);
+        let permit_issuer = limited_upstreams
+            .permit_issuers
+            .entry(incarnation_id)
+            .or_insert_with(|| Grants::new(now, share, rand::random()));
+        permit_issuer.ask(now, limit, share, rank, rand::random())
     }
 
-    /// Takes in a peer's question, and answers it.
-    pub fn handle_permit_request(&self, asker: SocketAddr, question: TurnQuestion) {
-        self.apply_peer_limits(&[question.word]);
-        let run = question.word.run;
-        let granted = self.grant(run, question.rank as usize);
-        let denied = granted.err();
+    /// Handles a peer's permit request and responds to it.
+    pub fn handle_permit_request(&self, requester: SocketAddr, request: TurnQuestion) {
+        self.apply_peer_limits(&[request.word]);
+        let incarnation_id = request.word.run;
+        let permit = self.issue_permit(incarnation_id, request.rank as usize);
+        let denied = permit.err();
         let ms = |time: Duration| time.as_millis().min(u32::MAX.into()) as u32;
-        let limited = self.limited.borrow();
-        let answer = TurnAnswer {
-            ticket: question.ticket,
-            word: limited.message(self.clock.now().monotonic, run),
+        let limited_upstreams = self.limited_upstreams.borrow();
+        let response = TurnAnswer {
+            ticket: request.ticket,
+            word: limited_upstreams.limit_report(self.clock.now().monotonic, incarnation_id),
             is_granted: denied.is_none(),
             ask_again_ms: denied.map_or(0, |denied| ms(denied.ask_again_after)),
             drained_ms: denied.map_or(0, |denied| ms(denied.drained_after)),
         };
-        if let Some(counters) = &limited.counters {
-            counters.send_response(asker, answer);
+        if let Some(permit_transport) = &limited_upstreams.permit_transport {
+            permit_transport.send_response(requester, response);
         }
     }
 
-    /// Takes in the answer to a question.
-    pub fn handle_permit_response(&self, answer: TurnAnswer) {
-        let waiting = self.limited.borrow_mut().pending.remove(&answer.ticket);
-        // Whoever asked may have left meanwhile; the turn is lost then.
-        let _unused = waiting.map(|waiting| waiting.send(answer));
+    /// Handles the response to a permit request.
+    pub fn handle_permit_response(&self, response: TurnAnswer) {
+        let waiter = self.limited_upstreams.borrow_mut().pending.remove(&response.ticket);
+        // The requester may have stopped waiting; its permit is lost then.
+        let _unused = waiter.map(|waiter| waiter.send(response));
     }
 
     pub(super) fn forget_old_limits(&self, now: Duration) {
-        let mut limited = self.limited.borrow_mut();
-        if limited.limits.is_empty() && limited.refused.is_empty() {
+        let mut limited_upstreams = self.limited_upstreams.borrow_mut();
+        if limited_upstreams.limits.is_empty() && limited_upstreams.unreadable.is_empty() {
             return;
         }
         let directory = self.directory.borrow();
-        let runs: HashSet<_> = directory.iter().map(|(_, u)| u.record.run_id()).collect();
-        let Limited { limits, closed, grants, refused, .. } = &mut *limited;
-        refused.retain(|run| runs.contains(run));
-        limits.retain(now, |run| runs.contains(&run));
-        closed.retain(|run, _| limits.of(*run).is_some());
-        grants.retain(|run, _| limits.of(*run).is_some());
+        let incarnation_ids: HashSet<_> =
+            directory.iter().map(|(_, upstream)| upstream.record.run_id()).collect();
+        let LimitedUpstreams { limits, exhausted, permit_issuers, unreadable, .. } =
+            &mut *limited_upstreams;
+        unreadable.retain(|incarnation_id| incarnation_ids.contains(incarnation_id));
+        limits.retain(now, |incarnation_id| incarnation_ids.contains(&incarnation_id));
+        exhausted.retain(|incarnation_id, _| limits.of(*incarnation_id).is_some());
+        permit_issuers.retain(|incarnation_id, _| limits.of(*incarnation_id).is_some());
     }
 }
 
@@ -368,8 +416,8 @@
     now.saturating_sub(at).as_millis().min(u32::MAX.into()) as u32
 }
 
-fn log_limit(run: u64, change: LimitChange, from: &str) {
-    let line = LogLine::event("upstream_limit").with("run", format_args!("{run:016x}"));
+fn log_limit(incarnation_id: u64, change: LimitChange, from: &str) {
+    let line = LogLine::event("upstream_limit").with("run", format_args!("{incarnation_id:016x}"));
     let line = line.with("from", from).with_some("before_per_s", change.before);
     log::warn(line.with_some("per_s", change.now));
 }
--- a/crates/fernring-gateway/src/upstreams/health.rs
+++ b/crates/fernring-gateway/src/upstreams/health.rs
@@ -1,32 +1,36 @@
-//! Failures of upstreams: who is avoided, for how long, and what peers are told of it.
+//! Failures of upstreams: which upstreams are avoided, for how long, and which are reported to
+//! peers.
 
 use {super::Upstreams, crate::model::UpstreamKey, std::time::Duration};
 
-/// How long an upstream is avoided after its first failure in a row; doubled with each further.
+/// How long an upstream is avoided after its first failure in a row; doubled with each further one.
 const AVOID_FIRST: Duration = Duration::from_millis(200);
 /// Longest time that an upstream is avoided before it is tried again.
 const AVOID_MAX: Duration = Duration::from_secs(3);
-/// How long an upstream is avoided that took no connection: nothing runs there, and whoever runs
-/// there next takes longer to start. Its lack of load would else attract what is urgent.
+/// How long an upstream is avoided that accepted no connection: nothing runs there, and the next
+/// process takes longer than that to start. Without this, its missing load would attract urgent
+/// requests.
 const AVOID_UNREACHABLE: Duration = Duration::from_secs(1);
-/// How long a full upstream is avoided: about the time in which a slot comes free.
+/// How long a full upstream is avoided: about the time in which a slot becomes free.
 const AVOID_FULL: Duration = Duration::from_millis(60);
-/// How long a delegate tells on which upstreams took no connection of a node of its domain: a few heartbeats.
-const TOLD_ON_TIME: Duration = Duration::from_millis(600);
+/// How long a delegate forwards which upstreams accepted no connection of a node of its domain: a
+/// few heartbeats.
+const FORWARD_TIME: Duration = Duration::from_millis(600);
 
 #[derive(Debug, Default)]
 pub(super) struct Health {
     failures: u32,
     pub(super) avoid_until: Duration,
-    /// Until when this node tells its peers that the upstream takes no connection.
+    /// Until when this node reports to its peers that the upstream accepts no connection.
     unreachable_until: Duration,
-    /// Until when it tells on what another node of its domain has found, if it is a delegate.
-    told_on_until: Duration,
+    /// Until when this node, if it is a delegate, forwards the same report of another node of its
+    /// domain.
+    forward_until: Duration,
 }
 
 impl Upstreams {
-    /// Takes in that an upstream failed, so that none of its idle connections is trusted any more; tells how
-    /// long it is avoided now.
+    /// Records a failure of an upstream, so that its idle connections are no longer used. Returns
+    /// how long the upstream is avoided.
     pub fn record_failure(&self, now: Duration, key: UpstreamKey) -> Duration {
         if let Some(pool) = self.pools.borrow().get(key) {
             pool.forget_idle();
@@ -36,13 +40,13 @@
             return Duration::ZERO;
         };
         let entry = entry.or_default();
-        let avoid = (AVOID_FIRST * 2u32.saturating_pow(entry.failures.min(8))).min(AVOID_MAX);
+        let avoid_time = (AVOID_FIRST * 2u32.saturating_pow(entry.failures.min(8))).min(AVOID_MAX);
         entry.failures += 1;
-        entry.avoid_until = entry.avoid_until.max(now + avoid);
-        avoid
+        entry.avoid_until = entry.avoid_until.max(now + avoid_time);
+        avoid_time
     }
 
-    /// Takes in that an upstream took no connection.
+    /// Records that an upstream accepted no connection.
     pub fn record_unreachable(&self, now: Duration, key: UpstreamKey) {
         self.record_failure(now, key);
         if let Some(health) = self.health.borrow_mut().get_mut(key) {
@@ -52,37 +56,38 @@
         }
     }
 
-    /// Lists the upstreams that took no connection of late, by their short hashes.
+    /// Lists the upstreams that recently accepted no connection, by their short hashes.
     pub fn unreachable_upstreams(&self, now: Duration) -> Vec<u32> {
         let directory = self.directory.borrow();
         let health = self.health.borrow();
-        let until = |health: &Health| health.unreachable_until.max(health.told_on_until);
-        let named = health.iter().filter(|(_, health)| now < until(health));
-        let instances = named.filter_map(|(key, _)| directory.get(key));
-        instances.map(|upstream| upstream.record.run_hash()).collect()
+        let until = |health: &Health| health.unreachable_until.max(health.forward_until);
+        let affected = health.iter().filter(|(_, health)| now < until(health));
+        let unreachable = affected.filter_map(|(key, _)| directory.get(key));
+        unreachable.map(|upstream| upstream.record.run_hash()).collect()
     }
 
-    /// Takes in the upstreams that took no connection of a peer in the same failure domain. `tells_on` says whether
-    /// others don't hear that peer and depend on this node.
-    pub fn apply_peer_unreachable(&self, now: Duration, upstreams: &[u32], tells_on: bool) {
+    /// Avoids upstreams that accepted no connection of a peer in the same failure domain.
+    /// `has_to_forward` is set if the peer is a follower whose reports reach other nodes through
+    /// this node only.
+    pub fn apply_peer_unreachable(&self, now: Duration, upstreams: &[u32], has_to_forward: bool) {
         if upstreams.is_empty() {
             return;
         }
         let directory = self.directory.borrow();
         let mut health = self.health.borrow_mut();
-        let named = upstreams.iter().flat_map(|run_hash| directory.of_run(*run_hash));
-        for key in named {
+        let affected = upstreams.iter().flat_map(|run_hash| directory.of_run(*run_hash));
+        for key in affected {
             if let Some(entry) = health.entry(*key) {
                 let entry = entry.or_default();
                 entry.avoid_until = entry.avoid_until.max(now + AVOID_FIRST * 2);
-                if tells_on {
-                    entry.told_on_until = now + TOLD_ON_TIME;
+                if has_to_forward {
+                    entry.forward_until = now + FORWARD_TIME;
                 }
             }
         }
     }
 
-    /// Takes in that an upstream is full.
+    /// Records that an upstream is full.
     pub fn record_full(&self, now: Duration, key: UpstreamKey) {
         if let Some(entry) = self.health.borrow_mut().entry(key) {
             let entry = entry.or_default();
@@ -90,7 +95,7 @@
         }
     }
 
-    /// Takes in that an upstream answered as it should.
+    /// Records that an upstream responded as expected.
     pub fn record_success(&self, key: UpstreamKey) {
         if let Some(entry) = self.health.borrow_mut().get_mut(key) {
             *entry = Health::default();
--- a/crates/fernring-gateway/src/upstreams/loads.rs
+++ b/crates/fernring-gateway/src/upstreams/loads.rs
@@ -1,4 +1,4 @@
-//! The work that upstreams have in hand from all nodes.
+//! The work that all nodes together have in flight at upstreams.
 
 use {
     super::Upstreams,
@@ -6,37 +6,38 @@
     std::{collections::HashMap, net::SocketAddr, rc::Rc, sync::Arc, time::Duration},
 };
 
-/// Age from which on the sums of a failure domain are of no use: the requests that they counted have ended.
+/// Age at which the sums of a failure domain are dropped: the requests that they counted have
+/// ended.
 const DOMAIN_LOADS_MAX: Duration = Duration::from_secs(2);
 
-/// Whose load was told.
+/// Origin of reported loads.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum LoadSource {
-    /// One peer's own.
+    /// One peer.
     Peer(SocketAddr),
-    /// That of all nodes of a failure domain.
+    /// All nodes of a failure domain.
     Domain(Arc<str>),
 }
 
 #[derive(Debug, Default)]
 pub(super) struct PeerLoads {
-    by_source: HashMap<LoadSource, Told>,
+    by_source: HashMap<LoadSource, ReportedLoads>,
     /// Invariant: the sums of `by_source`.
     pub(super) totals: HashMap<u32, f64>,
-    /// What this node told its domain's delegates last.
-    told: HashMap<u32, f64>,
+    /// The loads that this node last reported to the delegates of its domain.
+    last_reported: HashMap<u32, f64>,
 }
 
 #[derive(Debug)]
-struct Told {
+struct ReportedLoads {
     at: Duration,
     loads: Vec<(u32, f64)>,
 }
 
 impl PeerLoads {
-    fn replace(&mut self, source: LoadSource, told: Option<Told>) {
+    fn replace(&mut self, source: LoadSource, reported: Option<ReportedLoads>) {
         let before = self.by_source.remove(&source);
-        if before.is_none() && told.is_none() {
+        if before.is_none() && reported.is_none() {
             return;
         }
         let before = before.map(|before| before.loads).unwrap_or_default();
@@ -45,7 +46,7 @@
                 *total -= load;
             }
         }
-        for (upstream, load) in told.iter().flat_map(|told| &told.loads) {
+        for (upstream, load) in reported.iter().flat_map(|reported| &reported.loads) {
             *self.totals.entry(*upstream).or_default() += load;
         }
         for (upstream, _) in before {
@@ -53,13 +54,13 @@
                 self.totals.remove(&upstream);
             }
         }
-        if let Some(told) = told {
-            self.by_source.insert(source, told);
+        if let Some(reported) = reported {
+            self.by_source.insert(source, reported);
         }
     }
 }
 
-/// Work that an upstream has in hand; taken off its load when dropped.
+/// Work in flight at an upstream; subtracted from its load when dropped.
 #[derive(Debug)]
 pub struct LoadGuard {
     upstreams: Rc<Upstreams>,
@@ -68,7 +69,7 @@
 }
 
 impl LoadGuard {
-    /// Takes part of the work off: `weight` is left.
+    /// Reduces the work to `weight`.
     pub fn reduce_to(&mut self, weight: f64) {
         if let Some(load) = self.upstreams.own_loads.borrow_mut().get_mut(self.key) {
             *load -= self.weight - weight;
@@ -86,7 +87,7 @@
 }
 
 impl Upstreams {
-    /// Counts work on an upstream until the guard is dropped.
+    /// Adds work to the load of an upstream until the guard is dropped.
     pub fn track_load(self: &Rc<Self>, key: UpstreamKey, weight: f64) -> LoadGuard {
         if let Some(entry) = self.own_loads.borrow_mut().entry(key) {
             *entry.or_default() += weight;
@@ -94,27 +95,30 @@
         LoadGuard { upstreams: self.clone(), key, weight }
     }
 
-    /// Lists the work of this node on upstreams for its domain's delegates, by the hashes of their starts.
+    /// Lists the work of this node at upstreams for the delegates of its domain, by the short
+    /// hashes of their incarnations.
     pub fn loads_to_report(&self) -> Vec<(u32, u32)> {
         let loads = self.own_loads();
-        let told = loads.iter().map(|(upstream, load)| (*upstream, f64::from(*load)));
-        self.peer_loads.borrow_mut().told = told.collect();
+        let reported = loads.iter().map(|(upstream, load)| (*upstream, f64::from(*load)));
+        self.peer_loads.borrow_mut().last_reported = reported.collect();
         loads
     }
 
-    /// Lists the work of all nodes of the failure domain, of which this one is a delegate.
+    /// Lists the work at upstreams of all nodes of the failure domain, of which this node is a
+    /// delegate.
     pub fn domain_loads(&self) -> Vec<(u32, u32)> {
         let mut sums: HashMap<u32, f64> =
             self.own_loads().into_iter().map(|(upstream, load)| (upstream, load.into())).collect();
-        let all = self.peer_loads.borrow();
-        let near = all.by_source.iter().filter(|(source, _)| matches!(source, LoadSource::Peer(_)));
-        for (upstream, load) in near.flat_map(|(_, told)| &told.loads) {
+        let peer_loads = self.peer_loads.borrow();
+        let near =
+            peer_loads.by_source.iter().filter(|(source, _)| matches!(source, LoadSource::Peer(_)));
+        for (upstream, load) in near.flat_map(|(_, reported)| &reported.loads) {
             *sums.entry(*upstream).or_default() += load;
         }
         sums.into_iter().map(|(upstream, load)| (upstream, load.round() as u32)).collect()
     }
 
-    /// Lists the work of this node on upstreams, by the hashes of their starts.
+    /// Lists the work of this node at upstreams, by the short hashes of their incarnations.
     pub(super) fn own_loads(&self) -> Vec<(u32, u32)> {
         let directory = self.directory.borrow();
         let loads = self.own_loads.borrow();
@@ -125,35 +129,36 @@
         named.collect()
     }
 
-    /// Takes in the work of a peer on upstreams; an empty list forgets the peer.
+    /// Sets the work of a peer at upstreams; an empty list removes the peer.
     pub fn set_peer_loads(&self, peer: SocketAddr, loads: Vec<(u32, f64)>) {
-        let told = (!loads.is_empty()).then_some(Told { at: Duration::ZERO, loads });
-        self.peer_loads.borrow_mut().replace(LoadSource::Peer(peer), told);
+        let reported = (!loads.is_empty()).then_some(ReportedLoads { at: Duration::ZERO, loads });
+        self.peer_loads.borrow_mut().replace(LoadSource::Peer(peer), reported);
     }
 
-    /// Takes in the work of all nodes of a failure domain. That of this node's own domain contains what it has told
-    /// itself, which is taken off.
+    /// Sets the work at upstreams of all nodes of a failure domain. The sums of this node's own
+    /// domain contain the loads that this node reported itself, which are subtracted.
     pub fn set_domain_loads(&self, now: Duration, domain: &Arc<str>, mut loads: Vec<(u32, f64)>) {
-        let mut all = self.peer_loads.borrow_mut();
+        let mut peer_loads = self.peer_loads.borrow_mut();
         if *domain == self.failure_domain {
             for (upstream, load) in &mut loads {
-                let own = all.told.get(upstream).copied().unwrap_or(0.0);
+                let own = peer_loads.last_reported.get(upstream).copied().unwrap_or(0.0);
                 *load = (*load - own).max(0.0);
             }
         }
-        all.replace(LoadSource::Domain(domain.clone()), Some(Told { at: now, loads }));
+        peer_loads
+            .replace(LoadSource::Domain(domain.clone()), Some(ReportedLoads { at: now, loads }));
     }
 
-    /// Forgets what was told of failure domains too long ago: nobody there tells it any more.
+    /// Drops sums of failure domains that are too old: no node there reports them any more.
     pub(super) fn forget_old_loads(&self, now: Duration) {
-        let mut all = self.peer_loads.borrow_mut();
-        let is_old = |source: &LoadSource, told: &Told| {
-            matches!(source, LoadSource::Domain(_)) && now > told.at + DOMAIN_LOADS_MAX
+        let mut peer_loads = self.peer_loads.borrow_mut();
+        let is_old = |source: &LoadSource, reported: &ReportedLoads| {
+            matches!(source, LoadSource::Domain(_)) && now > reported.at + DOMAIN_LOADS_MAX
         };
-        let old = all.by_source.iter().filter(|(source, told)| is_old(source, told));
+        let old = peer_loads.by_source.iter().filter(|(source, reported)| is_old(source, reported));
         let old: Vec<_> = old.map(|(source, _)| source.clone()).collect();
         for source in old {
-            all.replace(source, None);
+            peer_loads.replace(source, None);
         }
     }
 }
--- a/crates/fernring-gateway/src/upstreams/mod.rs
+++ b/crates/fernring-gateway/src/upstreams/mod.rs
@@ -1,11 +1,12 @@
-//! The upstreams of a node: who they are, their connections, and whom to choose from.
+//! The upstreams of a node: their records, their connections, and the candidates for a request.
 //!
-//! `access` says what may be sent to one now, `limited` what they say that they take, `loads` what all nodes have in hand there, `health` who is avoided,
-//! `versions` which versions get requests.
+//! The module `access` checks which sends to an upstream are allowed now, `announced_limits`
+//! handles the limits that upstreams announce, `loads` adds up the work of all nodes in flight
+//! there, `health` decides which upstreams are avoided, `versions` which versions get requests.
 
 mod access;
-mod health;
 mod announced_limits;
+mod health;
 mod loads;
 mod versions;
 
@@ -13,7 +14,8 @@
 
 use {
     self::{
-        access::Cold, health::Health, announced_limits::Limited, loads::PeerLoads, versions::VersionRules,
+        access::ColdState, announced_limits::LimitedUpstreams, health::Health, loads::PeerLoads,
+        versions::VersionRules,
     },
     crate::{
         cold::MostNodes,
@@ -44,37 +46,39 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Part of an upstream's connection limit that all nodes together use. The rest is for nodes
-/// that are not counted at the moment.
-const CONNECTIONS_PART: f64 = 0.7;
+/// Ratio of an upstream's connection limit that all nodes together use. The rest is for nodes that
+/// are missing from the node count at the moment.
+const SHARED_CONNECTIONS_RATIO: f64 = 0.7;
 
-/// Returns the address of the maker of a result, which its handle begins with.
+/// Returns the address of the worker that stores a result. The handle of the result begins with it.
 pub fn worker_address(handle: &str) -> Option<SocketAddr> {
     handle.split('/').next()?.parse().ok()
 }
 
 impl Target {
-    /// Returns a hash of the start that is meant, like [`crate::model::UpstreamRecord::run_id`].
+    /// Returns a hash of the targeted incarnation, equal to that of its record in
+    /// [`crate::model::UpstreamRecord`].
     pub fn incarnation_id(&self) -> u64 {
         run_id(&self.instance, self.started_ms)
     }
 
-    /// Returns the start that is meant.
+    /// Returns the targeted incarnation.
     pub fn incarnation(&self) -> Run {
         Run { instance: self.instance.clone(), started_ms: self.started_ms }
     }
 }
 
-/// Asks a question about a failure domain once, whichever number of upstreams lie there.
-fn for_each_domain(ask: impl Fn(&str) -> bool) -> impl FnMut(&Arc<str>) -> bool {
-    let mut answers: Vec<(Arc<str>, bool)> = Vec::new();
+/// Wraps a predicate on failure domains so that it is computed once for each domain, regardless of
+/// the number of upstreams there.
+fn cached_by_domain(compute: impl Fn(&str) -> bool) -> impl FnMut(&Arc<str>) -> bool {
+    let mut cache: Vec<(Arc<str>, bool)> = Vec::new();
     move |domain| {
-        if let Some((_, answer)) = answers.iter().find(|(known, _)| known == domain) {
-            return *answer;
+        if let Some((_, result)) = cache.iter().find(|(cached_domain, _)| cached_domain == domain) {
+            return *result;
         }
-        let answer = ask(domain);
-        answers.push((domain.clone(), answer));
-        answer
+        let result = compute(domain);
+        cache.push((domain.clone(), result));
+        result
     }
 }
 
@@ -91,35 +95,35 @@
     health: RefCell<SecondaryMap<UpstreamKey, Health>>,
     own_loads: RefCell<SecondaryMap<UpstreamKey, f64>>,
     peer_loads: RefCell<PeerLoads>,
-    nodes: Cell<usize>,
+    node_count: Cell<usize>,
     config: Rc<RefCell<ConfigState>>,
-    cold: RefCell<Cold>,
-    limited: RefCell<Limited>,
+    cold: RefCell<ColdState>,
+    limited_upstreams: RefCell<LimitedUpstreams>,
     /// When records were last read from the store.
-    read_at: Cell<Duration>,
+    records_read_at: Cell<Duration>,
 }
 
-/// Something new for an upstream.
+/// A send of new work to an upstream.
 #[derive(Debug)]
 pub struct UpstreamSend {
     /// The request.
     pub request: Request<Full<Bytes>>,
-    /// Its rank, as an index; 0 goes first.
+    /// Its rank, as an index; 0 is the most urgent.
     pub rank: usize,
-    /// Where it may be served.
+    /// Regions in which it may be served.
     pub residency: Residency,
-    /// Connections that the upstream takes from all nodes.
+    /// Connections that the upstream accepts from all nodes together.
     pub connections_max: u32,
 }
 
-/// What a send needs to know of its upstream.
+/// The upstream that a send goes to, as it was when the upstream was chosen.
 #[derive(Debug, Clone)]
 pub struct Target {
     /// The upstream.
     pub key: UpstreamKey,
-    /// Its identity; `key` tells its runs apart.
+    /// Identity of the upstream; `key` differs between its incarnations.
     pub instance: Arc<str>,
-    /// When its process started, in Unix milliseconds, if that is known.
+    /// When its process started, in Unix milliseconds, if known.
     pub started_ms: Option<u64>,
     /// Its address.
     pub address: SocketAddr,
@@ -132,19 +136,19 @@
 }
 
 impl Upstreams {
-    /// Creates the upstreams of a node of a failure domain, none so far.
+    /// Creates the state of a node in a failure domain that knows no upstreams yet.
     pub fn new(
         failure_domain: Arc<str>,
         clock: Rc<dyn Clock>,
         config: Rc<RefCell<ConfigState>>,
         cold: ColdSettings,
     ) -> Self {
-        let cold = Cold {
+        let cold = ColdState {
             settings: cold,
             node: rand::random(),
             started_at: clock.now().monotonic,
-            nodes: MostNodes::default(),
-            turns: SecondaryMap::new(),
+            peak_nodes: MostNodes::default(),
+            permits: SecondaryMap::new(),
             no_listener: SecondaryMap::new(),
         };
         Self {
@@ -152,7 +156,7 @@
             clock,
             config,
             cold: RefCell::new(cold),
-            limited: RefCell::default(),
+            limited_upstreams: RefCell::default(),
             directory: RefCell::default(),
             evacuations: RefCell::default(),
             regions: RefCell::default(),
@@ -161,28 +165,28 @@
             health: RefCell::default(),
             own_loads: RefCell::default(),
             peer_loads: RefCell::default(),
-            nodes: Cell::new(1),
-            read_at: Cell::default(),
+            node_count: Cell::new(1),
+            records_read_at: Cell::default(),
         }
     }
 
-    /// Says how many nodes share the upstreams.
-    pub fn set_node_count(&self, nodes: usize) {
-        self.nodes.set(nodes.max(1));
-        self.cold.borrow_mut().nodes.saw(self.clock.now().monotonic, nodes);
+    /// Sets the number of nodes that share the upstreams.
+    pub fn set_node_count(&self, node_count: usize) {
+        self.node_count.set(node_count.max(1));
+        self.cold.borrow_mut().peak_nodes.saw(self.clock.now().monotonic, node_count);
     }
 
-    /// Says that records were read from the store.
+    /// Records that records were read from the store.
     pub fn mark_records_read(&self, now: Duration) {
-        self.read_at.set(now.max(self.read_at.get()));
+        self.records_read_at.set(now.max(self.records_read_at.get()));
     }
 
     /// Returns the time since records were last read from the store.
     pub fn records_age(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.read_at.get())
+        now.saturating_sub(self.records_read_at.get())
     }
 
-    /// Returns the number of connections to all upstreams.
+    /// Returns the number of open connections to all upstreams.
     pub fn open_connections(&self) -> usize {
         self.pools.borrow().values().map(Pool::open).sum()
     }
@@ -192,42 +196,44 @@
         self.directory.borrow()
     }
 
-    /// Takes in changes and returns their effects.
+    /// Applies changes of records and returns their effects.
     pub fn apply(&self, now: Duration, changes: Vec<Change>) -> Vec<Effect> {
         let mut directory = self.directory.borrow_mut();
         let effects = changes.into_iter().map(|change| directory.apply(now, change)).collect();
         drop(directory);
-        self.settle(effects)
+        self.release_gone(effects)
     }
 
-    /// Takes in all records at once.
+    /// Replaces all records and returns the effects.
     pub fn replace(&self, now: Duration, records: Vec<Change>, end: Position) -> Vec<Effect> {
         let effects = self.directory.borrow_mut().replace(now, records, end);
-        self.settle(effects)
+        self.release_gone(effects)
     }
 
-    /// Takes in some of the records before all are known.
+    /// Applies some of the records before the full read is complete.
     pub fn preview(&self, now: Duration, records: Vec<Change>) -> Vec<Effect> {
         let effects = self.directory.borrow_mut().preview(now, records);
-        self.settle(effects)
+        self.release_gone(effects)
     }
 
-    /// Says that everything before a position was taken in.
+    /// Records that all changes before a position were applied.
     pub fn advance(&self, end: Position) {
         self.directory.borrow_mut().advance(end);
     }
 
-    /// Says that removals may be lapses for some time, as a peer has found.
+    /// Extends the time in which missing records count as possible lapses of the store, as a peer
+    /// reported.
     pub fn extend_lapse_window(&self, now: Duration, time: Duration) {
         self.directory.borrow_mut().lapses_known(now, time);
     }
 
-    /// Says that the store did not answer until now.
+    /// Records that the store didn't respond until now.
     pub fn record_store_outage(&self, now: Duration) {
         self.directory.borrow_mut().store_was_out(now);
     }
 
-    /// Lets time pass: upstreams that did not come back go, idle connections are closed.
+    /// Expires what has become too old: removes upstreams that didn't come back, and closes idle
+    /// connections.
     pub fn expire(&self, now: Duration) -> Vec<Effect> {
         for (_, pool) in self.pools.borrow().iter() {
             pool.expire();
@@ -235,12 +241,13 @@
         self.forget_old_loads(now);
         self.forget_old_limits(now);
         let effects = self.directory.borrow_mut().expire(now);
-        self.settle(effects)
+        self.release_gone(effects)
     }
 
-    /// Drops what is kept of upstreams that are gone. What one that has started again had in hand ends now, as lost:
-    /// behind a cut nothing else says so before the timeouts of seconds.
-    fn settle(&self, effects: Vec<Effect>) -> Vec<Effect> {
+    /// Drops the state of upstreams that are gone. Requests in flight at an upstream that has
+    /// restarted fail at once: behind a network partition, only timeouts of several seconds would
+    /// end them.
+    fn release_gone(&self, effects: Vec<Effect>) -> Vec<Effect> {
         for effect in &effects {
             match effect {
                 Effect::Gone(key) => drop(self.forget(*key)),
@@ -255,19 +262,19 @@
         effects
     }
 
-    /// Forgets all that is kept of an upstream and returns its connections.
+    /// Drops all state of an upstream and returns its connections.
     fn forget(&self, key: UpstreamKey) -> Option<Pool> {
         self.health.borrow_mut().remove(key);
         let mut cold = self.cold.borrow_mut();
-        cold.turns.remove(key);
+        cold.permits.remove(key);
         cold.no_listener.remove(key);
         drop(cold);
         self.own_loads.borrow_mut().remove(key);
         self.pools.borrow_mut().remove(key)
     }
 
-    /// Lists the upstreams of a service that may get new work of a rank and a residency. `is_silent` tells whether a
-    /// failure domain can't be reached.
+    /// Lists the upstreams of a service that may get new work of a rank and a residency.
+    /// `is_silent` returns whether a failure domain is unreachable.
     pub fn candidates(
         &self,
         now: Duration,
@@ -281,22 +288,22 @@
         let own_loads = self.own_loads.borrow();
         let totals = &self.peer_loads.borrow().totals;
         let cold_start = self.cold_start(service);
-        let mut is_silent = for_each_domain(is_silent);
+        let mut is_silent = cached_by_domain(is_silent);
         let candidate = |(key, upstream): (UpstreamKey, &Upstream)| {
             let record = &upstream.record;
             if !self.allows_domain(residency, &record.failure_domain) {
                 return None;
             }
-            let cold = self.may_send_to(key, upstream, cold_start).ok()?;
-            if self.takes_no_more(now, &upstream.record, rank) {
+            let cold = self.check_upstream(key, upstream, cold_start).ok()?;
+            if self.is_limit_exhausted(now, &upstream.record, rank) {
                 return None;
             }
             let failed = health.get(key).is_some_and(|health| now < health.avoid_until);
-            let peers = totals.get(&record.run_hash()).copied().unwrap_or(0.0);
+            let peer_load = totals.get(&record.run_hash()).copied().unwrap_or(0.0);
             Some(Candidate {
                 key,
                 identity: xxh3_64(record.instance.as_bytes()),
-                load: own_loads.get(key).copied().unwrap_or(0.0) + peers,
+                load: own_loads.get(key).copied().unwrap_or(0.0) + peer_load,
                 slots: record.slots,
                 is_near: record.failure_domain == self.failure_domain,
                 is_avoided: failed || upstream.is_doubtful() || is_silent(&record.failure_domain),
@@ -307,7 +314,7 @@
         directory.of_service(service).filter_map(candidate).collect()
     }
 
-    /// Returns what a send needs to know of an upstream, unless it is gone.
+    /// Returns the target for sends to an upstream, unless the upstream is gone.
     pub fn target(&self, key: UpstreamKey) -> Option<Target> {
         let directory = self.directory.borrow();
         let upstream = directory.get(key)?;
@@ -323,13 +330,13 @@
         })
     }
 
-    /// Tells whether an upstream has said that it leaves.
+    /// Returns whether an upstream has announced that it is leaving.
     pub fn is_leaving(&self, key: UpstreamKey) -> bool {
         let directory = self.directory.borrow();
         directory.get(key).is_some_and(|upstream| !upstream.takes_work())
     }
 
-    /// Returns the failure domain where most of some results lie, by their handles.
+    /// Returns the failure domain that stores most of some results, by their handles.
     pub fn domain_of(&self, handles: &[Arc<str>]) -> Option<Arc<str>> {
         let directory = self.directory.borrow();
         let mut counts: HashMap<Arc<str>, usize> = HashMap::new();
@@ -341,44 +348,45 @@
         counts.into_iter().max_by_key(|(_, count)| *count).map(|(domain, _)| domain)
     }
 
-    /// Sends something new to an upstream, if it may be sent to at the moment at which the first byte would leave.
+    /// Sends new work to an upstream, if that is allowed at the moment at which the first byte
+    /// would leave.
     ///
     /// # Errors
-    /// If no answer came.
-    pub async fn send(&self, target: &Target, sending: UpstreamSend) -> Result<Answer, SendFailure> {
-        let UpstreamSend { request, rank, residency, connections_max } = sending;
+    /// Returns an error if no response arrived.
+    pub async fn send(&self, target: &Target, send: UpstreamSend) -> Result<Answer, SendFailure> {
+        let UpstreamSend { request, rank, residency, connections_max } = send;
         let pool = self.pool(target)?;
-        let has_turn = Cell::new(false);
+        let has_permit = Cell::new(false);
         let check = async || {
             self.check_region(target.key, &residency)?;
-            if !has_turn.get() {
-                self.take_turn(target.key)?;
-                self.take_limited_turn(target, rank).await?;
-                has_turn.set(true);
+            if !has_permit.get() {
+                self.acquire_permit(target.key)?;
+                self.acquire_limit_permit(target, rank).await?;
+                has_permit.set(true);
             }
-            self.barred_since(target.key)
+            self.ineligible_since(target.key)
         };
         let sent = pool.send_if(request, self.connections_share(connections_max), check).await;
-        self.note_listener(target.key, sent.as_ref().err());
+        self.record_connect_result(target.key, sent.as_ref().err());
         sent
     }
 
-    /// Sends what is no new work: results that are given up, whatever becomes of the upstream. It counts where the upstream
-    /// names a limit.
+    /// Sends a release of results, which is no new work and doesn't depend on the state of the
+    /// upstream. It counts against the limit of an upstream that announces one.
     ///
     /// # Errors
-    /// If no answer came.
+    /// Returns an error if no response arrived.
     pub async fn send_release(
         &self,
         target: &Target,
-        sending: UpstreamSend,
+        send: UpstreamSend,
     ) -> Result<Answer, SendFailure> {
-        let UpstreamSend { request, rank, connections_max, .. } = sending;
-        let has_turn = Cell::new(false);
+        let UpstreamSend { request, rank, connections_max, .. } = send;
+        let has_permit = Cell::new(false);
         let check = async || {
-            if !has_turn.get() {
-                self.take_limited_turn(target, rank).await?;
-                has_turn.set(true);
+            if !has_permit.get() {
+                self.acquire_limit_permit(target, rank).await?;
+                has_permit.set(true);
             }
             Ok(())
         };
@@ -386,9 +394,11 @@
         self.pool(target)?.send_if(request, share, check).await
     }
 
-    /// Returns how many connections this node may open to an upstream that takes `connections_max` from all.
+    /// Returns how many connections this node may open to an upstream that accepts
+    /// `connections_max` from all nodes together.
     fn connections_share(&self, connections_max: u32) -> usize {
-        (f64::from(connections_max) * CONNECTIONS_PART / self.nodes.get() as f64) as usize
+        (f64::from(connections_max) * SHARED_CONNECTIONS_RATIO / self.node_count.get() as f64)
+            as usize
     }
 
     fn pool(&self, target: &Target) -> Result<Pool, SendFailure> {
@@ -400,7 +410,7 @@
         let entry = entry.ok_or_else(|| SendFailure::NotSent("the upstream is gone".to_owned()))?;
         let pool = entry.or_insert_with(|| Pool::new(target.address, self.clock.clone()));
         if pool.address() != target.address {
-            // Its record names another address now; what runs at the old one may end.
+            // Its record has a new address; requests in flight at the old one may finish.
             *pool = Pool::new(target.address, self.clock.clone());
         }
         Ok(pool.clone())
