--- a/crates/fernring-gateway/src/upstreams/access.rs
+++ b/crates/fernring-gateway/src/upstreams/access.rs
@@ -171,9 +171,9 @@
         let cold = self.cold.borrow();
         let now = self.clock.now().monotonic;
         let no_listener = cold.no_listener.get(key);
-        let record_at = upstream.at;
+        let record_position = upstream.at;
         let is_suspected =
-            no_listener.is_some_and(|refused| refused.is_cold(now, record_at, start.time));
+            no_listener.is_some_and(|refused| refused.is_cold(now, record_position, start.time));
         let ColdSettings { overage, slack } = cold.settings;
         let bounds = ColdBounds { per_s: start.per_s, overage, slack };
         (is_suspected || upstream.is_cold(now)).then_some(bounds)
@@ -231,8 +231,8 @@
         let mut cold = self.cold.borrow_mut();
         match failure {
             Some(SendFailure::NoListener(_)) => {
-                let record_at = upstream.at;
-                cold.no_listener.insert(key, NoListener::new(now, record_at));
+                let record_position = upstream.at;
+                cold.no_listener.insert(key, NoListener::new(now, record_position));
             }
             None => {
                 if let Some(no_listener) = cold.no_listener.get_mut(key) {
--- a/crates/fernring-gateway/src/upstreams/loads.rs
+++ b/crates/fernring-gateway/src/upstreams/loads.rs
@@ -110,9 +110,9 @@
         let mut sums: HashMap<u32, f64> =
             self.own_loads().into_iter().map(|(upstream, load)| (upstream, load.into())).collect();
         let peer_loads = self.peer_loads.borrow();
-        let near =
+        let peer_reports =
             peer_loads.by_source.iter().filter(|(source, _)| matches!(source, LoadSource::Peer(_)));
-        for (upstream, load) in near.flat_map(|(_, reported)| &reported.loads) {
+        for (upstream, load) in peer_reports.flat_map(|(_, reported)| &reported.loads) {
             *sums.entry(*upstream).or_default() += load;
         }
         sums.into_iter().map(|(upstream, load)| (upstream, load.round() as u32)).collect()
--- a/crates/fernring-gateway/tests/testsuite/delegates.rs
+++ b/crates/fernring-gateway/tests/testsuite/delegates.rs
@@ -1,9 +1,9 @@
-//! Hundreds of nodes that keep each other in view through delegates, under virtual time. Nothing but [`Role`] and
-//! [`Members`] decides; heartbeats take time on the way, and some of them long.
+//! Simulates fleets of hundreds of nodes in virtual time. All decisions are made by
+//! [`DelegateRole`] and [`Members`]; heartbeats have a transit time, and some of them a long one.
 
 use {
     fernring_gateway::{
-        delegates::{DELEGATES_PER_DOMAIN, MESH_MAX, HeartbeatRate, DelegateRole},
+        delegates::{DELEGATES_PER_DOMAIN, DelegateRole, HeartbeatRate, MESH_MAX},
         members::{HEARTBEAT_INTERVAL, Member, Members, ReaderRole, SILENCE_MAX},
     },
     rand::{RngExt, SeedableRng, rngs::StdRng, seq::IteratorRandom},
@@ -17,12 +17,12 @@
 };
 
 const DOMAINS: [&str; 5] = ["a", "b", "c", "d", "e"];
-/// Nodes with a large link in each domain.
-const LARGE: usize = 3;
-const TRANSIT: Range<Duration> = Duration::from_millis(1)..Duration::from_millis(8);
-/// One frame in so many is sent again by TCP.
-const RESENT_ONE_IN: u32 = 40;
-const RESENT_AFTER: Duration = Duration::from_millis(220);
+/// Nodes with a large network link in each domain.
+const LARGE_LINKS_PER_DOMAIN: usize = 3;
+const TRANSIT_TIME: Range<Duration> = Duration::from_millis(1)..Duration::from_millis(8);
+/// One frame in this many is retransmitted by TCP.
+const RETRANSMIT_ONE_IN: u32 = 40;
+const RETRANSMIT_DELAY: Duration = Duration::from_millis(220);
 const SERVICES: [&str; 4] = ["s1", "s2", "s3", "s4"];
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -38,9 +38,9 @@
     link_mbps: u32,
     nodes: usize,
     interval: Duration,
-    named: Vec<usize>,
-    /// Whether it tells a word that the sender knows.
-    tells: bool,
+    peers: Vec<usize>,
+    /// Whether the frame carries the report that the sender has.
+    carries_report: bool,
 }
 
 struct Node {
@@ -48,34 +48,34 @@
     role: DelegateRole,
     members: Members,
     rounds: u64,
-    before: Duration,
-    is_up: bool,
-    frozen_until: Duration,
-    /// Live peers that it has taken for lost.
-    wrongly_lost: usize,
+    previous_round_at: Duration,
+    is_running: bool,
+    paused_until: Duration,
+    /// Live peers that the node took for lost.
+    false_losses: usize,
     frames: usize,
-    /// Whether it knows a word that heartbeats tell.
-    knows: bool,
+    /// Whether the node has the report that heartbeats carry.
+    has_report: bool,
 }
 
 struct Fleet {
     now: Duration,
     nodes: Vec<Node>,
     events: BinaryHeap<Reverse<(Duration, u64, Event)>>,
-    number: u64,
+    event_sequence: u64,
     random: StdRng,
-    /// When the last frame of each link is there.
-    links: HashMap<(usize, usize), Duration>,
-    /// A domain that hears only itself.
-    cut: Option<&'static str>,
+    /// Arrival time of the last frame on each link.
+    last_arrivals: HashMap<(usize, usize), Duration>,
+    /// A domain whose nodes receive only each other's heartbeats.
+    partitioned_domain: Option<&'static str>,
 }
 
 fn address(node: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (node / 250) as u8, (node % 250) as u8], 7_000))
 }
 
-fn number(address: SocketAddr) -> usize {
-    let SocketAddr::V4(address) = address else { panic!("all are IPv4") };
+fn node_index(address: SocketAddr) -> usize {
+    let SocketAddr::V4(address) = address else { panic!("all addresses are IPv4") };
     let [.., high, low] = address.ip().octets();
     usize::from(high) * 250 + usize::from(low)
 }
@@ -85,14 +85,14 @@
 }
 
 impl Fleet {
-    /// Starts all nodes within 0.3 s; each knows three seeds and who started before it.
+    /// Starts all nodes within 0.3 s. Each knows three seeds and the nodes that started before it.
     fn start(seed: u64, count: usize) -> Self {
         let mut random = StdRng::seed_from_u64(seed);
         let mut events = BinaryHeap::new();
         let nodes = (0..count).map(|node| {
             let at = random.random_range(Duration::ZERO..Duration::from_millis(300));
             events.push(Reverse((at, node as u64, Event::Round { node })));
-            let link_mbps = if node < LARGE * DOMAINS.len() { 200 } else { 20 };
+            let link_mbps = if node < LARGE_LINKS_PER_DOMAIN * DOMAINS.len() { 200 } else { 20 };
             let mut members = Members::default();
             let seeds = [0, 1, 2].into_iter().filter(|seed| *seed != node);
             members.suggest(Duration::ZERO, seeds.map(address));
@@ -102,12 +102,12 @@
                 role: DelegateRole::new(random.random()),
                 members,
                 rounds: 0,
-                before: Duration::ZERO,
-                is_up: true,
-                frozen_until: Duration::ZERO,
-                wrongly_lost: 0,
+                previous_round_at: Duration::ZERO,
+                is_running: true,
+                paused_until: Duration::ZERO,
+                false_losses: 0,
                 frames: 0,
-                knows: false,
+                has_report: false,
             }
         });
         let nodes = nodes.collect();
@@ -115,10 +115,10 @@
             now: Duration::ZERO,
             nodes,
             events,
-            number: 1 << 32,
+            event_sequence: 1 << 32,
             random,
-            links: HashMap::new(),
-            cut: None,
+            last_arrivals: HashMap::new(),
+            partitioned_domain: None,
         }
     }
 
@@ -131,94 +131,107 @@
             self.now = at;
             match event {
                 Event::Round { node } => self.round(node),
-                Event::Heartbeat { from, to, frame } => self.heard(from, to, &frame),
+                Event::Heartbeat { from, to, frame } => self.receive(from, to, &frame),
             }
         }
         self.now = end;
     }
 
-    fn after(&mut self, pause: Duration, event: Event) {
-        self.number += 1;
-        self.events.push(Reverse((self.now + pause, self.number, event)));
+    fn schedule(&mut self, pause: Duration, event: Event) {
+        self.event_sequence += 1;
+        self.events.push(Reverse((self.now + pause, self.event_sequence, event)));
     }
 
     fn round(&mut self, node: usize) {
         let now = self.now;
-        if !self.nodes[node].is_up {
+        if !self.nodes[node].is_running {
             return;
         }
-        if now < self.nodes[node].frozen_until {
-            let rest = self.nodes[node].frozen_until - now;
-            return self.after(rest, Event::Round { node });
+        if now < self.nodes[node].paused_until {
+            let rest = self.nodes[node].paused_until - now;
+            return self.schedule(rest, Event::Round { node });
         }
-        let before = self.nodes[node].before;
-        let lost = self.nodes[node].members.expire(before, now);
-        let is_there = |other: &usize| self.nodes[*other].is_up && self.reaches(*other, node);
-        let wrongly = lost.into_iter().map(|silent| number(silent.address)).filter(is_there);
-        let wrongly = wrongly.filter(|other| self.nodes[*other].frozen_until + SECOND < now);
-        let wrongly = wrongly.count();
-        let this = &mut self.nodes[node];
-        this.wrongly_lost += wrongly;
-        (this.before, this.rounds) = (now, this.rounds + 1);
-        let has_changed = this.role.update(now, &this.me, &this.members);
-        this.me.is_delegate = this.role.is_delegate();
-        this.me.known_nodes = this.members.reachable_node_count(now);
-        if !this.me.is_delegate {
-            this.members.drop_followers(now);
+        let previous_round_at = self.nodes[node].previous_round_at;
+        let lost = self.nodes[node].members.expire(previous_round_at, now);
+        let is_false_loss =
+            |other: &usize| self.nodes[*other].is_running && self.can_reach(*other, node);
+        let false_losses =
+            lost.into_iter().map(|silent| node_index(silent.address)).filter(is_false_loss);
+        let false_losses =
+            false_losses.filter(|other| self.nodes[*other].paused_until + SECOND < now);
+        let false_losses = false_losses.count();
+        let node_state = &mut self.nodes[node];
+        node_state.false_losses += false_losses;
+        (node_state.previous_round_at, node_state.rounds) = (now, node_state.rounds + 1);
+        let role_changed = node_state.role.update(now, &node_state.me, &node_state.members);
+        node_state.me.is_delegate = node_state.role.is_delegate();
+        node_state.me.known_nodes = node_state.members.reachable_node_count(now);
+        if !node_state.me.is_delegate {
+            node_state.members.drop_followers(now);
         }
-        let audience = match has_changed && !this.me.is_delegate {
-            true => this.members.contacts().into_iter().map(|peer| (peer, HeartbeatRate::Slow)).collect(),
-            false => this.role.heartbeat_targets(now, &this.me, &this.members, this.rounds),
+        let targets = match role_changed && !node_state.me.is_delegate {
+            true => node_state
+                .members
+                .contacts()
+                .into_iter()
+                .map(|peer| (peer, HeartbeatRate::Slow))
+                .collect(),
+            false => node_state.role.heartbeat_targets(
+                now,
+                &node_state.me,
+                &node_state.members,
+                node_state.rounds,
+            ),
         };
-        for (peer, pace) in audience {
-            self.send(node, number(peer), pace);
+        for (peer, rate) in targets {
+            self.send(node, node_index(peer), rate);
         }
-        self.after(HEARTBEAT_INTERVAL, Event::Round { node });
+        self.schedule(HEARTBEAT_INTERVAL, Event::Round { node });
     }
 
-    fn reaches(&self, from: usize, to: usize) -> bool {
-        let is_cut = |node| self.cut == Some(domain(node));
-        is_cut(from) == is_cut(to)
+    fn can_reach(&self, from: usize, to: usize) -> bool {
+        let is_partitioned = |node| self.partitioned_domain == Some(domain(node));
+        is_partitioned(from) == is_partitioned(to)
     }
 
-    fn send(&mut self, from: usize, to: usize, pace: HeartbeatRate) {
+    fn send(&mut self, from: usize, to: usize, rate: HeartbeatRate) {
         let (now, count) = (self.now, self.nodes.len());
         self.nodes[from].frames += 1;
-        if to >= count || !self.reaches(from, to) {
+        if to >= count || !self.can_reach(from, to) {
             return;
         }
         let sender = &self.nodes[from];
-        let named = sender.members.live(now).map(|member| number(member.address));
+        let peers = sender.members.live(now).map(|member| node_index(member.address));
         let frame = Frame {
             is_delegate: sender.me.is_delegate,
             link_mbps: sender.me.link_mbps,
             nodes: sender.me.known_nodes,
-            interval: pace.interval(),
-            named: named.sample(&mut self.random, 4),
-            tells: sender.knows,
+            interval: rate.interval(),
+            peers: peers.sample(&mut self.random, 4),
+            carries_report: sender.has_report,
         };
-        let mut transit = self.random.random_range(TRANSIT);
-        if self.random.random_ratio(1, RESENT_ONE_IN) {
-            transit += RESENT_AFTER;
+        let mut transit = self.random.random_range(TRANSIT_TIME);
+        if self.random.random_ratio(1, RETRANSMIT_ONE_IN) {
+            transit += RETRANSMIT_DELAY;
         }
-        // TCP keeps the order of a link.
-        let there_at = self.links.entry((from, to)).or_default();
-        *there_at = (*there_at).max(self.now + transit);
-        let pause = *there_at - self.now;
-        self.after(pause, Event::Heartbeat { from, to, frame: Box::new(frame) });
+        // TCP keeps the frames of a link in order.
+        let arrives_at = self.last_arrivals.entry((from, to)).or_default();
+        *arrives_at = (*arrives_at).max(self.now + transit);
+        let pause = *arrives_at - self.now;
+        self.schedule(pause, Event::Heartbeat { from, to, frame: Box::new(frame) });
     }
 
-    fn heard(&mut self, from: usize, to: usize, frame: &Frame) {
+    fn receive(&mut self, from: usize, to: usize, frame: &Frame) {
         let now = self.now;
-        if !self.nodes[to].is_up || !self.reaches(from, to) {
+        if !self.nodes[to].is_running || !self.can_reach(from, to) {
             return;
         }
-        if now < self.nodes[to].frozen_until {
-            let rest = self.nodes[to].frozen_until - now;
+        if now < self.nodes[to].paused_until {
+            let rest = self.nodes[to].paused_until - now;
             let frame = Box::new(frame.clone());
-            return self.after(rest, Event::Heartbeat { from, to, frame });
+            return self.schedule(rest, Event::Heartbeat { from, to, frame });
         }
-        let hearer = &mut self.nodes[to];
+        let receiver = &mut self.nodes[to];
         let member = Member {
             is_delegate: frame.is_delegate,
             link_mbps: frame.link_mbps,
@@ -226,49 +239,52 @@
             interval: frame.interval,
             ..Member::new(address(from), domain(from).into())
         };
-        let is_new = hearer.members.record_heartbeat(now, member);
-        hearer.knows |= frame.tells;
-        let others = frame.named.iter().filter(|other| **other != to);
-        hearer.members.suggest(now, others.map(|other| address(*other)));
-        if !is_new {
+        let has_joined = receiver.members.record_heartbeat(now, member);
+        receiver.has_report |= frame.carries_report;
+        let others = frame.peers.iter().filter(|other| **other != to);
+        receiver.members.suggest(now, others.map(|other| address(*other)));
+        if !has_joined {
             return;
         }
-        if let Some(pace) = hearer.role.reply_rate(&hearer.me, frame.is_delegate, domain(from)) {
-            self.send(to, from, pace);
+        if let Some(rate) = receiver.role.reply_rate(&receiver.me, frame.is_delegate, domain(from))
+        {
+            self.send(to, from, rate);
         }
     }
 
-    fn up(&self) -> impl Iterator<Item = &Node> {
-        self.nodes.iter().filter(|node| node.is_up && node.frozen_until <= self.now)
+    fn running(&self) -> impl Iterator<Item = &Node> {
+        self.nodes.iter().filter(|node| node.is_running && node.paused_until <= self.now)
     }
 
     fn delegates(&self, of: &str) -> BTreeSet<usize> {
-        let theirs = self.up().filter(|node| node.me.is_delegate && *node.me.failure_domain == *of);
-        theirs.map(|node| number(node.me.address)).collect()
+        let domain_delegates =
+            self.running().filter(|node| node.me.is_delegate && *node.me.failure_domain == *of);
+        domain_delegates.map(|node| node_index(node.me.address)).collect()
     }
 
-    /// The owners that some nodes name for a service.
+    /// The owners that some nodes choose for a service.
     fn owners<'a>(&self, nodes: impl Iterator<Item = &'a Node>, service: &str) -> BTreeSet<usize> {
-        nodes.map(|node| number(node.members.owner(self.now, &node.me, service))).collect()
+        nodes.map(|node| node_index(node.members.owner(self.now, &node.me, service))).collect()
     }
 
-    fn settled(seed: u64, count: usize) -> Self {
+    fn start_settled(seed: u64, count: usize) -> Self {
         let mut fleet = Self::start(seed, count);
         fleet.run_for(SECOND * 5);
         fleet
     }
 
-    /// Runs on until all nodes that are up name one owner of each service that is up; returns how long that took.
-    fn until_agreed(&mut self) -> Duration {
+    /// Runs until all running nodes choose the same running owner for each service. Returns how
+    /// long that took.
+    fn run_until_agreed(&mut self) -> Duration {
         let start = self.now;
         let agreed = |fleet: &Self| {
             SERVICES.iter().all(|service| {
-                let owners = fleet.owners(fleet.up(), service);
-                owners.len() == 1 && owners.iter().all(|owner| fleet.nodes[*owner].is_up)
+                let owners = fleet.owners(fleet.running(), service);
+                owners.len() == 1 && owners.iter().all(|owner| fleet.nodes[*owner].is_running)
             })
         };
         while !agreed(self) {
-            assert!(self.now < start + SECOND * 20, "nodes agree at last");
+            assert!(self.now < start + SECOND * 20, "nodes agree on owners within 20 s");
             self.run_for(Duration::from_millis(50));
         }
         self.now - start
@@ -276,104 +292,106 @@
 }
 
 #[test]
-fn among_few_nodes_all_are_delegates() {
-    let fleet = Fleet::settled(1, 40);
+fn small_fleet_has_only_delegates() {
+    let fleet = Fleet::start_settled(1, 40);
     assert!(fleet.nodes.iter().all(|node| node.me.is_delegate && node.role.is_mesh()));
     assert!(fleet.nodes.iter().all(|node| node.members.reachable_node_count(fleet.now) == 40));
 }
 
 #[test]
-fn hundreds_that_start_at_once_agree_on_few_delegates_with_large_links() {
+fn simultaneous_start_elects_large_link_delegates() {
     for (seed, count) in [(1, 300), (2, 500)] {
-        let mut fleet = Fleet::settled(seed, count);
+        let mut fleet = Fleet::start_settled(seed, count);
         for domain in DOMAINS {
             let delegates = fleet.delegates(domain);
-            assert_eq!(delegates.len(), DELEGATES_PER_DOMAIN, "{domain} of {count}");
+            assert_eq!(delegates.len(), DELEGATES_PER_DOMAIN, "{domain}, {count} nodes");
             assert!(delegates.iter().all(|node| fleet.nodes[*node].me.link_mbps == 200));
         }
         assert!(fleet.nodes.iter().all(|node| node.members.node_count(fleet.now) == count));
-        assert!(fleet.until_agreed().is_zero());
-        let first = fleet.nodes.iter().map(|node| node.members.reader_role(fleet.now, &node.me));
-        assert_eq!(first.filter(|part| *part == ReaderRole::Primary).count(), 1);
+        assert!(fleet.run_until_agreed().is_zero());
+        let reader_roles =
+            fleet.nodes.iter().map(|node| node.members.reader_role(fleet.now, &node.me));
+        assert_eq!(reader_roles.filter(|role| *role == ReaderRole::Primary).count(), 1);
     }
 }
 
-/// What heartbeats cost: in a mesh 300 nodes sent 1,495 frames a second each, and each further node one in
-/// [`HEARTBEAT_INTERVAL`] more.
+/// Guards the cost of heartbeats: in a mesh 300 nodes sent 1,495 frames a second each, and with
+/// each further node one more per [`HEARTBEAT_INTERVAL`].
 #[test]
-fn a_node_that_is_no_delegate_sends_as_much_however_many_there_are() {
+fn follower_frame_rate_is_independent_of_fleet_size() {
     for (seed, count) in [(3, 300), (4, 500)] {
-        let mut fleet = Fleet::settled(seed, count);
+        let mut fleet = Fleet::start_settled(seed, count);
         fleet.nodes.iter_mut().for_each(|node| node.frames = 0);
         fleet.run_for(SECOND * 4);
         let per_s = |node: &Node| node.frames as f64 / 4.0;
         let followers = fleet.nodes.iter().filter(|node| !node.me.is_delegate);
         let most = followers.map(per_s).fold(0.0, f64::max);
-        assert!(most <= 30.0, "{most} frames a second of {count}");
+        assert!(most <= 30.0, "{most} frames per second with {count} nodes");
         let all = fleet.nodes.iter().map(per_s).sum::<f64>() / count as f64;
-        assert!(all <= 15.0 * 5.0 + 30.0, "{all} frames a second on average of {count}");
+        assert!(all <= 15.0 * 5.0 + 30.0, "{all} frames per second on average with {count} nodes");
     }
 }
 
 #[test]
-fn a_lost_owner_is_replaced_at_all_nodes_within_a_second() {
+fn lost_owner_is_replaced_within_a_second() {
     for seed in 0..4 {
-        let mut fleet = Fleet::settled(10 + seed, 300);
+        let mut fleet = Fleet::start_settled(10 + seed, 300);
         for service in SERVICES {
-            let owner = *fleet.owners(fleet.up(), service).first().unwrap();
-            fleet.nodes[owner].is_up = false;
-            fleet.run_for(SILENCE_MAX + RESENT_AFTER + TRANSIT.end);
-            let named = fleet.owners(fleet.up(), service);
-            assert!(!named.contains(&owner), "{service}: somebody still asks the lost one");
-            // Whoever stands in for it may own something from then on.
-            let took = fleet.until_agreed();
-            assert!(took <= SECOND, "{took:?} for {service}");
+            let owner = *fleet.owners(fleet.running(), service).first().unwrap();
+            fleet.nodes[owner].is_running = false;
+            fleet.run_for(SILENCE_MAX + RETRANSMIT_DELAY + TRANSIT_TIME.end);
+            let owners = fleet.owners(fleet.running(), service);
+            assert!(!owners.contains(&owner), "{service}: a node still names the lost owner");
+            // The delegate elected in its place may own services from then on.
+            let elapsed = fleet.run_until_agreed();
+            assert!(elapsed <= SECOND, "{elapsed:?} for {service}");
         }
     }
 }
 
 #[test]
-fn a_domain_that_loses_all_its_delegates_has_others_soon() {
+fn domain_that_lost_all_delegates_elects_new_ones() {
     for seed in 0..4 {
-        let mut fleet = Fleet::settled(20 + seed, 300);
+        let mut fleet = Fleet::start_settled(20 + seed, 300);
         for node in fleet.delegates("b") {
-            fleet.nodes[node].is_up = false;
+            fleet.nodes[node].is_running = false;
         }
         fleet.run_for(SILENCE_MAX + SECOND);
         let delegates = fleet.delegates("b");
         assert!(!delegates.is_empty());
-        assert!(fleet.up().all(|node| !node.members.is_domain_unreachable(fleet.now, "b")));
+        assert!(fleet.running().all(|node| !node.members.is_domain_unreachable(fleet.now, "b")));
         fleet.run_for(SECOND * 3);
         assert_eq!(fleet.delegates("b").len(), DELEGATES_PER_DOMAIN);
-        assert!(fleet.until_agreed().is_zero());
+        assert!(fleet.run_until_agreed().is_zero());
     }
 }
 
 #[test]
-fn the_loss_of_more_than_half_of_all_nodes_at_once_is_overcome() {
+fn fleet_recovers_from_loss_of_most_nodes() {
     for seed in 0..4 {
-        let mut fleet = Fleet::settled(30 + seed, 300);
+        let mut fleet = Fleet::start_settled(30 + seed, 300);
         for node in 0..300 {
             if fleet.random.random_ratio(55, 100) {
-                fleet.nodes[node].is_up = false;
+                fleet.nodes[node].is_running = false;
             }
         }
-        let took = fleet.until_agreed();
-        assert!(took <= SECOND * 3, "{took:?}");
+        let elapsed = fleet.run_until_agreed();
+        assert!(elapsed <= SECOND * 3, "{elapsed:?}");
         fleet.run_for(SECOND * 6);
-        let there = fleet.up().count();
-        let seen: BTreeSet<_> = fleet.up().map(|node| node.members.node_count(fleet.now)).collect();
-        assert_eq!(seen, BTreeSet::from([there]));
+        let running_count = fleet.running().count();
+        let node_counts: BTreeSet<_> =
+            fleet.running().map(|node| node.members.node_count(fleet.now)).collect();
+        assert_eq!(node_counts, BTreeSet::from([running_count]));
     }
 }
 
 #[test]
-fn a_domain_that_is_cut_off_goes_on_alone_and_finds_the_others_again() {
-    let mut fleet = Fleet::settled(40, 300);
-    fleet.cut = Some("c");
+fn partitioned_domain_works_alone_and_rejoins() {
+    let mut fleet = Fleet::start_settled(40, 300);
+    fleet.partitioned_domain = Some("c");
     fleet.run_for(SILENCE_MAX + HEARTBEAT_INTERVAL * 2);
     let (inside, outside): (Vec<_>, Vec<_>) =
-        fleet.up().partition(|node| *node.me.failure_domain == *"c");
+        fleet.running().partition(|node| *node.me.failure_domain == *"c");
     assert!(outside.iter().all(|node| node.members.is_domain_unreachable(fleet.now, "c")));
     for service in SERVICES {
         let owners = fleet.owners(inside.iter().copied(), service);
@@ -382,34 +400,38 @@
         assert!(owners.len() == 1 && owners.iter().all(|owner| domain(*owner) != "c"));
     }
     fleet.run_for(SECOND * 6);
-    fleet.cut = None;
-    let took = fleet.until_agreed();
-    assert!(took <= SECOND * 2, "{took:?}");
-    assert!(fleet.up().all(|node| !node.members.is_domain_unreachable(fleet.now, "c")));
+    fleet.partitioned_domain = None;
+    let elapsed = fleet.run_until_agreed();
+    assert!(elapsed <= SECOND * 2, "{elapsed:?}");
+    assert!(fleet.running().all(|node| !node.members.is_domain_unreachable(fleet.now, "c")));
 }
 
 #[test]
-fn a_frozen_node_is_the_only_one_that_is_taken_for_lost() {
-    let mut fleet = Fleet::settled(50, 300);
-    let owner = *fleet.owners(fleet.up(), "s1").first().unwrap();
+fn paused_node_causes_no_other_losses() {
+    let mut fleet = Fleet::start_settled(50, 300);
+    let owner = *fleet.owners(fleet.running(), "s1").first().unwrap();
     let follower = (15..300).find(|node| !fleet.nodes[*node].me.is_delegate).unwrap();
-    fleet.nodes.iter_mut().for_each(|node| node.wrongly_lost = 0);
+    fleet.nodes.iter_mut().for_each(|node| node.false_losses = 0);
     for node in [owner, follower] {
-        fleet.nodes[node].frozen_until = fleet.now + SECOND * 3;
+        fleet.nodes[node].paused_until = fleet.now + SECOND * 3;
     }
     fleet.run_for(SECOND);
-    assert!(fleet.until_agreed() <= SECOND, "the others have an owner meanwhile");
+    assert!(
+        fleet.run_until_agreed() <= SECOND,
+        "the other nodes agree on an owner during the pause"
+    );
     fleet.run_for(SECOND * 4);
-    assert!(fleet.until_agreed().is_zero());
-    let wrongly =
-        |node: &Node| number(node.me.address) != owner && number(node.me.address) != follower;
-    let others = fleet.nodes.iter().filter(|node| wrongly(node));
-    assert_eq!(others.map(|node| node.wrongly_lost).sum::<usize>(), 0);
+    assert!(fleet.run_until_agreed().is_zero());
+    let is_other_node = |node: &Node| {
+        node_index(node.me.address) != owner && node_index(node.me.address) != follower
+    };
+    let others = fleet.nodes.iter().filter(|node| is_other_node(node));
+    assert_eq!(others.map(|node| node.false_losses).sum::<usize>(), 0);
 }
 
 #[test]
-fn a_node_that_joins_many_is_followed_and_follows_the_delegates() {
-    let mut fleet = Fleet::settled(60, 300);
+fn node_joining_large_fleet_becomes_follower() {
+    let mut fleet = Fleet::start_settled(60, 300);
     assert!(fleet.nodes.len() > MESH_MAX);
     let node = 299;
     let me = fleet.nodes[node].me.clone();
@@ -419,76 +441,81 @@
     fleet.nodes[node].me = Member { is_delegate: true, ..me };
     fleet.run_for(SECOND * 2);
     assert!(!fleet.nodes[node].me.is_delegate && !fleet.nodes[node].role.is_mesh());
-    assert!(fleet.until_agreed().is_zero());
+    assert!(fleet.run_until_agreed().is_zero());
 }
 
 impl Fleet {
-    /// Tells news from a node to all its live peers, and on from whoever has dependents; returns who has it, and the
-    /// most messages that one node sent.
-    fn spread(&self, from: usize) -> (BTreeSet<usize>, usize) {
+    /// Sends a report from a node to all its live peers, and from these to their followers. Returns
+    /// the nodes that have it, and the most messages that one node sent.
+    fn forward_report(&self, from: usize) -> (BTreeSet<usize>, usize) {
         let now = self.now;
-        let first = self.nodes[from].members.live(now).map(|peer| number(peer.address));
-        let heard: BTreeSet<_> = first.filter(|to| self.reaches(from, *to)).collect();
-        let mut sent_most = heard.len();
-        let mut reached = heard.clone();
+        let first = self.nodes[from].members.live(now).map(|peer| node_index(peer.address));
+        let receivers: BTreeSet<_> = first.filter(|to| self.can_reach(from, *to)).collect();
+        let mut most_sent = receivers.len();
+        let mut reached = receivers.clone();
         reached.insert(from);
-        for hearer in heard.iter().filter(|hearer| self.nodes[**hearer].is_up) {
-            let node = &self.nodes[*hearer];
-            let on = node.role.followers(now, &node.me, &node.members);
-            sent_most = sent_most.max(on.len());
-            reached.extend(on.into_iter().map(number).filter(|to| self.reaches(*hearer, *to)));
+        for receiver in receivers.iter().filter(|receiver| self.nodes[**receiver].is_running) {
+            let node = &self.nodes[*receiver];
+            let followers = node.role.followers(now, &node.me, &node.members);
+            most_sent = most_sent.max(followers.len());
+            reached.extend(
+                followers.into_iter().map(node_index).filter(|to| self.can_reach(*receiver, *to)),
+            );
         }
-        (reached, sent_most)
+        (reached, most_sent)
     }
 }
 
-/// What a node has seen of a request that ends upstreams has to be everywhere well before its next repeats: two hops, whichever
-/// node tells it, and also right after more than half of all nodes are gone.
+/// A report of a request that crashes upstreams has to reach all nodes well before the request is
+/// repeated: within two hops from any node, and also right after more than half of all nodes were
+/// lost.
 #[test]
-fn news_of_any_node_are_everywhere_in_two_hops() {
+fn reports_reach_all_nodes_in_two_hops() {
     for (seed, count) in [(21, 30), (22, 300), (23, 500)] {
-        let mut fleet = Fleet::settled(seed, count);
+        let mut fleet = Fleet::start_settled(seed, count);
         for from in 0..count {
-            let (reached, sent_most) = fleet.spread(from);
-            assert_eq!(reached.len(), count, "of {count}, from {from}");
-            assert!(sent_most < count, "one message for each node at most");
+            let (reached, most_sent) = fleet.forward_report(from);
+            assert_eq!(reached.len(), count, "{count} nodes, from {from}");
+            assert!(most_sent < count, "each node sends fewer messages than there are nodes");
         }
         for node in (0..count).filter(|node| node % 9 < 5) {
-            fleet.nodes[node].is_up = false;
+            fleet.nodes[node].is_running = false;
         }
-        fleet.until_agreed();
+        fleet.run_until_agreed();
         fleet.run_for(SECOND * 3);
-        let up: BTreeSet<_> = fleet.up().map(|node| number(node.me.address)).collect();
-        for from in &up {
-            let (reached, _) = fleet.spread(*from);
-            assert!(up.is_subset(&reached), "of {count}, from {from}, after the loss");
+        let running: BTreeSet<_> =
+            fleet.running().map(|node| node_index(node.me.address)).collect();
+        for from in &running {
+            let (reached, _) = fleet.forward_report(*from);
+            assert!(running.is_subset(&reached), "{count} nodes, from {from}, after the loss");
         }
     }
 }
 
-/// What an upstream says of how much it takes rides on heartbeats. All nodes have to know it well before the three seconds from
-/// which on it binds, whichever node has heard it first, and also right after more than half of all nodes are gone.
+/// Limits that upstreams announce are carried by heartbeats. All nodes have to know a limit well
+/// before the three seconds after which it is binding, regardless of the node that received it
+/// first, and also right after more than half of all nodes were lost.
 #[test]
-fn a_word_in_heartbeats_is_everywhere_within_a_second_and_a_half() {
+fn heartbeat_reports_reach_all_nodes_within_1500_ms() {
     let bound = Duration::from_millis(1_500);
     for (seed, count) in [(31, 9), (32, 89), (33, 300)] {
-        let mut fleet = Fleet::settled(seed, count);
+        let mut fleet = Fleet::start_settled(seed, count);
         let mut longest = Duration::ZERO;
-        for (turn, from) in [count - 1, count / 2, 0].into_iter().enumerate() {
-            if turn == 2 {
+        for (round_index, from) in [count - 1, count / 2, 0].into_iter().enumerate() {
+            if round_index == 2 {
                 (0..count)
                     .filter(|node| node % 9 < 5)
-                    .for_each(|node| fleet.nodes[node].is_up = false);
-                fleet.until_agreed();
+                    .for_each(|node| fleet.nodes[node].is_running = false);
+                fleet.run_until_agreed();
                 fleet.run_for(SECOND * 3);
             }
-            let from = (from..count).find(|node| fleet.nodes[*node].is_up).unwrap();
-            fleet.nodes.iter_mut().for_each(|node| node.knows = false);
-            // What is still on the way is of the turn before.
-            fleet.events.retain(|Reverse((.., event))| !matches!(event, Event::Heartbeat { frame, .. } if frame.tells));
-            fleet.nodes[from].knows = true;
+            let from = (from..count).find(|node| fleet.nodes[*node].is_running).unwrap();
+            fleet.nodes.iter_mut().for_each(|node| node.has_report = false);
+            // Frames in transit still carry the report of the previous round.
+            fleet.events.retain(|Reverse((.., event))| !matches!(event, Event::Heartbeat { frame, .. } if frame.carries_report));
+            fleet.nodes[from].has_report = true;
             let start = fleet.now;
-            while !fleet.up().all(|node| node.knows) {
+            while !fleet.running().all(|node| node.has_report) {
                 fleet.run_for(Duration::from_millis(50));
                 assert!(fleet.now <= start + bound, "{count} nodes, from {from}");
             }
--- a/crates/fernring-gateway/tests/testsuite/fleet.rs
+++ b/crates/fernring-gateway/tests/testsuite/fleet.rs
@@ -1,5 +1,6 @@
-//! Many nodes that follow a topic through each other, under virtual time: their heartbeats, questions and
-//! records take time on the way, records also on the links. Nothing but [`Following`] decides.
+//! Simulates many nodes that tail a topic through each other, in virtual time: heartbeats, requests
+//! and records have transit times, records also on the links. All decisions are made by
+//! [`Following`].
 
 use {
     fernring_gateway::{
@@ -12,48 +13,48 @@
 
 /// Nodes of the deployment.
 pub(crate) const NODES: usize = 78;
-/// The first of them read the store for their failure domains; node 0 is the first reader.
+/// The first of them read the store for their failure domains; node 0 is the primary reader.
 const READERS: usize = 4;
 /// A link of 10 Mbit/s, in bytes a second.
 const LINK_BYTES_PER_S: f64 = 1_250_000.0;
-/// Time from the writing of a small message until it has been taken in, on nodes with an eighth of a core.
-const TRANSIT: Range<Duration> = Duration::from_millis(1)..Duration::from_millis(8);
-/// Time between two reads of the first reader.
+/// Time from the send of a small message until it was handled, on nodes with an eighth of a core.
+const TRANSIT_TIME: Range<Duration> = Duration::from_millis(1)..Duration::from_millis(8);
+/// Time between two reads of the primary reader.
 const READ_INTERVAL: Duration = Duration::from_millis(700);
-/// How often a node looks whether it has to read the store itself.
-const WATCH_INTERVAL: Duration = Duration::from_millis(100);
+/// How often a node checks whether it has to read the store itself.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Who may read the store.
+/// Which nodes can read the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum StoreFor {
-    /// Nobody but the readers; the others ask in vain.
+pub(crate) enum StoreAccess {
+    /// Only the readers; requests of the other nodes get no response.
     Readers,
-    /// Everybody.
+    /// All nodes.
     All,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Beat { node: usize },
-    Watch { node: usize },
-    ReaderReads,
-    StoreAnswers { node: usize },
+    HeartbeatDue { node: usize },
+    CheckDue { node: usize },
+    ReadDue,
+    StoreResponse { node: usize },
     Heartbeat { from: usize, to: usize, version: u64, age_ms: Option<u64> },
-    Question { from: usize, to: usize },
-    PutOff { to: usize },
+    RecordRequest { from: usize, to: usize },
+    Deferred { to: usize },
     Record { to: usize, version: u64 },
 }
 
 #[derive(Debug)]
 struct Node {
-    following: Following,
+    tailing: Following,
     version: u64,
-    reads: bool,
-    sends_until: Duration,
-    receives_until: Duration,
-    /// When it first tried to read the store although it is no reader.
+    is_reading: bool,
+    sending_until: Duration,
+    receiving_until: Duration,
+    /// When the node first tried to read the store although it is no reader.
     doubted_at: Option<Duration>,
-    copies: usize,
+    transfers: usize,
 }
 
 /// The nodes, all with version 1 known and confirmed.
@@ -61,32 +62,32 @@
     pub(crate) now: Duration,
     nodes: Vec<Node>,
     events: BinaryHeap<Reverse<(Duration, u64, Event)>>,
-    number: u64,
+    event_sequence: u64,
     random: StdRng,
     store_version: u64,
-    store_for: StoreFor,
+    store_access: StoreAccess,
     record_bytes: usize,
-    /// Whether the store answers the readers.
-    pub(crate) store_answers: bool,
+    /// Whether the store responds to the readers.
+    pub(crate) store_responds: bool,
     /// Reads of the store by nodes that are no readers.
-    pub(crate) stand_ins: usize,
+    pub(crate) stand_in_reads: usize,
 }
 
 impl Fleet {
-    pub(crate) fn new(seed: u64, store_for: StoreFor, record_bytes: usize) -> Self {
+    pub(crate) fn new(seed: u64, store_access: StoreAccess, record_bytes: usize) -> Self {
         let mut random = StdRng::seed_from_u64(seed);
         let node = |_| {
-            let mut following = Following::new(random.random());
-            following.was_read(Duration::ZERO, ReaderRole::None);
-            following.caught_up(record_bytes);
+            let mut tailing = Following::new(random.random());
+            tailing.was_read(Duration::ZERO, ReaderRole::None);
+            tailing.caught_up(record_bytes);
             Node {
-                following,
+                tailing,
                 version: 1,
-                reads: false,
-                sends_until: Duration::ZERO,
-                receives_until: Duration::ZERO,
+                is_reading: false,
+                sending_until: Duration::ZERO,
+                receiving_until: Duration::ZERO,
                 doubted_at: None,
-                copies: 0,
+                transfers: 0,
             }
         };
         let nodes = (0..NODES).map(node).collect();
@@ -94,20 +95,20 @@
             now: Duration::ZERO,
             nodes,
             events: BinaryHeap::new(),
-            number: 0,
+            event_sequence: 0,
             random,
             store_version: 1,
-            store_for,
+            store_access,
             record_bytes,
-            store_answers: true,
-            stand_ins: 0,
+            store_responds: true,
+            stand_in_reads: 0,
         };
         for node in 0..NODES {
             let phase = fleet.random.random_range(Duration::ZERO..HEARTBEAT_INTERVAL);
-            fleet.after(phase, Event::Beat { node });
-            fleet.after(phase, Event::Watch { node });
+            fleet.schedule(phase, Event::HeartbeatDue { node });
+            fleet.schedule(phase, Event::CheckDue { node });
         }
-        fleet.after(Duration::ZERO, Event::ReaderReads);
+        fleet.schedule(Duration::ZERO, Event::ReadDue);
         fleet
     }
 
@@ -115,11 +116,11 @@
     pub(crate) fn publish(&mut self) {
         self.store_version += 1;
         for node in 0..READERS {
-            self.store_answers(node);
+            self.handle_store_response(node);
         }
     }
 
-    /// Lets time pass.
+    /// Advances the virtual time.
     pub(crate) fn run_for(&mut self, time: Duration) {
         let end = self.now + time;
         while self.events.peek().is_some_and(|Reverse((at, ..))| *at <= end) {
@@ -127,144 +128,146 @@
                 break;
             };
             self.now = at;
-            self.happen(event);
+            self.handle(event);
         }
         self.now = end;
     }
 
-    /// Returns when the last node but the readers began to doubt what it knows; `None` if one hasn't.
+    /// Returns when the last of the other nodes began to doubt its records; `None` if one of them
+    /// hasn't.
     pub(crate) fn last_doubted_at(&self) -> Option<Duration> {
         let followers = self.nodes[READERS..].iter();
         followers.map(|node| node.doubted_at).max_by_key(|at| at.unwrap_or(Duration::MAX))?
     }
 
     /// Returns the number of nodes that have the newest record.
-    pub(crate) fn up_to_date(&self) -> usize {
+    pub(crate) fn up_to_date_count(&self) -> usize {
         self.nodes.iter().filter(|node| node.version == self.store_version).count()
     }
 
-    /// Returns how many records came over links between nodes.
-    pub(crate) fn copies(&self) -> usize {
-        self.nodes.iter().map(|node| node.copies).sum()
+    /// Returns the number of records that were sent over links between nodes.
+    pub(crate) fn transfers(&self) -> usize {
+        self.nodes.iter().map(|node| node.transfers).sum()
     }
 
-    fn after(&mut self, pause: Duration, event: Event) {
-        self.number += 1;
-        self.events.push(Reverse((self.now + pause, self.number, event)));
+    fn schedule(&mut self, pause: Duration, event: Event) {
+        self.event_sequence += 1;
+        self.events.push(Reverse((self.now + pause, self.event_sequence, event)));
     }
 
     fn send(&mut self, event: Event) {
-        let transit = self.random.random_range(TRANSIT);
-        self.after(transit, event);
+        let transit = self.random.random_range(TRANSIT_TIME);
+        self.schedule(transit, event);
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Beat { node } => self.beat(node),
-            Event::Watch { node } => self.watch(node),
-            Event::ReaderReads => self.reader_reads(),
-            Event::StoreAnswers { node } => self.store_answers(node),
+            Event::HeartbeatDue { node } => self.send_heartbeats(node),
+            Event::CheckDue { node } => self.check_read(node),
+            Event::ReadDue => self.read_as_reader(),
+            Event::StoreResponse { node } => self.handle_store_response(node),
             Event::Heartbeat { from, to, version, age_ms } => {
                 let age = age_ms.map(Duration::from_millis);
-                let hearer = &mut self.nodes[to];
-                if hearer.following.heard(self.now, hearer.version, version, age) {
-                    self.send(Event::Question { from: to, to: from });
+                let receiver = &mut self.nodes[to];
+                if receiver.tailing.heard(self.now, receiver.version, version, age) {
+                    self.send(Event::RecordRequest { from: to, to: from });
                 }
             }
-            Event::Question { from, to } => self.question(from, to),
-            Event::PutOff { to } => {
+            Event::RecordRequest { from, to } => self.handle_record_request(from, to),
+            Event::Deferred { to } => {
                 let draw = self.random.random();
-                self.nodes[to].following.put_off(self.now, draw);
+                self.nodes[to].tailing.put_off(self.now, draw);
             }
             Event::Record { to, version } => {
-                self.nodes[to].copies += 1;
-                self.take(to, version);
+                self.nodes[to].transfers += 1;
+                self.apply_record(to, version);
             }
         }
     }
 
-    fn beat(&mut self, from: usize) {
+    fn send_heartbeats(&mut self, from: usize) {
         let version = self.nodes[from].version;
-        let age_ms = self.told_age_ms(from);
+        let age_ms = self.reported_age_ms(from);
         for to in (0..NODES).filter(|to| *to != from) {
             self.send(Event::Heartbeat { from, to, version, age_ms });
         }
-        self.after(HEARTBEAT_INTERVAL, Event::Beat { node: from });
+        self.schedule(HEARTBEAT_INTERVAL, Event::HeartbeatDue { node: from });
     }
 
-    fn told_age_ms(&self, node: usize) -> Option<u64> {
-        let age = self.nodes[node].following.told_age(self.now)?;
+    fn reported_age_ms(&self, node: usize) -> Option<u64> {
+        let age = self.nodes[node].tailing.told_age(self.now)?;
         Some(age.as_millis() as u64)
     }
 
-    fn watch(&mut self, node: usize) {
-        self.after(WATCH_INTERVAL, Event::Watch { node });
+    fn check_read(&mut self, node: usize) {
+        self.schedule(CHECK_INTERVAL, Event::CheckDue { node });
         let now = self.now;
-        let watched = &mut self.nodes[node];
+        let checked = &mut self.nodes[node];
         let is_reader = node < READERS;
-        if is_reader || watched.reads || !watched.following.shall_read(now, ReaderRole::None) {
+        if is_reader || checked.is_reading || !checked.tailing.shall_read(now, ReaderRole::None) {
             return;
         }
-        watched.doubted_at.get_or_insert(now);
-        if self.store_for == StoreFor::All {
-            watched.reads = true;
-            self.stand_ins += 1;
-            let answered_at = self.over_link(None, node);
-            self.after(answered_at - now, Event::StoreAnswers { node });
+        checked.doubted_at.get_or_insert(now);
+        if self.store_access == StoreAccess::All {
+            checked.is_reading = true;
+            self.stand_in_reads += 1;
+            let answered_at = self.transfer(None, node);
+            self.schedule(answered_at - now, Event::StoreResponse { node });
         }
     }
 
-    /// Moves a record over the links of its sender and its receiver; returns when it is there.
-    fn over_link(&mut self, from: Option<usize>, to: usize) -> Duration {
+    /// Moves a record over the links of its sender and its receiver; returns the time of its
+    /// arrival.
+    fn transfer(&mut self, from: Option<usize>, to: usize) -> Duration {
         let time = Duration::from_secs_f64(self.record_bytes as f64 / LINK_BYTES_PER_S);
         let mut sent_at = self.now + time;
         if let Some(from) = from {
             let sender = &mut self.nodes[from];
-            sent_at = sender.sends_until.max(self.now) + time;
-            sender.sends_until = sent_at;
+            sent_at = sender.sending_until.max(self.now) + time;
+            sender.sending_until = sent_at;
         }
         let receiver = &mut self.nodes[to];
-        receiver.receives_until = sent_at.max(receiver.receives_until.max(self.now) + time);
-        receiver.receives_until
+        receiver.receiving_until = sent_at.max(receiver.receiving_until.max(self.now) + time);
+        receiver.receiving_until
     }
 
-    fn reader_reads(&mut self) {
-        if self.store_answers {
-            self.nodes[0].following.was_read(self.now, ReaderRole::Primary);
+    fn read_as_reader(&mut self) {
+        if self.store_responds {
+            self.nodes[0].tailing.was_read(self.now, ReaderRole::Primary);
         }
-        self.after(READ_INTERVAL, Event::ReaderReads);
+        self.schedule(READ_INTERVAL, Event::ReadDue);
     }
 
-    fn store_answers(&mut self, node: usize) {
-        let part = match node {
+    fn handle_store_response(&mut self, node: usize) {
+        let role = match node {
             0 => ReaderRole::Primary,
             node if node < READERS => ReaderRole::Domain,
             _ => ReaderRole::None,
         };
         let reader = &mut self.nodes[node];
-        reader.reads = false;
-        reader.following.was_read(self.now, part);
-        self.take(node, self.store_version);
+        reader.is_reading = false;
+        reader.tailing.was_read(self.now, role);
+        self.apply_record(node, self.store_version);
     }
 
-    fn question(&mut self, from: usize, to: usize) {
+    fn handle_record_request(&mut self, from: usize, to: usize) {
         let bytes = self.record_bytes;
-        match self.nodes[to].following.asked(self.now, bytes) {
+        match self.nodes[to].tailing.asked(self.now, bytes) {
             Reply::Record => {
                 let version = self.nodes[to].version;
-                let there_at = self.over_link(Some(to), from);
-                self.after(there_at - self.now, Event::Record { to: from, version });
+                let arrives_at = self.transfer(Some(to), from);
+                self.schedule(arrives_at - self.now, Event::Record { to: from, version });
             }
-            Reply::PutOff => self.send(Event::PutOff { to: from }),
+            Reply::PutOff => self.send(Event::Deferred { to: from }),
         }
     }
 
-    fn take(&mut self, node: usize, version: u64) {
+    fn apply_record(&mut self, node: usize, version: u64) {
         let bytes = self.record_bytes;
         let node = &mut self.nodes[node];
         if version > node.version {
             node.version = version;
-            node.following.caught_up(bytes);
+            node.tailing.caught_up(bytes);
         }
     }
 }
--- a/crates/fernring-gateway/tests/testsuite/following.rs
+++ b/crates/fernring-gateway/tests/testsuite/following.rs
@@ -1,7 +1,7 @@
 //! How nodes keep up with a topic through their peers.
 
 use {
-    super::fleet::{Fleet, NODES, StoreFor},
+    super::fleet::{Fleet, NODES, StoreAccess},
     fernring_gateway::{following::Following, freshness::STALE_AFTER},
     std::time::Duration,
 };
@@ -22,10 +22,10 @@
 #[test]
 fn what_nobody_confirms_any_more_is_doubted_in_time_however_many_nodes_tell_each_other() {
     for seed in SEEDS {
-        let mut fleet = Fleet::new(seed, StoreFor::Readers, LARGE_BYTES);
+        let mut fleet = Fleet::new(seed, StoreAccess::Readers, LARGE_BYTES);
         fleet.run_for(SETTLE_TIME);
         assert_eq!(fleet.last_doubted_at(), None, "seed {seed}: all is confirmed");
-        fleet.store_answers = false;
+        fleet.store_responds = false;
         let silent_since = fleet.now;
         fleet.run_for(Duration::from_secs(20));
         let doubted = fleet.last_doubted_at().expect("all nodes doubt") - silent_since;
@@ -41,11 +41,11 @@
 #[test]
 fn a_large_record_spreads_from_its_readers_within_two_and_a_half_seconds() {
     for seed in SEEDS {
-        let mut fleet = Fleet::new(seed, StoreFor::Readers, LARGE_BYTES);
+        let mut fleet = Fleet::new(seed, StoreAccess::Readers, LARGE_BYTES);
         fleet.run_for(SETTLE_TIME);
         fleet.publish();
         fleet.run_for(Duration::from_millis(2_500));
-        let (there, copies) = (fleet.up_to_date(), fleet.copies());
+        let (there, copies) = (fleet.up_to_date_count(), fleet.transfers());
         assert_eq!(there, NODES, "seed {seed}: with {copies} copies");
         assert!(copies <= NODES * 5 / 4, "seed {seed}: {copies} copies for {NODES} nodes");
     }
@@ -56,11 +56,11 @@
 #[test]
 fn a_record_that_spreads_too_slowly_is_read_from_the_store() {
     for seed in SEEDS {
-        let mut fleet = Fleet::new(seed, StoreFor::All, 800_000);
+        let mut fleet = Fleet::new(seed, StoreAccess::All, 800_000);
         fleet.run_for(SETTLE_TIME);
         fleet.publish();
         fleet.run_for(Duration::from_millis(3_000));
-        let (there, copies) = (fleet.up_to_date(), fleet.copies());
+        let (there, copies) = (fleet.up_to_date_count(), fleet.transfers());
         assert_eq!(there, NODES, "seed {seed}: with {copies} copies");
     }
 }
@@ -70,16 +70,16 @@
 #[test]
 fn a_node_that_gets_a_record_from_its_peers_does_not_read_it_from_the_store_as_well() {
     for seed in SEEDS {
-        let mut fleet = Fleet::new(seed, StoreFor::All, PACKED_BYTES);
+        let mut fleet = Fleet::new(seed, StoreAccess::All, PACKED_BYTES);
         fleet.run_for(SETTLE_TIME);
-        fleet.store_answers = false;
+        fleet.store_responds = false;
         fleet.run_for(STALE_AFTER - Duration::from_millis(400));
-        assert_eq!(fleet.stand_ins, 0, "seed {seed}");
+        assert_eq!(fleet.stand_in_reads, 0, "seed {seed}");
         fleet.publish();
-        fleet.store_answers = true;
+        fleet.store_responds = true;
         fleet.run_for(Duration::from_millis(1_500));
-        assert_eq!(fleet.up_to_date(), NODES, "seed {seed}");
-        assert!(fleet.stand_ins <= NODES / 10, "seed {seed}: {} reads", fleet.stand_ins);
+        assert_eq!(fleet.up_to_date_count(), NODES, "seed {seed}");
+        assert!(fleet.stand_in_reads <= NODES / 10, "seed {seed}: {} reads", fleet.stand_in_reads);
     }
 }
 
--- a/crates/fernring-gateway/tests/testsuite/pause_detector.rs
+++ b/crates/fernring-gateway/tests/testsuite/pause_detector.rs
@@ -1,4 +1,4 @@
-//! Whether a process stood still, and has heard others since.
+//! Tests of pause detection and of catching up after a pause.
 
 use {fernring_gateway::pause_detector::PauseDetector, std::time::Duration};
 
@@ -6,40 +6,41 @@
     Duration::from_millis(ms)
 }
 
-/// A process whose rounds come each 200 ms, and that has heard a peer.
+/// A detector whose rounds came every 200 ms and that received a heartbeat in each.
 fn running(until_ms: u64) -> PauseDetector {
-    let mut stillness = PauseDetector::new(ms(0));
+    let mut detector = PauseDetector::new(ms(0));
     for round in 1..=until_ms / 200 {
-        stillness.record_round(ms(round * 200));
-        stillness.record_heartbeat();
+        detector.record_round(ms(round * 200));
+        detector.record_heartbeat();
     }
-    stillness
+    detector
 }
 
-/// A node stood still for 2.4 s and sent eight requests within 8 ms of waking, before it read that their upstream takes one in
-/// two seconds. Whatever runs first on waking, it is behind until a peer was heard.
+/// A node was paused for 2.4 s and sent eight requests within 8 ms of resuming, before it read that
+/// their upstream accepts one in two seconds. In whichever order its tasks run, it counts as
+/// catching up until the first heartbeat.
 #[test]
-fn a_process_that_wakes_is_behind_until_it_hears_a_peer() {
-    let mut stillness = running(2_000);
-    assert!(!stillness.is_catching_up(ms(2_150)));
-    assert!(stillness.is_catching_up(ms(4_400)), "no round has found it out yet");
-    assert_eq!(stillness.record_round(ms(4_400)), Some(ms(2_400)));
-    assert!(stillness.is_catching_up(ms(4_410)));
-    stillness.record_heartbeat();
-    assert!(!stillness.is_catching_up(ms(4_411)));
+fn resumed_process_catches_up_until_first_heartbeat() {
+    let mut detector = running(2_000);
+    assert!(!detector.is_catching_up(ms(2_150)));
+    assert!(detector.is_catching_up(ms(4_400)), "no round has detected the pause yet");
+    assert_eq!(detector.record_round(ms(4_400)), Some(ms(2_400)));
+    assert!(detector.is_catching_up(ms(4_410)));
+    detector.record_heartbeat();
+    assert!(!detector.is_catching_up(ms(4_411)));
 }
 
 #[test]
-fn a_process_that_nobody_tells_anything_is_not_behind_for_long() {
-    let mut stillness = PauseDetector::new(ms(1_000));
-    assert!(stillness.is_catching_up(ms(1_100)), "it has just started");
-    stillness.record_round(ms(1_200));
-    assert!(!stillness.is_catching_up(ms(1_300)), "it is alone");
+fn process_without_peers_stops_catching_up() {
+    let mut detector = PauseDetector::new(ms(1_000));
+    assert!(detector.is_catching_up(ms(1_100)), "the process has just started");
+    detector.record_round(ms(1_200));
+    assert!(!detector.is_catching_up(ms(1_300)), "it has no peers");
 }
 
 #[test]
-fn a_process_that_is_merely_slow_is_not_behind() {
-    let mut stillness = running(2_000);
-    assert_eq!(stillness.record_round(ms(2_900)), None);
-    assert!(!stillness.is_catching_up(ms(2_950)));
+fn slow_process_is_not_catching_up() {
+    let mut detector = running(2_000);
+    assert_eq!(detector.record_round(ms(2_900)), None);
+    assert!(!detector.is_catching_up(ms(2_950)));
 }
--- a/crates/fernring-gateway/tests/testsuite/upstreams.rs
+++ b/crates/fernring-gateway/tests/testsuite/upstreams.rs
@@ -1,4 +1,4 @@
-//! What a node knows of its upstreams besides their records.
+//! Tests of what a node knows about its upstreams in addition to their records.
 
 use {
     fernring_core::clock::ManualClock,
@@ -57,29 +57,32 @@
 }
 
 #[test]
-fn an_upstream_that_takes_no_connection_is_avoided_though_it_has_no_load() {
+fn unreachable_upstream_is_avoided_despite_no_load() {
     let upstreams = upstreams(&["gone", "sound"]);
     let key = key(&upstreams, "gone");
     upstreams.record_unreachable(NOW, key);
     let later = NOW + Duration::from_millis(900);
     assert!(is_avoided(&upstreams, later, "gone") && !is_avoided(&upstreams, later, "sound"));
-    assert!(!is_avoided(&upstreams, NOW + Duration::from_secs(5), "gone"), "it is tried again");
+    assert!(
+        !is_avoided(&upstreams, NOW + Duration::from_secs(5), "gone"),
+        "the upstream is tried again"
+    );
 }
 
 #[test]
-fn peers_are_told_of_it_and_avoid_it_too() {
+fn peers_avoid_reported_unreachable_upstream() {
     let one = upstreams(&["gone", "sound"]);
     let other = upstreams(&["gone", "sound"]);
     one.record_unreachable(NOW, key(&one, "gone"));
     assert_eq!(one.unreachable_upstreams(NOW), [short_hash("gone")]);
     other.apply_peer_unreachable(NOW, &one.unreachable_upstreams(NOW), false);
     assert!(is_avoided(&other, NOW, "gone") && !is_avoided(&other, NOW, "sound"));
-    assert!(other.unreachable_upstreams(NOW).is_empty(), "hearsay is not passed on");
+    assert!(other.unreachable_upstreams(NOW).is_empty(), "reports of peers are not passed on");
     assert!(one.unreachable_upstreams(NOW + Duration::from_secs(5)).is_empty());
 }
 
 #[test]
-fn an_answer_ends_the_avoidance_and_failures_in_a_row_prolong_it() {
+fn success_ends_avoidance_and_failures_prolong_it() {
     let upstreams = upstreams(&["i"]);
     let key = key(&upstreams, "i");
     let first = upstreams.record_failure(NOW, key);
@@ -90,7 +93,7 @@
 }
 
 #[test]
-fn load_is_the_sum_of_all_nodes_and_goes_with_its_guard() {
+fn load_sums_all_nodes_and_ends_with_guard() {
     let upstreams = upstreams(&["i"]);
     let key = key(&upstreams, "i");
     let load = |upstreams: &Upstreams| {
@@ -109,15 +112,11 @@
 }
 
 #[test]
-fn the_age_of_records_is_that_of_the_newest_word_of_the_store() {
+fn records_age_follows_newest_read() {
     let upstreams = upstreams(&["one"]);
     upstreams.mark_records_read(NOW);
     upstreams.mark_records_read(NOW - Duration::from_secs(30));
-    assert_eq!(
-        upstreams.records_age(NOW),
-        Duration::ZERO,
-        "a peer that read long ago changes nothing"
-    );
+    assert_eq!(upstreams.records_age(NOW), Duration::ZERO, "an older read changes nothing");
 }
 
 fn load_of(upstreams: &Upstreams, instance: &str) -> f64 {
@@ -126,12 +125,12 @@
     candidates.iter().find(|candidate| candidate.key == key).unwrap().load
 }
 
-fn as_loads(told: Vec<(u32, u32)>) -> Vec<(u32, f64)> {
-    told.into_iter().map(|(upstream, load)| (upstream, load.into())).collect()
+fn to_loads(reported: Vec<(u32, u32)>) -> Vec<(u32, f64)> {
+    reported.into_iter().map(|(upstream, load)| (upstream, load.into())).collect()
 }
 
 #[test]
-fn a_domains_load_is_added_up_by_a_delegate_and_counted_once() {
+fn delegate_sums_domain_load_once() {
     let [follower, delegate, far] = ["a", "a", "b"].map(|domain| {
         let upstreams = Rc::new(Upstreams::new(
             domain.into(),
@@ -144,14 +143,15 @@
     });
     let _own = follower.track_load(key(&follower, "i"), 30.0);
     let _of_delegate = delegate.track_load(key(&delegate, "i"), 5.0);
-    delegate.set_peer_loads(SocketAddr::from(([10, 0, 0, 9], 1)), as_loads(follower.loads_to_report()));
+    delegate
+        .set_peer_loads(SocketAddr::from(([10, 0, 0, 9], 1)), to_loads(follower.loads_to_report()));
     assert_eq!(load_of(&delegate, "i"), 35.0);
-    let sums = as_loads(delegate.domain_loads());
+    let sums = to_loads(delegate.domain_loads());
     far.set_domain_loads(NOW, &"a".into(), sums.clone());
     assert_eq!(load_of(&far, "i"), 35.0);
     follower.set_domain_loads(NOW, &"a".into(), sums.clone());
-    assert_eq!(load_of(&follower, "i"), 35.0, "what it told itself isn't counted twice");
-    // A second telling replaces the first, and one that isn't repeated is forgotten.
+    assert_eq!(load_of(&follower, "i"), 35.0, "its own load isn't counted twice");
+    // A second report replaces the first, and one that isn't repeated expires.
     far.set_domain_loads(NOW, &"a".into(), sums);
     assert_eq!(load_of(&far, "i"), 35.0);
     far.expire(NOW + Duration::from_secs(3));
@@ -159,54 +159,61 @@
 }
 
 #[test]
-fn a_delegate_tells_on_what_a_node_of_its_domain_found_unreachable_and_no_further() {
-    let [found, delegate, other] = [(); 3].map(|()| upstreams(&["gone"]));
-    found.record_unreachable(NOW, key(&found, "gone"));
-    delegate.apply_peer_unreachable(NOW, &found.unreachable_upstreams(NOW), true);
+fn delegate_forwards_unreachable_upstreams_once() {
+    let [finder, delegate, other] = [(); 3].map(|()| upstreams(&["gone"]));
+    finder.record_unreachable(NOW, key(&finder, "gone"));
+    delegate.apply_peer_unreachable(NOW, &finder.unreachable_upstreams(NOW), true);
     assert_eq!(delegate.unreachable_upstreams(NOW), [short_hash("gone")]);
     other.apply_peer_unreachable(NOW, &delegate.unreachable_upstreams(NOW), false);
     assert!(is_avoided(&other, NOW, "gone"));
-    assert!(other.unreachable_upstreams(NOW).is_empty(), "it goes no further");
-    assert!(delegate.unreachable_upstreams(NOW + Duration::from_secs(1)).is_empty(), "nor on for ever");
+    assert!(
+        other.unreachable_upstreams(NOW).is_empty(),
+        "a forwarded report is not forwarded again"
+    );
+    assert!(
+        delegate.unreachable_upstreams(NOW + Duration::from_secs(1)).is_empty(),
+        "forwarding ends after some time"
+    );
 }
 
 #[test]
-fn load_of_a_process_of_before_is_not_counted_for_the_one_that_started_again() {
+fn restarted_upstream_starts_without_load() {
     let upstreams = upstreams(&[]);
-    let started = |offset: u64, started_ms| {
+    let record_of = |offset: u64, started_ms| {
         let Change { instance, entry: Entry::Present(record), .. } = change(0, "i") else {
-            panic!("a record");
+            panic!("the change has a record");
         };
         let record = UpstreamRecord { started_ms: Some(started_ms), ..record };
         Change { instance, at: offset.into(), entry: Entry::Present(record) }
     };
-    upstreams.apply(NOW, vec![started(0, 10)]);
-    let before = key(&upstreams, "i");
-    let _load = upstreams.track_load(before, 7.0);
-    let hash = upstreams.directory().get(before).unwrap().record.run_hash();
+    upstreams.apply(NOW, vec![record_of(0, 10)]);
+    let old_incarnation = key(&upstreams, "i");
+    let _load = upstreams.track_load(old_incarnation, 7.0);
+    let hash = upstreams.directory().get(old_incarnation).unwrap().record.run_hash();
     upstreams.set_peer_loads(SocketAddr::from(([10, 0, 0, 9], 1)), vec![(hash, 20.0)]);
-    upstreams.record_failure(NOW, before);
+    upstreams.record_failure(NOW, old_incarnation);
     assert_eq!(load_of(&upstreams, "i"), 27.0);
-    upstreams.apply(NOW, vec![started(1, 20)]);
+    upstreams.apply(NOW, vec![record_of(1, 20)]);
     assert_eq!(load_of(&upstreams, "i"), 0.0);
-    assert!(!is_avoided(&upstreams, NOW, "i"), "nor are its failures");
-    assert!(upstreams.target(before).is_none());
+    assert!(!is_avoided(&upstreams, NOW, "i"), "failures of the old incarnation don't count");
+    assert!(upstreams.target(old_incarnation).is_none());
 }
 
-/// Of each candidate it was asked whether its failure domain is silent, which looks through all peers: five million steps for one
-/// request before 5,715 engines at a node that hears 985 others.
+/// Guards against a scan of all peers for each candidate: the check whether a candidate's failure
+/// domain is unreachable took five million steps for one request with 5,715 engines on a node with
+/// 985 reachable peers.
 #[test]
-fn a_failure_domain_is_asked_about_once_whatever_the_number_of_its_upstreams() {
+fn each_domain_is_checked_once_per_request() {
     for count in [1_000, 2_000] {
         let names: Vec<_> = (0..count).map(|number| format!("i-{number}")).collect();
         let names: Vec<_> = names.iter().map(String::as_str).collect();
         let upstreams = upstreams(&names);
-        let asked = std::cell::Cell::new(0);
+        let checks = std::cell::Cell::new(0);
         let is_silent = |_: &str| {
-            asked.set(asked.get() + 1);
+            checks.set(checks.get() + 1);
             false
         };
         let candidates = upstreams.candidates(NOW, "s", 0, &Residency::default(), is_silent);
-        assert_eq!((candidates.len(), asked.get()), (count, 1));
+        assert_eq!((candidates.len(), checks.get()), (count, 1));
     }
 }
