--- a/crates/fernring-gateway/src/crash_attribution/mod.rs
+++ b/crates/fernring-gateway/src/crash_attribution/mod.rs
@@ -49,8 +49,8 @@
 /// Longest wait until it is known whether an upstream has crashed: the first probe, and one round
 /// trip between regions.
 const VERDICT_TIMEOUT: Duration = Duration::from_millis(100);
-/// Pause between two checks whether a quarantined request is still in doubt.
-const DOUBT_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Pause between two checks whether a quarantine is still ambiguous.
+const AMBIGUITY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// How long reports are collected before they are sent to all peers. With a failure domain hundreds
 /// of upstreams crash at once, and each node reports all that it had in flight there in one
 /// message.
@@ -60,9 +60,9 @@
 const GOSSIP_INTERVAL: Duration = Duration::from_secs(1);
 /// Suspects in a repeated report: 10 KB at most, a third of what a node may spend on control
 /// messages.
-const GOSSIP_MAX: usize = 96;
+const GOSSIP_SUSPECTS_MAX: usize = 96;
 /// Suspects in the report to a peer that has just joined: 50 KB at most, once.
-const JOIN_SYNC_MAX: usize = 512;
+const JOIN_SYNC_SUSPECTS_MAX: usize = 512;
 
 /// Requests in flight at one upstream.
 struct InFlight {
@@ -162,13 +162,13 @@
         }
     }
 
-    /// Waits while the quarantine of a request is in doubt: an answer that is in progress on
+    /// Waits while the quarantine of a request is ambiguous: an answer that is in progress on
     /// another node may clear it.
     pub async fn wait_until_settled(&self, fingerprint: ContentKey) {
         while self.is_quarantined(fingerprint)
             && self.quarantine.borrow().is_in_doubt(self.now(), fingerprint)
         {
-            sleep(DOUBT_POLL_INTERVAL).await;
+            sleep(AMBIGUITY_POLL_INTERVAL).await;
         }
     }
 
@@ -333,13 +333,13 @@
     async fn probe(self: Rc<Self>, target: Target) {
         for pause in PROBE_PAUSES {
             sleep(pause).await;
-            let found = probe(target.address).await;
+            let result = probe(target.address).await;
             let line = LogLine::event("upstream_probed").with("upstream", target.incarnation());
-            log::info(line.with("address", target.address).with("found", found.name()));
-            let crash = self.crash_detector.borrow_mut().probed(target.key, found);
+            log::info(line.with("address", target.address).with("found", result.name()));
+            let crash = self.crash_detector.borrow_mut().probed(target.key, result);
             self.report_crash(crash);
             self.probe_finished.notify_waiters();
-            if found != Probe::Accepted {
+            if result != Probe::Accepted {
                 return;
             }
         }
@@ -354,9 +354,9 @@
             log::warn(line.with("content", fingerprint));
         }
         measures::upstream_ended();
-        let fact = EndFact { run: incarnation, at: self.now(), contents: fingerprints };
-        self.attribute(&fact);
-        self.publish(Some(fact), None);
+        let record = EndFact { run: incarnation, at: self.now(), contents: fingerprints };
+        self.attribute(&record);
+        self.publish(Some(record), None);
     }
 
     /// Reports what this node has observed to all peers, after [`BATCH_DELAY`].
@@ -379,16 +379,16 @@
         });
     }
 
-    fn attribute(&self, fact: &EndFact) -> bool {
+    fn attribute(&self, record: &EndFact) -> bool {
         let mut quarantine = self.quarantine.borrow_mut();
-        let News { is_new, turned_away: quarantined } =
-            quarantine.ended(self.now(), &fact.run, fact.at, &fact.contents);
-        for fingerprint in &quarantined {
+        let News { is_new, turned_away: newly_quarantined } =
+            quarantine.ended(self.now(), &record.run, record.at, &record.contents);
+        for fingerprint in &newly_quarantined {
             let line = LogLine::event("request_turned_away").with("content", fingerprint);
             log::warn(line.with("ended", join_names(&quarantine.ends_of(*fingerprint))));
         }
         drop(quarantine);
-        if !quarantined.is_empty() {
+        if !newly_quarantined.is_empty() {
             self.quarantine_changed.notify_waiters();
         }
         is_new
@@ -404,9 +404,11 @@
         let mut new_reports = EndReports::default();
         let mut covering_answers = Vec::new();
         for report in received.cleared {
-            let fact = fingerprint_of(&report.content)
+            let clearance = fingerprint_of(&report.content)
                 .map(|c| ClearFact { content: c, at: at(report.age_ms) });
-            if fact.is_some_and(|fact| self.quarantine.borrow_mut().cleared(now, fact)) {
+            if clearance
+                .is_some_and(|clearance| self.quarantine.borrow_mut().cleared(now, clearance))
+            {
                 new_reports.cleared.push(report);
             }
         }
@@ -434,7 +436,7 @@
 
     /// Sends the most important reports to a peer that has just joined.
     pub fn handle_peer_joined(&self, peer: SocketAddr) {
-        self.send_known(peer, JOIN_SYNC_MAX);
+        self.send_known(peer, JOIN_SYNC_SUSPECTS_MAX);
     }
 
     fn send_known(&self, peer: SocketAddr, limit: usize) {
@@ -454,7 +456,7 @@
                 log::info(LogLine::event("suspect_forgotten").with("content", fingerprint));
             }
             if let Some(peer) = self.peers.random_peer() {
-                self.send_known(peer, GOSSIP_MAX);
+                self.send_known(peer, GOSSIP_SUSPECTS_MAX);
             }
             self.persist().await;
         }
@@ -464,15 +466,16 @@
         let now = self.now();
         let age_ms = |at: Duration| now.saturating_sub(at).as_millis() as u32;
         let bytes = |fingerprint: &ContentKey| Bytes::copy_from_slice(fingerprint.bytes());
-        let crashes = crashes.into_iter().map(|fact| EndReport {
-            instance: fact.run.instance.to_string(),
-            started_ms: fact.run.started_ms,
-            age_ms: age_ms(fact.at),
-            contents: fact.contents.iter().map(bytes).collect(),
+        let crashes = crashes.into_iter().map(|record| EndReport {
+            instance: record.run.instance.to_string(),
+            started_ms: record.run.started_ms,
+            age_ms: age_ms(record.at),
+            contents: record.contents.iter().map(bytes).collect(),
+        });
+        let cleared = cleared.into_iter().map(|record| ClearReport {
+            content: bytes(&record.content),
+            age_ms: age_ms(record.at),
         });
-        let cleared = cleared
-            .into_iter()
-            .map(|fact| ClearReport { content: bytes(&fact.content), age_ms: age_ms(fact.at) });
         GatewayBody::Ends(EndReports { ends: crashes.collect(), cleared: cleared.collect() })
     }
 
--- a/crates/fernring-gateway/src/members/peers.rs
+++ b/crates/fernring-gateway/src/members/peers.rs
@@ -62,7 +62,7 @@
     /// Handles the fields of a heartbeat that [`Peers`] doesn't use itself.
     fn handle_heartbeat(&self, sender: SocketAddr, heartbeat: &GatewayHeartbeat);
 
-    /// Fills in what the node reports besides its identity, with the loads of `load_scope`.
+    /// Fills in what the node reports, with the loads of `load_scope`. Its identity is set already.
     fn fill_heartbeat(&self, heartbeat: &mut GatewayHeartbeat, load_scope: LoadsOf);
 
     /// Handles the first heartbeat of a peer that was silent before.
--- a/crates/fernring-gateway/src/serving/exchange/staging.rs
+++ b/crates/fernring-gateway/src/serving/exchange/staging.rs
@@ -213,7 +213,7 @@
             return None;
         }
         let largest = inputs.iter().max_by_key(|(bytes, handles)| bytes * handles.len() as u64);
-        largest.and_then(|(_, handles)| self.serving.upstreams.domain_of(handles))
+        largest.and_then(|(_, handles)| self.serving.upstreams.domain_with_most_results(handles))
     }
 
     /// Returns the request's rank as an index.
--- a/crates/fernring-gateway/src/upstreams/announced_limits.rs
+++ b/crates/fernring-gateway/src/upstreams/announced_limits.rs
@@ -395,7 +395,7 @@
         let _unused = waiter.map(|waiter| waiter.send(response));
     }
 
-    pub(super) fn forget_old_limits(&self, now: Duration) {
+    pub(super) fn expire_limits(&self, now: Duration) {
         let mut limited_upstreams = self.limited_upstreams.borrow_mut();
         if limited_upstreams.limits.is_empty() && limited_upstreams.unreadable.is_empty() {
             return;
--- a/crates/fernring-gateway/src/upstreams/health.rs
+++ b/crates/fernring-gateway/src/upstreams/health.rs
@@ -75,7 +75,8 @@
         }
         let directory = self.directory.borrow();
         let mut health = self.health.borrow_mut();
-        let affected = upstreams.iter().flat_map(|run_hash| directory.of_run(*run_hash));
+        let affected =
+            upstreams.iter().flat_map(|incarnation_hash| directory.of_run(*incarnation_hash));
         for key in affected {
             if let Some(entry) = health.entry(*key) {
                 let entry = entry.or_default();
--- a/crates/fernring-gateway/src/upstreams/loads.rs
+++ b/crates/fernring-gateway/src/upstreams/loads.rs
@@ -141,8 +141,8 @@
         let mut peer_loads = self.peer_loads.borrow_mut();
         if *domain == self.failure_domain {
             for (upstream, load) in &mut loads {
-                let own = peer_loads.last_reported.get(upstream).copied().unwrap_or(0.0);
-                *load = (*load - own).max(0.0);
+                let own_load = peer_loads.last_reported.get(upstream).copied().unwrap_or(0.0);
+                *load = (*load - own_load).max(0.0);
             }
         }
         peer_loads
@@ -150,7 +150,7 @@
     }
 
     /// Drops sums of failure domains that are too old: no node there reports them any more.
-    pub(super) fn forget_old_loads(&self, now: Duration) {
+    pub(super) fn expire_loads(&self, now: Duration) {
         let mut peer_loads = self.peer_loads.borrow_mut();
         let is_old = |source: &LoadSource, reported: &ReportedLoads| {
             matches!(source, LoadSource::Domain(_)) && now > reported.at + DOMAIN_LOADS_MAX
--- a/crates/fernring-gateway/src/upstreams/mod.rs
+++ b/crates/fernring-gateway/src/upstreams/mod.rs
@@ -201,19 +201,19 @@
         let mut directory = self.directory.borrow_mut();
         let effects = changes.into_iter().map(|change| directory.apply(now, change)).collect();
         drop(directory);
-        self.release_gone(effects)
+        self.drop_gone(effects)
     }
 
     /// Replaces all records and returns the effects.
     pub fn replace(&self, now: Duration, records: Vec<Change>, end: Position) -> Vec<Effect> {
         let effects = self.directory.borrow_mut().replace(now, records, end);
-        self.release_gone(effects)
+        self.drop_gone(effects)
     }
 
     /// Applies some of the records before the full read is complete.
     pub fn preview(&self, now: Duration, records: Vec<Change>) -> Vec<Effect> {
         let effects = self.directory.borrow_mut().preview(now, records);
-        self.release_gone(effects)
+        self.drop_gone(effects)
     }
 
     /// Records that all changes before a position were applied.
@@ -238,16 +238,16 @@
         for (_, pool) in self.pools.borrow().iter() {
             pool.expire();
         }
-        self.forget_old_loads(now);
-        self.forget_old_limits(now);
+        self.expire_loads(now);
+        self.expire_limits(now);
         let effects = self.directory.borrow_mut().expire(now);
-        self.release_gone(effects)
+        self.drop_gone(effects)
     }
 
     /// Drops the state of upstreams that are gone. Requests in flight at an upstream that has
     /// restarted fail at once: behind a network partition, only timeouts of several seconds would
     /// end them.
-    fn release_gone(&self, effects: Vec<Effect>) -> Vec<Effect> {
+    fn drop_gone(&self, effects: Vec<Effect>) -> Vec<Effect> {
         for effect in &effects {
             match effect {
                 Effect::Gone(key) => drop(self.forget(*key)),
@@ -274,21 +274,21 @@
     }
 
     /// Lists the upstreams of a service that may get new work of a rank and a residency.
-    /// `is_silent` returns whether a failure domain is unreachable.
+    /// `is_unreachable` returns whether a failure domain is unreachable.
     pub fn candidates(
         &self,
         now: Duration,
         service: &str,
         rank: usize,
         residency: &Residency,
-        is_silent: impl Fn(&str) -> bool,
+        is_unreachable: impl Fn(&str) -> bool,
     ) -> Vec<Candidate> {
         let directory = self.directory.borrow();
         let health = self.health.borrow();
         let own_loads = self.own_loads.borrow();
         let totals = &self.peer_loads.borrow().totals;
         let cold_start = self.cold_start(service);
-        let mut is_silent = cached_by_domain(is_silent);
+        let mut is_unreachable = cached_by_domain(is_unreachable);
         let candidate = |(key, upstream): (UpstreamKey, &Upstream)| {
             let record = &upstream.record;
             if !self.allows_domain(residency, &record.failure_domain) {
@@ -298,7 +298,7 @@
             if self.is_limit_exhausted(now, &upstream.record, rank) {
                 return None;
             }
-            let failed = health.get(key).is_some_and(|health| now < health.avoid_until);
+            let has_failed = health.get(key).is_some_and(|health| now < health.avoid_until);
             let peer_load = totals.get(&record.run_hash()).copied().unwrap_or(0.0);
             Some(Candidate {
                 key,
@@ -306,7 +306,9 @@
                 load: own_loads.get(key).copied().unwrap_or(0.0) + peer_load,
                 slots: record.slots,
                 is_near: record.failure_domain == self.failure_domain,
-                is_avoided: failed || upstream.is_doubtful() || is_silent(&record.failure_domain),
+                is_avoided: has_failed
+                    || upstream.is_doubtful()
+                    || is_unreachable(&record.failure_domain),
                 is_cold: cold.is_some(),
                 is_ordered: self.is_ordered(service, &record.version),
             })
@@ -337,7 +339,7 @@
     }
 
     /// Returns the failure domain that stores most of some results, by their handles.
-    pub fn domain_of(&self, handles: &[Arc<str>]) -> Option<Arc<str>> {
+    pub fn domain_with_most_results(&self, handles: &[Arc<str>]) -> Option<Arc<str>> {
         let directory = self.directory.borrow();
         let mut counts: HashMap<Arc<str>, usize> = HashMap::new();
         for address in handles.iter().filter_map(|handle| worker_address(handle)) {
