--- a/crates/fernring-gateway/src/blame/keeping.rs
+++ b/crates/fernring-gateway/src/blame/keeping.rs
@@ -3,7 +3,7 @@
 use {
     super::Blame,
     crate::{
-        content::ContentKey,
+        fingerprint::Fingerprint,
         endings::Run,
         log,
         suspects::EndFact,
@@ -19,7 +19,7 @@
 
 /// Requests whose records are in the store, as far as this node knows.
 #[derive(Debug, Default)]
-pub(super) struct Kept(BTreeSet<ContentKey>);
+pub(super) struct Kept(BTreeSet<Fingerprint>);
 
 /// A record, in TOML.
 #[derive(Debug, Serialize, Deserialize)]
@@ -35,7 +35,7 @@
     started_ms: Option<u64>,
 }
 
-fn key(content: ContentKey) -> String {
+fn key(content: Fingerprint) -> String {
     format!("{KEY_PREFIX}{content}")
 }
 
@@ -44,7 +44,7 @@
     pub(super) async fn keep(&self) {
         let (now, turned_away) = (self.now(), self.all_turned_away());
         let is_mine =
-            |content: &ContentKey| self.peers.owner(&key(*content)) == self.peers.address();
+            |content: &Fingerprint| self.peers.owner(&key(*content)) == self.peers.address();
         let missing = turned_away.iter().filter(|content| !self.kept.borrow().0.contains(content));
         for content in missing.copied().filter(is_mine).collect::<Vec<_>>() {
             let record = self.record(now, content);
@@ -59,11 +59,11 @@
         }
     }
 
-    fn all_turned_away(&self) -> BTreeSet<ContentKey> {
+    fn all_turned_away(&self) -> BTreeSet<Fingerprint> {
         self.suspects.borrow().turned_away().map(|(content, _)| content).collect()
     }
 
-    fn record(&self, now: Duration, content: ContentKey) -> Option<String> {
+    fn record(&self, now: Duration, content: Fingerprint) -> Option<String> {
         let suspects = self.suspects.borrow();
         let (_, at) = suspects.turned_away().find(|(turned_away, _)| *turned_away == content)?;
         let ended = suspects.ends_of(content).into_iter().map(|run| EndedStart {
@@ -87,7 +87,7 @@
     }
 
     /// Writes a record, or removes it; what fails is tried again in the next round.
-    async fn write(&self, content: ContentKey, record: Option<&str>) {
+    async fn write(&self, content: Fingerprint, record: Option<&str>) {
         let value = record.map(str::as_bytes);
         let written = self.store.write(Topic::Nodes, &key(content), value).await;
         match (written, record) {
@@ -97,7 +97,7 @@
         }
     }
 
-    fn not_kept(&self, content: ContentKey, error: &StoreError) {
+    fn not_kept(&self, content: Fingerprint, error: &StoreError) {
         let line = LogLine::event("suspect_not_kept").with("content", content);
         log::warn(line.with("error", error));
     }
@@ -106,7 +106,7 @@
     /// are removed by whom they belong to.
     pub fn learn(&self, records: &[KeyedRecord]) {
         for record in records {
-            let Some(content) = record.key.strip_prefix(KEY_PREFIX).and_then(ContentKey::parse)
+            let Some(content) = record.key.strip_prefix(KEY_PREFIX).and_then(Fingerprint::parse)
             else {
                 continue;
             };
--- a/crates/fernring-gateway/src/blame/mod.rs
+++ b/crates/fernring-gateway/src/blame/mod.rs
@@ -8,7 +8,7 @@
     crate::{
         attempts::NotRun,
         connections::connect,
-        content::ContentKey,
+        fingerprint::Fingerprint,
         directory::Effect,
         endings::{Break, Ended, Endings, Probe, Run},
         log, measures,
@@ -60,7 +60,7 @@
 struct InHand {
     target: Target,
     /// How often each is in hand.
-    contents: BTreeMap<ContentKey, usize>,
+    contents: BTreeMap<Fingerprint, usize>,
 }
 
 /// Says that a request is in hand at an upstream, until it is dropped.
@@ -68,7 +68,7 @@
 pub struct Held {
     blame: Rc<Blame>,
     key: UpstreamKey,
-    content: ContentKey,
+    content: Fingerprint,
 }
 
 impl Drop for Held {
@@ -128,12 +128,12 @@
     }
 
     /// Tells whether a request is turned away: asked just before each send.
-    pub fn is_turned_away(&self, content: ContentKey) -> bool {
+    pub fn is_turned_away(&self, content: Fingerprint) -> bool {
         self.rules.get().turn_away && self.suspects.borrow().is_turned_away(content)
     }
 
     /// Tells whether an upstream has ended under a request since it last got a whole answer.
-    pub fn is_suspect(&self, content: ContentKey) -> bool {
+    pub fn is_suspect(&self, content: Fingerprint) -> bool {
         self.suspects.borrow().is_suspect(content)
     }
 
@@ -144,7 +144,7 @@
     }
 
     /// Waits until a request is turned away.
-    pub async fn until_turned_away(&self, content: ContentKey) {
+    pub async fn until_turned_away(&self, content: Fingerprint) {
         loop {
             let changed = self.turned_away.notified();
             if self.is_turned_away(content) {
@@ -155,7 +155,7 @@
     }
 
     /// Waits while a request is turned away but in doubt: an answer that is being given elsewhere may clear it.
-    pub async fn until_settled(&self, content: ContentKey) {
+    pub async fn until_settled(&self, content: Fingerprint) {
         while self.is_turned_away(content)
             && self.suspects.borrow().is_in_doubt(self.now(), content)
         {
@@ -164,17 +164,17 @@
     }
 
     /// Returns the final answer for a request that is turned away and has not run.
-    pub fn refusal(&self, not_run: NotRun, content: ContentKey) -> Refusal {
+    pub fn refusal(&self, not_run: NotRun, content: Fingerprint) -> Refusal {
         Refusal::turned_away(not_run, self.reason(content))
     }
 
     /// Says under which starts a request was in hand when they ended.
-    pub fn reason(&self, content: ContentKey) -> String {
+    pub fn reason(&self, content: Fingerprint) -> String {
         format!("upstreams ended under it: {}", names(&self.suspects.borrow().ends_of(content)))
     }
 
     /// Says that a request is in hand at an upstream.
-    pub fn hold(self: &Rc<Self>, target: &Target, content: ContentKey) -> Held {
+    pub fn hold(self: &Rc<Self>, target: &Target, content: Fingerprint) -> Held {
         let mut in_hand = self.in_hand.borrow_mut();
         let there = in_hand
             .entry(target.key)
@@ -183,7 +183,7 @@
         Held { blame: self.clone(), key: target.key, content }
     }
 
-    fn let_go(&self, key: UpstreamKey, content: ContentKey) {
+    fn let_go(&self, key: UpstreamKey, content: Fingerprint) {
         let mut in_hand = self.in_hand.borrow_mut();
         let Some(there) = in_hand.get_mut(&key) else {
             return;
@@ -201,7 +201,7 @@
 
     /// Takes in that a send broke off. `content` is charged if the upstream has ended; a call with pieces of several
     /// requests charges none, since each shows by itself in the calls that follow.
-    pub fn broke(self: &Rc<Self>, target: &Target, how: Break, content: Option<ContentKey>) {
+    pub fn broke(self: &Rc<Self>, target: &Target, how: Break, content: Option<Fingerprint>) {
         if self.upstreams.is_leaving(target.key) {
             return;
         }
@@ -227,7 +227,7 @@
     }
 
     /// Takes in that a request got a whole answer.
-    pub fn answered(self: &Rc<Self>, content: ContentKey) {
+    pub fn answered(self: &Rc<Self>, content: Fingerprint) {
         let now = self.now();
         if !self.suspects.borrow_mut().answered(content, now) {
             return;
@@ -360,7 +360,7 @@
     pub fn told(&self, sender: SocketAddr, told: EndReports) {
         let now = self.now();
         let at = |age_ms: u32| now.saturating_sub(Duration::from_millis(age_ms.into()));
-        let key = |bytes: &Bytes| ContentKey::from_bytes(bytes);
+        let key = |bytes: &Bytes| Fingerprint::from_bytes(bytes);
         let mut news = EndReports::default();
         let mut covering = Vec::new();
         for report in told.cleared {
@@ -420,7 +420,7 @@
     fn reports(&self, ends: Vec<EndFact>, cleared: Vec<ClearFact>) -> GatewayBody {
         let now = self.now();
         let age_ms = |at: Duration| now.saturating_sub(at).as_millis() as u32;
-        let bytes = |content: &ContentKey| Bytes::copy_from_slice(content.bytes());
+        let bytes = |content: &Fingerprint| Bytes::copy_from_slice(content.bytes());
         let ends = ends.into_iter().map(|fact| EndReport {
             instance: fact.run.instance.to_string(),
             started_ms: fact.run.started_ms,
--- a/crates/fernring-gateway/src/decide/batching.rs
+++ b/crates/fernring-gateway/src/decide/batching.rs
@@ -6,7 +6,7 @@
 use {
     crate::{
         backlog::{Backlog, PiecesByRank, RANKS, rank},
-        content::ContentKey,
+        fingerprint::Fingerprint,
         makers::usual_time,
         model::{BatchShape, Piece},
         residency::Residency,
@@ -44,7 +44,7 @@
     /// The work that it belongs to.
     pub work: u64,
     /// What its request asks.
-    pub content: ContentKey,
+    pub content: Fingerprint,
     /// Whether a maker ended under a call that it was in with pieces of other requests: it goes into calls of its own, so that
     /// the request shows that ends makers, and the others go on.
     pub is_apart: bool,
@@ -251,7 +251,7 @@
         // The work that was looked at last, and whether it is left whole to another call.
         let mut looked_at = None;
         // The first piece's request, and whether it keeps others out.
-        let mut company: Option<(ContentKey, bool)> = None;
+        let mut company: Option<(Fingerprint, bool)> = None;
         let mut is_left_whole = false;
         let mut taken = 0;
         let mut bound = Bound::Empty;
--- a/crates/fernring-gateway/src/decide/endings.rs
+++ b/crates/fernring-gateway/src/decide/endings.rs
@@ -7,7 +7,7 @@
 //! ```
 //! use {
 //!     fernring_gateway::{
-//!         content::ContentKey,
+//!         fingerprint::Fingerprint,
 //!         endings::{Break, Endings, Probe, Run},
 //!         model::UpstreamKey,
 //!     },
@@ -17,7 +17,7 @@
 //! let (now, key) = (Duration::ZERO, UpstreamKey::default());
 //! let run = Run { instance: "i-1".into(), started_ms: None };
 //! let address = "10.0.0.1:8080".parse().unwrap();
-//! let asked = ContentKey::of(None, "/x", b"");
+//! let asked = Fingerprint::of(None, "/x", b"");
 //! let mut endings = Endings::default();
 //! assert!(endings.broke(now, (key, address), &run, Break::Closed, Some(asked)).is_none(), "not known yet");
 //! let ended = endings.probed(key, Probe::Refused).unwrap();
@@ -25,7 +25,7 @@
 //! ```
 
 use {
-    crate::{content::ContentKey, model::UpstreamKey},
+    crate::{fingerprint::Fingerprint, model::UpstreamKey},
     std::{collections::HashMap, fmt, net::SocketAddr, sync::Arc, time::Duration},
 };
 
@@ -92,7 +92,7 @@
     /// The start.
     pub run: Run,
     /// What ran or waited there, each once.
-    pub contents: Vec<ContentKey>,
+    pub contents: Vec<Fingerprint>,
 }
 
 /// What became of an upstream's record.
@@ -118,7 +118,7 @@
     probed_at: Option<Duration>,
     fate: Option<Fate>,
     /// Those whose upstream isn't known to have ended.
-    contents: Vec<ContentKey>,
+    contents: Vec<Fingerprint>,
 }
 
 impl Broken {
@@ -163,7 +163,7 @@
         (key, address): (UpstreamKey, SocketAddr),
         run: &Run,
         how: Break,
-        content: Option<ContentKey>,
+        content: Option<Fingerprint>,
     ) -> Option<Ended> {
         let fate = self.fates.get(&key).map(|(_, fate)| *fate);
         match fate {
--- a/crates/fernring-gateway/src/decide/suspects.rs
+++ b/crates/fernring-gateway/src/decide/suspects.rs
@@ -14,11 +14,11 @@
 //!
 //! ```
 //! use {
-//!     fernring_gateway::{content::ContentKey, endings::Run, suspects::Suspects},
+//!     fernring_gateway::{fingerprint::Fingerprint, endings::Run, suspects::Suspects},
 //!     std::time::Duration,
 //! };
 //!
-//! let (now, content) = (Duration::from_secs(9), ContentKey::of(None, "/x", b""));
+//! let (now, content) = (Duration::from_secs(9), Fingerprint::of(None, "/x", b""));
 //! let mut suspects = Suspects::default();
 //! for instance in ["i-1", "i-2", "i-3"] {
 //!     assert!(!suspects.is_turned_away(content));
@@ -28,7 +28,7 @@
 //! ```
 
 use {
-    crate::{content::ContentKey, endings::Run},
+    crate::{fingerprint::Fingerprint, endings::Run},
     std::{
         collections::{HashMap, HashSet},
         time::Duration,
@@ -62,14 +62,14 @@
     /// When it ended.
     pub at: Duration,
     /// What was in hand there and is charged with it.
-    pub contents: Vec<ContentKey>,
+    pub contents: Vec<Fingerprint>,
 }
 
 /// That a request got a whole answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClearFact {
     /// The request.
-    pub content: ContentKey,
+    pub content: Fingerprint,
     /// When.
     pub at: Duration,
 }
@@ -80,7 +80,7 @@
     /// Whether anything was new.
     pub is_new: bool,
     /// Requests that are turned away from now on.
-    pub turned_away: Vec<ContentKey>,
+    pub turned_away: Vec<Fingerprint>,
 }
 
 /// The ends that one request is charged with.
@@ -128,27 +128,27 @@
 /// The accounts of requests that upstreams ended under.
 #[derive(Debug, Default)]
 pub struct Suspects {
-    accounts: HashMap<ContentKey, Account>,
+    accounts: HashMap<Fingerprint, Account>,
     /// Starts that ended under a request that is turned away, and when: nobody else is charged with them.
     explained: HashMap<Run, Duration>,
     /// When requests last got whole answers here.
-    answers: HashMap<ContentKey, Duration>,
+    answers: HashMap<Fingerprint, Duration>,
 }
 
 impl Suspects {
     /// Tells whether a request is charged with any end.
-    pub fn is_suspect(&self, content: ContentKey) -> bool {
+    pub fn is_suspect(&self, content: Fingerprint) -> bool {
         self.accounts.get(&content).is_some_and(|account| !account.ends.is_empty())
     }
 
     /// Tells whether a request is turned away.
-    pub fn is_turned_away(&self, content: ContentKey) -> bool {
+    pub fn is_turned_away(&self, content: Fingerprint) -> bool {
         self.accounts.get(&content).is_some_and(Account::is_turned_away)
     }
 
     /// Tells whether a request is turned away though another one was in hand at the same ends, all of them just now: one
     /// of the two may be harmless. Neither is sent meanwhile, so this costs no upstream.
-    pub fn is_in_doubt(&self, now: Duration, content: ContentKey) -> bool {
+    pub fn is_in_doubt(&self, now: Duration, content: Fingerprint) -> bool {
         let Some(account) = self.accounts.get(&content).filter(|a| a.is_turned_away()) else {
             return false;
         };
@@ -160,13 +160,13 @@
     }
 
     /// Lists the starts that ended under a request.
-    pub fn ends_of(&self, content: ContentKey) -> Vec<Run> {
+    pub fn ends_of(&self, content: Fingerprint) -> Vec<Run> {
         let ends = self.accounts.get(&content).into_iter().flat_map(|account| &account.ends);
         ends.map(|(_, run)| run.clone()).collect()
     }
 
     /// Lists the requests that are turned away, with their last ends.
-    pub fn turned_away(&self) -> impl Iterator<Item = (ContentKey, Duration)> {
+    pub fn turned_away(&self) -> impl Iterator<Item = (Fingerprint, Duration)> {
         let accounts = self.accounts.iter().filter(|(_, account)| account.is_turned_away());
         accounts.map(|(content, account)| (*content, account.last_at()))
     }
@@ -177,7 +177,7 @@
         now: Duration,
         run: &Run,
         at: Duration,
-        contents: &[ContentKey],
+        contents: &[Fingerprint],
     ) -> News {
         if now >= at + LIFETIME {
             return News::default();
@@ -216,7 +216,7 @@
 
     /// Says that an end is explained by `culprits`: it is taken off the accounts of all others that aren't turned away.
     /// Tells whether that is new.
-    fn explain(&mut self, run: &Run, at: Duration, culprits: &[ContentKey]) -> bool {
+    fn explain(&mut self, run: &Run, at: Duration, culprits: &[Fingerprint]) -> bool {
         if self.explained.insert(run.clone(), at).is_some() {
             return false;
         }
@@ -229,7 +229,7 @@
     }
 
     /// Takes in that a request got a whole answer; tells whether it was charged with anything.
-    pub fn answered(&mut self, content: ContentKey, at: Duration) -> bool {
+    pub fn answered(&mut self, content: Fingerprint, at: Duration) -> bool {
         self.answers.insert(content, at);
         self.drop_old_answers();
         let Some(account) = self.accounts.get_mut(&content) else {
@@ -239,7 +239,7 @@
     }
 
     /// Returns the whole answer seen here that covers an end at some time, if there is one.
-    pub fn covering(&self, content: ContentKey, at: Duration) -> Option<ClearFact> {
+    pub fn covering(&self, content: Fingerprint, at: Duration) -> Option<ClearFact> {
         let answered_at = self.answers.get(&content).copied()?;
         let is_covered = at <= answered_at + COVERED_TIME;
         is_covered.then_some(ClearFact { content, at: answered_at })
@@ -276,7 +276,7 @@
     }
 
     /// Forgets what is too old; returns the requests that are no longer turned away for it.
-    pub fn expire(&mut self, now: Duration) -> Vec<ContentKey> {
+    pub fn expire(&mut self, now: Duration) -> Vec<Fingerprint> {
         let is_old = |at: Duration| now >= at + LIFETIME;
         let over = self.accounts.iter().filter(|(_, account)| is_old(account.last_at()));
         let over: HashMap<_, _> =
--- a/crates/fernring-gateway/src/lib.rs
+++ b/crates/fernring-gateway/src/lib.rs
@@ -47,7 +47,7 @@
     },
     members::{delegates, peers, stillness},
     serving::{
-        alarm, caller_body, content, context, events, exchange, ingress, refusal, relay, serve,
+        caller_body, context, deadline_timer, events, exchange, fingerprint, ingress, refusal, relay, serve,
     },
-    store::{directory, evacuations, following, freshness, position, starting, store_loops, whole},
+    store::{bootstrap, directory, evacuations, freshness, full_read, position, store_loops, tailing},
 };
--- a/crates/fernring-gateway/src/node.rs
+++ b/crates/fernring-gateway/src/node.rs
@@ -2,11 +2,11 @@
 
 use {
     crate::{
-        alarm::Alarm,
+        deadline_timer::Alarm,
         blame::Blame,
         config::ConfigState,
         context::Serving,
-        following::{Following, Reply},
+        tailing::{Following, Reply},
         ingress::{Ingress, Phase},
         log,
         measures::{self, Readings},
@@ -20,7 +20,7 @@
         rollout::{orders::Standing, shell::Rollouts},
         settings::{NodeSettings, Settings, load},
         stages::Stages,
-        store_loops::{Followed, PeerRecords, StoreLoops},
+        store_loops::{TailedTopic, PeerRecords, StoreLoops},
         upstreams::{Counters, Upstreams},
         wire::{Store, Wire},
     },
@@ -259,7 +259,7 @@
     /// Sets what may be passed on to peers, by the settings.
     fn apply_link(&self) {
         let link = self.settings.borrow().node.link_bytes_per_s();
-        for what in [Followed::Config, Followed::Upstreams] {
+        for what in [TailedTopic::Config, TailedTopic::Upstreams] {
             self.loops.following(what).borrow_mut().set_link(link);
         }
         self.peers.set_link(self.settings.borrow().node.link_mbps.round() as u32);
@@ -429,7 +429,7 @@
         measures::set_heard(&self.peers.heard_by_domain());
         measures::set(Readings {
             config_version: self.config.borrow().version(),
-            config_age: self.loops.age(Followed::Config),
+            config_age: self.loops.age(TailedTopic::Config),
             nodes: self.peers.nodes(),
             is_delegate: self.peers.is_delegate(),
             upstreams: directory
@@ -453,11 +453,11 @@
         has_config && self.ingress.phase() == Phase::Serving
     }
 
-    fn ask(&self, peer: SocketAddr, what: Followed) {
+    fn ask(&self, peer: SocketAddr, what: TailedTopic) {
         let since = self.upstreams.directory().end();
         let body = match what {
-            Followed::Config => GatewayBody::ConfigRequest(Nothing {}),
-            Followed::Upstreams => GatewayBody::DirectoryRequest(DirectoryRequest {
+            TailedTopic::Config => GatewayBody::ConfigRequest(Nothing {}),
+            TailedTopic::Upstreams => GatewayBody::DirectoryRequest(DirectoryRequest {
                 since: since.offset,
                 era: since.era,
             }),
@@ -473,7 +473,7 @@
         let config =
             ConfigBytes { packed: held.packed.clone(), end: held.end.offset, era: held.end.era };
         let bytes = held.packed.len();
-        self.pass_on(peer, Followed::Config, bytes, GatewayBody::Config(config));
+        self.pass_on(peer, TailedTopic::Config, bytes, GatewayBody::Config(config));
     }
 
     fn send_directory(&self, peer: SocketAddr, since: Position) {
@@ -493,11 +493,11 @@
             records,
             is_whole,
             lapses_ms: directory.lapses_for(now).as_millis() as u32,
-            age_ms: self.age_ms(Followed::Upstreams),
+            age_ms: self.age_ms(TailedTopic::Upstreams),
             packed: if is_packed { self.packed_directory(now) } else { Bytes::new() },
         };
         let bytes = records.encoded_len();
-        self.pass_on(peer, Followed::Upstreams, bytes, GatewayBody::Directory(records));
+        self.pass_on(peer, TailedTopic::Upstreams, bytes, GatewayBody::Directory(records));
     }
 
     /// Returns all upstreams' records, packed. At the start of a fleet hundreds of peers ask for them within a second.
@@ -518,20 +518,20 @@
     }
 
     /// Answers a peer's question with a record, or puts it off.
-    fn pass_on(&self, peer: SocketAddr, what: Followed, bytes: usize, record: GatewayBody) {
+    fn pass_on(&self, peer: SocketAddr, what: TailedTopic, bytes: usize, record: GatewayBody) {
         let reply = self.loops.following(what).borrow_mut().asked(self.serving.now(), bytes);
         match (reply, what) {
             (Reply::Record, _) => self.peers.send_record(peer, record),
-            (Reply::PutOff, Followed::Config) => {
+            (Reply::PutOff, TailedTopic::Config) => {
                 self.peers.send(peer, GatewayBody::ConfigPutOff(Nothing {}));
             }
-            (Reply::PutOff, Followed::Upstreams) => {
+            (Reply::PutOff, TailedTopic::Upstreams) => {
                 self.peers.send(peer, GatewayBody::DirectoryPutOff(Nothing {}));
             }
         }
     }
 
-    fn put_off(&self, what: Followed) {
+    fn put_off(&self, what: TailedTopic) {
         let mut following = self.loops.following(what).borrow_mut();
         following.put_off(self.serving.now(), rand::random());
     }
@@ -556,7 +556,7 @@
         });
     }
 
-    fn age_ms(&self, what: Followed) -> Option<u32> {
+    fn age_ms(&self, what: TailedTopic) -> Option<u32> {
         let age = self.loops.following(what).borrow().told_age(self.serving.now())?;
         Some(u32::try_from(age.as_millis()).unwrap_or(u32::MAX))
     }
@@ -576,8 +576,8 @@
                 let end = Position::new(config.era, config.end);
                 self.loops.take_peer_config(config.packed, end);
             }
-            GatewayBody::ConfigPutOff(_) => self.put_off(Followed::Config),
-            GatewayBody::DirectoryPutOff(_) => self.put_off(Followed::Upstreams),
+            GatewayBody::ConfigPutOff(_) => self.put_off(TailedTopic::Config),
+            GatewayBody::DirectoryPutOff(_) => self.put_off(TailedTopic::Upstreams),
             GatewayBody::DirectoryRequest(request) => {
                 self.send_directory(sender, Position::new(request.era, request.since));
             }
@@ -631,8 +631,8 @@
         self.upstreams.told_limits(&heartbeat.limits);
         heartbeat.split_services.iter().for_each(|service| self.stages.said_split(*service));
         let known = [
-            (Followed::Config, heartbeat.config_version.into(), heartbeat.config_age_ms),
-            (Followed::Upstreams, directory_end, heartbeat.directory_age_ms),
+            (TailedTopic::Config, heartbeat.config_version.into(), heartbeat.config_age_ms),
+            (TailedTopic::Upstreams, directory_end, heartbeat.directory_age_ms),
         ];
         for (what, mark, age_ms) in known {
             if self.loops.heard(what, mark, age_ms.map(from_ms)) {
@@ -647,8 +647,8 @@
         (heartbeat.directory_era, heartbeat.directory_end) =
             (directory_end.era, directory_end.offset);
         heartbeat.store_era = self.loops.store.era();
-        heartbeat.config_age_ms = self.age_ms(Followed::Config);
-        heartbeat.directory_age_ms = self.age_ms(Followed::Upstreams);
+        heartbeat.config_age_ms = self.age_ms(TailedTopic::Config);
+        heartbeat.directory_age_ms = self.age_ms(TailedTopic::Upstreams);
         heartbeat.unreachable = self.upstreams.unreachable(self.serving.now());
         let evacuations = self.upstreams.evacuations().borrow();
         heartbeat.evacuations = evacuations.words().map(evacuation_word).collect();
--- a/crates/fernring-gateway/src/owner/mod.rs
+++ b/crates/fernring-gateway/src/owner/mod.rs
@@ -16,7 +16,7 @@
         batching::{BatchQueue, Makers, Taker, Task},
         blame::Blame,
         config::ConfigState,
-        content::ContentKey,
+        fingerprint::Fingerprint,
         directory::Effect,
         flow::Flow,
         makers::{Maker, MakerSet, usual_time},
@@ -59,7 +59,7 @@
     /// The request.
     pub request_id: Arc<str>,
     /// What the request asks.
-    pub content: ContentKey,
+    pub content: Fingerprint,
     /// Index of the stage.
     pub stage: u32,
     /// Number of pieces.
@@ -124,7 +124,7 @@
     reply: Reply,
     handles: Vec<Option<Arc<str>>>,
     pool: MakerPool,
-    content: ContentKey,
+    content: Fingerprint,
 }
 
 /// The parts of a node that an owner works with.
--- a/crates/fernring-gateway/src/serving/context.rs
+++ b/crates/fernring-gateway/src/serving/context.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        alarm::Alarm, blame::Blame, config::ConfigState, peers::Peers, reading::ReadingSpeeds,
+        deadline_timer::Alarm, blame::Blame, config::ConfigState, peers::Peers, reading::ReadingSpeeds,
         retries::Retries, rollout::shell::Rollouts, settings::DecideSettings, stages::Stages,
         upstreams::Upstreams, wire::Wire,
     },
--- a/crates/fernring-gateway/src/serving/exchange/mod.rs
+++ b/crates/fernring-gateway/src/serving/exchange/mod.rs
@@ -13,7 +13,7 @@
         blame::Held,
         come_back::come_back,
         connections::AnswerBody,
-        content::ContentKey,
+        fingerprint::Fingerprint,
         context::Serving,
         log, measures,
         model::{Repeat, RequestFields, Route, UpstreamKey, Workspace},
@@ -50,7 +50,7 @@
     /// Its identity.
     pub id: Arc<str>,
     /// What it asks.
-    pub content: ContentKey,
+    pub content: Fingerprint,
 }
 
 /// An answer whose head is good.
@@ -246,7 +246,7 @@
     }
 
     /// Returns what it asks.
-    pub fn content(&self) -> ContentKey {
+    pub fn content(&self) -> Fingerprint {
         self.request.content
     }
 
--- a/crates/fernring-gateway/src/serving/content.rs
+++ b/crates/fernring-gateway/src/serving/fingerprint.rs
@@ -1,12 +1,12 @@
 //! What a request asks, whatever id it comes under.
 //!
 //! ```
-//! use fernring_gateway::content::ContentKey;
+//! use fernring_gateway::fingerprint::Fingerprint;
 //!
-//! let asked = ContentKey::of(Some("w"), "/line/7", b"why?");
-//! assert_eq!(asked, ContentKey::of(Some("w"), "/line/7", b"why?"));
-//! assert_ne!(asked, ContentKey::of(Some("v"), "/line/7", b"why?"), "another caller's");
-//! assert_ne!(asked, ContentKey::of(Some("w"), "/line/", b"7why?"), "fields don't run together");
+//! let asked = Fingerprint::of(Some("w"), "/line/7", b"why?");
+//! assert_eq!(asked, Fingerprint::of(Some("w"), "/line/7", b"why?"));
+//! assert_ne!(asked, Fingerprint::of(Some("v"), "/line/7", b"why?"), "another caller's");
+//! assert_ne!(asked, Fingerprint::of(Some("w"), "/line/", b"7why?"), "fields don't run together");
 //! ```
 
 use std::fmt;
@@ -19,9 +19,9 @@
 /// Digest of who asks, of the path with its query, and of the body. It needs no secret that nodes would have to
 /// share: the function is collision resistant, so that a caller can't make a request that is taken for another's.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct ContentKey([u8; KEY_BYTES]);
+pub struct Fingerprint([u8; KEY_BYTES]);
 
-impl ContentKey {
+impl Fingerprint {
     /// Digests a request. `caller` is its workspace, if there is one.
     pub fn of(caller: Option<&str>, path: &str, body: &[u8]) -> Self {
         let mut hasher = blake3::Hasher::new_derive_key(CONTEXT);
@@ -53,13 +53,13 @@
     }
 }
 
-impl fmt::Display for ContentKey {
+impl fmt::Display for Fingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.iter().try_for_each(|byte| write!(f, "{byte:02x}"))
     }
 }
 
-impl fmt::Debug for ContentKey {
+impl fmt::Debug for Fingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         fmt::Display::fmt(self, f)
     }
--- a/crates/fernring-gateway/src/serving/mod.rs
+++ b/crates/fernring-gateway/src/serving/mod.rs
@@ -4,9 +4,9 @@
 //! account, has its stages made and sends it; [`relay`] passes a stream on. Each uses only those named after it, and the parts of
 //! the node that [`context`] holds.
 
-pub mod alarm;
+pub mod deadline_timer;
 pub mod caller_body;
-pub mod content;
+pub mod fingerprint;
 pub mod context;
 pub mod events;
 pub mod exchange;
--- a/crates/fernring-gateway/src/serving/serve.rs
+++ b/crates/fernring-gateway/src/serving/serve.rs
@@ -6,7 +6,7 @@
         caller_body::CallerBody,
         config::HeldConfig,
         connections::BreakOff,
-        content::ContentKey,
+        fingerprint::Fingerprint,
         context::Serving,
         exchange::{CallerRequest, Ended, Exchange, InFlight, Opened},
         log, measures,
@@ -112,7 +112,7 @@
         headers.remove(CONTENT_LENGTH);
         let method = head.method;
         let caller = workspace.as_ref().map(|workspace| &*workspace.name);
-        let content = ContentKey::of(caller, path, &body);
+        let content = Fingerprint::of(caller, path, &body);
         let request = CallerRequest { method, uri, headers, body, fields, id: request_id, content };
         Ok(Accepted { route, workspace, request })
     }
--- a/crates/fernring-gateway/src/settings.rs
+++ b/crates/fernring-gateway/src/settings.rs
@@ -1,7 +1,7 @@
 //! What a gateway process needs to start, checked in one place.
 
 use {
-    crate::{budget::Allowance, following::SMALLEST_LINK_BYTES_PER_S, residency::Regions},
+    crate::{budget::Allowance, tailing::SMALLEST_LINK_BYTES_PER_S, residency::Regions},
     serde::{Deserialize, Serialize},
     std::{collections::BTreeMap, net::SocketAddr, path::Path, time::Duration},
     thiserror::Error,
--- a/crates/fernring-gateway/src/stages.rs
+++ b/crates/fernring-gateway/src/stages.rs
@@ -4,7 +4,7 @@
     crate::{
         backlog::Backlog,
         backlogs::Backlogs,
-        content::ContentKey,
+        fingerprint::Fingerprint,
         log, measures,
         model::PieceInput,
         owner::{Owner, Work, WorkEnd},
@@ -433,8 +433,8 @@
             residency: residency_from(message.allowed_regions),
             asker: sender,
             // A node of before says nothing; what it asks for is alike to nobody's.
-            content: ContentKey::from_bytes(&message.content)
-                .unwrap_or_else(|| ContentKey::of(None, "", message.request_id.as_bytes())),
+            content: Fingerprint::from_bytes(&message.content)
+                .unwrap_or_else(|| Fingerprint::of(None, "", message.request_id.as_bytes())),
             near: (!message.near.is_empty()).then(|| message.near.into()),
         }
     }
--- a/crates/fernring-gateway/src/store/whole.rs
+++ b/crates/fernring-gateway/src/store/full_read.rs
@@ -10,12 +10,12 @@
 
 /// The pages that were read so far.
 #[derive(Debug, Clone, Default)]
-pub struct WholeReading {
+pub struct FullRead {
     pages: Option<Page>,
     next: Option<Arc<str>>,
 }
 
-impl WholeReading {
+impl FullRead {
     /// Tells whether a page was read.
     pub fn has_begun(&self) -> bool {
         self.pages.is_some()
--- a/crates/fernring-gateway/src/store/mod.rs
+++ b/crates/fernring-gateway/src/store/mod.rs
@@ -5,11 +5,11 @@
 
 pub mod directory;
 pub mod evacuations;
-pub mod following;
+pub mod tailing;
 pub mod freshness;
 mod index;
 pub mod position;
 pub(crate) mod records;
-pub mod starting;
+pub mod bootstrap;
 pub mod store_loops;
-pub mod whole;
+pub mod full_read;
--- a/crates/fernring-gateway/src/store/store_loops/mod.rs
+++ b/crates/fernring-gateway/src/store/store_loops/mod.rs
@@ -5,18 +5,18 @@
 //! what is
 //! read or passed on, `joining` keeps this node's own records.
 
-mod joining;
-mod listing;
-mod operators;
+mod node_records;
+mod upstream_records;
+mod operator_records;
 
-pub use listing::PeerRecords;
+pub use upstream_records::PeerRecords;
 
 use {
     crate::{
-        alarm::Alarm,
+        deadline_timer::Alarm,
         blame::Blame,
         config::ConfigState,
-        following::Following,
+        tailing::Following,
         freshness::read_wait,
         log, measures,
         members::ReaderPart,
@@ -24,9 +24,9 @@
         peers::Peers,
         position::Position,
         rollout::shell::Rollouts,
-        starting::Starting,
+        bootstrap::Starting,
         upstreams::Upstreams,
-        whole::WholeReading,
+        full_read::FullRead,
         wire::{Page, Store, StoreError, Topic, Wire},
     },
     fernring_core::{clock::Clock, text::LogLine},
@@ -84,7 +84,7 @@
     pub rollouts: Rc<Rollouts>,
     /// The other nodes.
     pub peers: Rc<Peers>,
-    /// How well the configuration and the upstreams' records are known, in the order of [`Followed`].
+    /// How well the configuration and the upstreams' records are known, in the order of [`TailedTopic`].
     pub following: [RefCell<Following>; 2],
     /// When the node started.
     pub started_at: Duration,
@@ -100,14 +100,14 @@
 
 /// The topics that nodes pass on to each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Followed {
+pub enum TailedTopic {
     /// The configuration; it is marked by its version.
     Config,
     /// The upstreams' records, marked by the number up to which they are known.
     Upstreams,
 }
 
-impl Followed {
+impl TailedTopic {
     fn topic(self) -> Topic {
         match self {
             Self::Config => Topic::Config,
@@ -119,7 +119,7 @@
 impl StoreLoops {
     /// Follows the configuration.
     pub async fn follow_config(self: Rc<Self>) {
-        self.follow(Followed::Config, Duration::ZERO, |page, is_whole| {
+        self.follow(TailedTopic::Config, Duration::ZERO, |page, is_whole| {
             self.take_operator_records(page, is_whole);
         })
         .await;
@@ -127,17 +127,17 @@
 
     /// Follows the upstreams' records.
     pub async fn follow_upstreams(self: Rc<Self>) {
-        self.follow(Followed::Upstreams, GATHER_PAUSE, |page, is_whole| {
+        self.follow(TailedTopic::Upstreams, GATHER_PAUSE, |page, is_whole| {
             self.take_upstreams(page, is_whole);
         })
         .await;
     }
 
     /// Reads a topic whole, then follows it whenever this node has to.
-    async fn follow(self: &Rc<Self>, what: Followed, gather: Duration, take: impl Fn(Page, bool)) {
+    async fn follow(self: &Rc<Self>, what: TailedTopic, gather: Duration, take: impl Fn(Page, bool)) {
         let topic = what.topic();
         let mut from: Option<Position> = None;
-        let mut reading = WholeReading::default();
+        let mut reading = FullRead::default();
         let mut starting = None;
         let mut pause = PAUSE_FIRST;
         let mut has_failed = false;
@@ -146,7 +146,7 @@
             let part = self.part();
             if !self.following(what).borrow().shall_read(self.now(), part) {
                 (pause, has_failed) = (PAUSE_FIRST, false);
-                reading = WholeReading::default();
+                reading = FullRead::default();
                 sleep(WATCH_INTERVAL).await;
                 continue;
             }
@@ -218,8 +218,8 @@
     /// Reads the next page of a topic that isn't known; returns all records if it was the last.
     async fn read_page(
         &self,
-        what: Followed,
-        reading: &mut WholeReading,
+        what: TailedTopic,
+        reading: &mut FullRead,
     ) -> Result<Option<Page>, StoreError> {
         let is_first = !reading.has_begun();
         let page = self.store.newest(what.topic(), reading.next()).await?;
@@ -234,7 +234,7 @@
     }
 
     /// Tells whether this node reads on in a topic of which it knows something, or waits for peers that know all of it.
-    fn shall_read_on(&self, what: Followed, starting: &mut Option<Starting>) -> bool {
+    fn shall_read_on(&self, what: TailedTopic, starting: &mut Option<Starting>) -> bool {
         if self.age(what).is_some() {
             return true;
         }
@@ -246,9 +246,9 @@
     }
 
     /// Returns the position to read on from that peers have told, if this node has never read by itself.
-    fn known_from_peers(&self, what: Followed) -> Option<Position> {
+    fn known_from_peers(&self, what: TailedTopic) -> Option<Position> {
         let end = self.upstreams.directory().end();
-        (what == Followed::Upstreams && end > Position::default()).then_some(end)
+        (what == TailedTopic::Upstreams && end > Position::default()).then_some(end)
     }
 
     /// Returns the longest pause of a node that asks the store only because it hears nothing new. All that do so together ask as
@@ -258,21 +258,21 @@
     }
 
     /// Returns the position to read on from: peers may have told more than this node has read.
-    fn known_to(&self, what: Followed, from: Position) -> Position {
+    fn known_to(&self, what: TailedTopic, from: Position) -> Position {
         match what {
             // Without it a node that has long followed peers would read all versions since.
             // Not in another era, of which this node has to read the operators' words on failure domains, too.
-            Followed::Config if self.config.borrow().end().era == from.era => {
+            TailedTopic::Config if self.config.borrow().end().era == from.era => {
                 self.config.borrow().end().max(from)
             }
-            Followed::Config => from,
-            Followed::Upstreams => self.upstreams.directory().end().max(from),
+            TailedTopic::Config => from,
+            TailedTopic::Upstreams => self.upstreams.directory().end().max(from),
         }
     }
 
     /// Returns how long the next read waits for a record. After a failure the question is whether
     /// the store is back, and after silence what it holds; these have no time.
-    fn read_wait(&self, what: Followed, part: ReaderPart, has_failed: bool) -> Duration {
+    fn read_wait(&self, what: TailedTopic, part: ReaderPart, has_failed: bool) -> Duration {
         let following = self.following(what).borrow();
         let is_in_doubt = following.freshness().is_in_doubt(self.now());
         if has_failed || (is_in_doubt && part != ReaderPart::Alone) {
@@ -285,7 +285,7 @@
     /// Waits until a read that was to wait for `wait` has lasted too long: nothing has confirmed
     /// for a while what is known, though others could. The read of a lone node ends by itself, and
     /// so does one whose answer is coming: a large one may take longer than that.
-    async fn silence(&self, what: Followed, wait: Duration) {
+    async fn silence(&self, what: TailedTopic, wait: Duration) {
         loop {
             let sure_for = self.following(what).borrow().freshness().sure_for(self.now());
             sleep(sure_for.max(SILENCE_CHECK_MIN)).await;
@@ -306,17 +306,17 @@
     }
 
     /// Returns how well a topic is known.
-    pub fn following(&self, what: Followed) -> &RefCell<Following> {
+    pub fn following(&self, what: TailedTopic) -> &RefCell<Following> {
         &self.following[what as usize]
     }
 
     /// Returns the time since what is known was the newest for sure.
-    pub fn age(&self, what: Followed) -> Option<Duration> {
+    pub fn age(&self, what: TailedTopic) -> Option<Duration> {
         self.following(what).borrow().freshness().age(self.now())
     }
 
     /// Says that this node reads a topic, if it does so in place of the readers.
-    fn reads(&self, what: Followed, part: ReaderPart) {
+    fn reads(&self, what: TailedTopic, part: ReaderPart) {
         if part != ReaderPart::None {
             return;
         }
@@ -328,15 +328,15 @@
     }
 
     /// Returns the mark of what is known.
-    fn mark(&self, what: Followed) -> Position {
+    fn mark(&self, what: TailedTopic) -> Position {
         match what {
-            Followed::Config => self.config.borrow().version().into(),
-            Followed::Upstreams => self.upstreams.directory().end(),
+            TailedTopic::Config => self.config.borrow().version().into(),
+            TailedTopic::Upstreams => self.upstreams.directory().end(),
         }
     }
 
     /// Takes in what a peer says of its knowledge; tells whether it is to be asked for it.
-    pub fn heard(&self, what: Followed, mark: Position, age: Option<Duration>) -> bool {
+    pub fn heard(&self, what: TailedTopic, mark: Position, age: Option<Duration>) -> bool {
         let (now, own) = (self.now(), self.mark(what));
         let shall_ask = self.following(what).borrow_mut().heard(now, own, mark, age);
         if mark == own
@@ -348,24 +348,24 @@
     }
 
     /// Takes in that a peer read the store `age` ago, which then had nothing newer than is known here.
-    fn known_from_peer(&self, what: Followed, age: Duration) {
+    fn known_from_peer(&self, what: TailedTopic, age: Duration) {
         let at = self.now().saturating_sub(age);
         self.following(what).borrow_mut().confirmed(at);
         self.peer_hears_store(what, at);
     }
 
     /// Takes in that a peer was answered by the store at some time. Whether records may have lapsed, it says itself.
-    fn peer_hears_store(&self, what: Followed, at: Duration) {
+    fn peer_hears_store(&self, what: TailedTopic, at: Duration) {
         let is_stale = self.following(what).borrow().freshness().is_stale(self.now());
-        if what == Followed::Upstreams && !is_stale {
+        if what == TailedTopic::Upstreams && !is_stale {
             self.store_answers.set(true);
             self.upstreams.records_read(at);
         }
     }
 
-    fn answered(&self, what: Followed) {
+    fn answered(&self, what: TailedTopic) {
         measures::store_called(what.topic().name(), "answered");
-        if what == Followed::Config {
+        if what == TailedTopic::Config {
             return;
         }
         self.upstreams.records_read(self.now());
@@ -399,7 +399,7 @@
     /// Says that operators' words have gone unconfirmed for longer than an evacuation may take, and when that is over: until
     /// then this node may send into a domain that was evacuated.
     fn note_unheard(&self) {
-        let Some(age) = self.age(Followed::Config) else {
+        let Some(age) = self.age(TailedTopic::Config) else {
             return;
         };
         let is_unheard = age > self.word_bound.get();
--- a/crates/fernring-gateway/src/store/store_loops/operators.rs
+++ b/crates/fernring-gateway/src/store/store_loops/operator_records.rs
@@ -1,7 +1,7 @@
 //! What operators write: configurations, words on failure domains, and versions to roll out.
 
 use {
-    super::{Followed, StoreLoops},
+    super::{TailedTopic, StoreLoops},
     crate::{
         directory::Upstream,
         evacuations::Word,
@@ -97,7 +97,7 @@
         if !self.config.borrow_mut().offer(config, packed, end) {
             return;
         }
-        let mut following = self.following(Followed::Config).borrow_mut();
+        let mut following = self.following(TailedTopic::Config).borrow_mut();
         let behind = following.behind();
         following.caught_up(packed_bytes);
         let line = LogLine::event("config_taken").with("from", from).with("to", to);
--- a/crates/fernring-gateway/src/store/store_loops/listing.rs
+++ b/crates/fernring-gateway/src/store/store_loops/upstream_records.rs
@@ -1,7 +1,7 @@
 //! What upstreams write of themselves.
 
 use {
-    super::{Followed, StoreLoops},
+    super::{TailedTopic, StoreLoops},
     crate::{
         directory::{Change, Effect, Entry},
         log, measures,
@@ -44,8 +44,8 @@
     }
 
     /// Takes in the first of the pages of a topic that isn't known, so that requests are served before the others have come.
-    pub(super) fn take_preview(&self, what: Followed, page: &Page) {
-        if what != Followed::Upstreams || self.upstreams.directory().end() > Position::default() {
+    pub(super) fn take_preview(&self, what: TailedTopic, page: &Page) {
+        if what != TailedTopic::Upstreams || self.upstreams.directory().end() > Position::default() {
             return;
         }
         let decoded = page.records.iter().map(|record| self.decode(record, page.position(record)));
@@ -82,7 +82,7 @@
         self.upstreams.lapses_known(self.now(), records.lapses_for);
         self.apply_upstreams(records.changes, records.end, records.is_whole);
         if let Some(age) = records.age {
-            self.known_from_peer(Followed::Upstreams, age);
+            self.known_from_peer(TailedTopic::Upstreams, age);
         }
     }
 
@@ -96,7 +96,7 @@
         self.upstreams.advance(end);
         if end > known {
             // Only changes are passed on, so what a peer sends is small.
-            self.following(Followed::Upstreams).borrow_mut().caught_up(0);
+            self.following(TailedTopic::Upstreams).borrow_mut().caught_up(0);
         }
         self.upstreams_changed(&effects);
     }
--- a/crates/fernring-gateway/src/store/following.rs
+++ b/crates/fernring-gateway/src/store/tailing.rs
@@ -6,7 +6,7 @@
 //!
 //! ```
 //! use {
-//!     fernring_gateway::following::{Following, Reply},
+//!     fernring_gateway::tailing::{Following, Reply},
 //!     std::time::Duration,
 //! };
 //!
--- a/crates/fernring-gateway/tests/testsuite/batching.rs
+++ b/crates/fernring-gateway/tests/testsuite/batching.rs
@@ -4,7 +4,7 @@
     fernring_gateway::{
         backlog::{Backlog, RANKS},
         batching::{BatchQueue, Bound, Makers, Taker, Task},
-        content::ContentKey,
+        fingerprint::Fingerprint,
         model::{BatchShape, Piece, PieceInput},
         residency::Residency,
         settings::DecideSettings,
@@ -40,7 +40,7 @@
 fn task(work: u64, due_ms: u64) -> Task {
     Task {
         work,
-        content: ContentKey::of(None, &work.to_string(), b""),
+        content: Fingerprint::of(None, &work.to_string(), b""),
         is_apart: false,
         piece: Piece {
             request_id: work.to_string().into(),
--- a/crates/fernring-gateway/tests/testsuite/starting.rs
+++ b/crates/fernring-gateway/tests/testsuite/bootstrap.rs
@@ -1,5 +1,5 @@
 //! All nodes of a fleet start at once before thousands of upstreams, under virtual time. Nothing but [`Starting`],
-//! [`WholeReading`] and [`Following`] decides; the store has the users' bounds.
+//! [`FullRead`] and [`Following`] decides; the store has the users' bounds.
 //!
 //! 986 nodes before 10,003 upstreams made 54,310 calls to the store at a start: each read all records, 21 pages, and when one
 //! failed, all of them again. After an end of all processes none knew an upstream for the rest of the day: 661 of
@@ -7,11 +7,11 @@
 
 use {
     fernring_gateway::{
-        following::{Following, Reply},
+        tailing::{Following, Reply},
         members::{HEARTBEAT_INTERVAL, ReaderPart},
         position::Position,
-        starting::Starting,
-        whole::WholeReading,
+        bootstrap::Starting,
+        full_read::FullRead,
         wire::{KeyedRecord, NewestPage, Page, StoreError},
     },
     rand::{RngExt, SeedableRng, rngs::StdRng},
@@ -306,7 +306,7 @@
 
 #[test]
 fn a_page_that_fails_is_read_again_and_those_before_are_kept() {
-    let mut reading = WholeReading::default();
+    let mut reading = FullRead::default();
     assert!(!reading.has_begun() && reading.next().is_none());
     let next = |key: &str| Some(Arc::from(key));
     let first = NewestPage { page: page(&["a", "b"], 7, 0), next: next("b") };
--- a/crates/fernring-gateway/tests/testsuite/endings.rs
+++ b/crates/fernring-gateway/tests/testsuite/endings.rs
@@ -2,7 +2,7 @@
 
 use {
     fernring_gateway::{
-        content::ContentKey,
+        fingerprint::Fingerprint,
         endings::{Break, CAUSE_MAX, Endings, Probe, Run},
         model::UpstreamKey,
     },
@@ -20,8 +20,8 @@
     SocketAddr::from(([10, 0, 0, 1], 8080))
 }
 
-fn content(name: &str) -> ContentKey {
-    ContentKey::of(None, name, b"")
+fn content(name: &str) -> Fingerprint {
+    Fingerprint::of(None, name, b"")
 }
 
 /// Upstreams at which one send broke off, and its key.
--- a/crates/fernring-gateway/tests/testsuite/content.rs
+++ b/crates/fernring-gateway/tests/testsuite/fingerprint.rs
@@ -1,7 +1,7 @@
 //! What counts as the same request.
 
 use {
-    fernring_gateway::content::ContentKey,
+    fernring_gateway::fingerprint::Fingerprint,
     proptest::{collection::vec, option, prelude::*},
 };
 
@@ -13,7 +13,7 @@
         other in (option::of("[ab]{0,3}"), "[ab/]{0,3}", vec(97u8..99, 0..3)),
     ) {
         let key = |(caller, path, body): &(Option<String>, String, Vec<u8>)| {
-            ContentKey::of(caller.as_deref(), path, body)
+            Fingerprint::of(caller.as_deref(), path, body)
         };
         prop_assert_eq!(one == other, key(&one) == key(&other));
     }
@@ -21,8 +21,8 @@
 
 #[test]
 fn a_key_goes_over_the_wire_and_back() {
-    let key = ContentKey::of(Some("w"), "/x", b"y");
-    assert_eq!(ContentKey::from_bytes(key.bytes()), Some(key));
-    assert_eq!(ContentKey::from_bytes(&key.bytes()[1..]), None);
+    let key = Fingerprint::of(Some("w"), "/x", b"y");
+    assert_eq!(Fingerprint::from_bytes(key.bytes()), Some(key));
+    assert_eq!(Fingerprint::from_bytes(&key.bytes()[1..]), None);
     assert_eq!(key.to_string().len(), 32, "as it stands in log lines");
 }
--- a/crates/fernring-gateway/tests/testsuite/fleet.rs
+++ b/crates/fernring-gateway/tests/testsuite/fleet.rs
@@ -3,7 +3,7 @@
 
 use {
     fernring_gateway::{
-        following::{Following, Reply},
+        tailing::{Following, Reply},
         members::{HEARTBEAT_INTERVAL, ReaderPart},
     },
     rand::{RngExt, SeedableRng, rngs::StdRng},
--- a/crates/fernring-gateway/tests/testsuite/suspects.rs
+++ b/crates/fernring-gateway/tests/testsuite/suspects.rs
@@ -2,7 +2,7 @@
 
 use {
     fernring_gateway::{
-        content::ContentKey,
+        fingerprint::Fingerprint,
         endings::Run,
         suspects::{ClearFact, ENDS_MAX, EndFact, LIFETIME, Suspects},
     },
@@ -16,8 +16,8 @@
     Run { instance: format!("i-{number}").into(), started_ms: None }
 }
 
-fn content(number: usize) -> ContentKey {
-    ContentKey::of(None, &number.to_string(), b"")
+fn content(number: usize) -> Fingerprint {
+    Fingerprint::of(None, &number.to_string(), b"")
 }
 
 fn seconds(seconds: u64) -> Duration {
@@ -25,7 +25,7 @@
 }
 
 /// Charges contents with the end of a start at the second of its number.
-fn end(suspects: &mut Suspects, number: usize, contents: &[usize]) -> Vec<ContentKey> {
+fn end(suspects: &mut Suspects, number: usize, contents: &[usize]) -> Vec<Fingerprint> {
     let contents: Vec<_> = contents.iter().map(|number| content(*number)).collect();
     let at = seconds(number as u64);
     suspects.ended(at, &run(number), at, &contents).turned_away
--- a/crates/fernring-gateway/tests/testsuite/following.rs
+++ b/crates/fernring-gateway/tests/testsuite/tailing.rs
@@ -2,7 +2,7 @@
 
 use {
     super::fleet::{Fleet, NODES, StoreFor},
-    fernring_gateway::{following::Following, freshness::STALE_AFTER},
+    fernring_gateway::{tailing::Following, freshness::STALE_AFTER},
     std::time::Duration,
 };
 
