--- a/crates/fernring-gateway/src/blame/mod.rs
+++ b/crates/fernring-gateway/src/blame/mod.rs
@@ -165,7 +165,7 @@
 
     /// Returns the final answer for a request that is turned away and has not run.
     pub fn refusal(&self, not_run: NotRun, content: Fingerprint) -> Refusal {
-        Refusal::turned_away(not_run, self.reason(content))
+        Refusal::quarantined(not_run, self.reason(content))
     }
 
     /// Says under which starts a request was in hand when they ended.
--- a/crates/fernring-gateway/src/node.rs
+++ b/crates/fernring-gateway/src/node.rs
@@ -2,11 +2,11 @@
 
 use {
     crate::{
-        deadline_timer::Alarm,
+        deadline_timer::DeadlineTimer,
         blame::Blame,
         config::ConfigState,
-        context::Serving,
-        tailing::{Following, Reply},
+        context::ServingContext,
+        tailing::{Tailing, Reply},
         ingress::{Ingress, Phase},
         log,
         measures::{self, Readings},
@@ -15,7 +15,7 @@
         peers::{PeerHandler, Peers},
         position::Position,
         reading::ReadingSpeeds,
-        records::{change_from, directory_record, evacuation_from, evacuation_word},
+        records::{decode_change, encode_change, decode_evacuation, encode_evacuation},
         retries::Retries,
         rollout::{orders::Standing, shell::Rollouts},
         settings::{NodeSettings, Settings, load},
@@ -79,7 +79,7 @@
     stages: Rc<Stages>,
     retries: Rc<Retries>,
     ingress: Rc<Ingress>,
-    serving: Rc<Serving>,
+    serving: Rc<ServingContext>,
     loops: Rc<StoreLoops>,
     packed: RefCell<Option<PackedDirectory>>,
     render: Box<dyn Fn() -> String>,
@@ -194,8 +194,8 @@
         }));
         let stages =
             Rc::new(Stages::new(clock.clone(), peers.clone(), owner.clone(), upstreams.clone()));
-        let alarm = Rc::new(Alarm::new(clock.clone()));
-        let serving = Rc::new(Serving {
+        let alarm = Rc::new(DeadlineTimer::new(clock.clone()));
+        let serving = Rc::new(ServingContext {
             clock: clock.clone(),
             alarm: alarm.clone(),
             wire: wire.clone(),
@@ -203,8 +203,8 @@
             upstreams: upstreams.clone(),
             peers: peers.clone(),
             stages: stages.clone(),
-            reading: ReadingSpeeds::default(),
-            rules,
+            prefill_speeds: ReadingSpeeds::default(),
+            mechanisms: rules,
             retries: retries.clone(),
             rollouts: rollouts.clone(),
             blame: blame.clone(),
@@ -214,21 +214,21 @@
         let started_at = clock.now().monotonic;
         let loops = Rc::new(StoreLoops {
             clock,
-            alarm,
+            deadline_timer: alarm,
             wire: wire.clone(),
             store,
             config: config.clone(),
             upstreams: upstreams.clone(),
             owner: owner.clone(),
-            blame: blame.clone(),
+            crash_attribution: blame.clone(),
             rollouts: rollouts.clone(),
             peers: peers.clone(),
-            following: [(); 2].map(|()| RefCell::new(Following::new(rand::random()))),
+            tailing: [(); 2].map(|()| RefCell::new(Tailing::new(rand::random()))),
             started_at,
             store_answers: Cell::new(true),
-            word_bound: Cell::new(settings.evacuation.within()),
-            is_unheard: Cell::default(),
-            joined_in: Cell::default(),
+            evacuation_bound: Cell::new(settings.evacuation.within()),
+            has_unconfirmed_orders: Cell::default(),
+            registered_era: Cell::default(),
         });
         spawn_local(owner.clone().run());
         spawn_local(owner.run_releases());
@@ -286,8 +286,8 @@
         spawn_local(self.clone().listen_ready(listeners.ready));
         spawn_local(self.peers.clone().listen(listeners.peers));
         spawn_local(self.peers.clone().run_heartbeats());
-        spawn_local(self.loops.clone().follow_config());
-        spawn_local(self.loops.clone().follow_upstreams());
+        spawn_local(self.loops.clone().tail_config());
+        spawn_local(self.loops.clone().tail_upstreams());
         spawn_local(self.loops.clone().join());
         spawn_local(self.loops.clone().expire());
         spawn_local(self.clone().watch_settings(settings_path));
@@ -333,9 +333,9 @@
         log::info(LogLine::event("stopping").with("in_flight", self.serving.in_flight.get()));
         self.ingress.set_phase(Phase::Leaving);
         self.peers.set_draining();
-        self.loops.leave().await;
+        self.loops.remove_own_record().await;
         let leave = Duration::from_secs_f64(shutdown.leave_s);
-        self.serving.alarm.until(started + leave).await;
+        self.serving.alarm.sleep_until(started + leave).await;
         self.ingress.set_phase(Phase::Closing);
         while self.ingress.open() > 0 && self.serving.now() < end {
             sleep(DRAIN_INTERVAL).await;
@@ -375,10 +375,10 @@
             }
         };
         self.retries.set_allowance(settings.retries.allowance());
-        self.serving.rules.set(settings.decide);
+        self.serving.mechanisms.set(settings.decide);
         self.upstreams.set_cold_bounds(settings.cold);
         self.serving.rollouts.set_settings(settings.rollout);
-        self.loops.word_bound.set(settings.evacuation.within());
+        self.loops.evacuation_bound.set(settings.evacuation.within());
         self.peers.suggest(settings.node.seeds.iter().copied());
         *self.settings.borrow_mut() = settings;
         self.apply_link();
@@ -442,7 +442,7 @@
             upstream_connections: self.upstreams.open_connections(),
             cold_upstreams: directory.iter().filter(|(_, u)| u.is_cold(self.serving.now())).count(),
             limited_upstreams: self.upstreams.limited(),
-            evacuated_domains: self.upstreams.evacuations().borrow().in_force(),
+            evacuated_domains: self.upstreams.evacuations().borrow().evacuated_count(),
             store_answers: self.loops.store_answers.get(),
         });
         (self.render)()
@@ -484,15 +484,15 @@
         let is_packed = is_whole && directory.len() > UNPACKED_RECORDS_MAX;
         let records = match changes {
             _ if is_packed => Vec::new(),
-            Some(changes) => changes.iter().map(directory_record).collect(),
-            None => directory.all_changes(now).iter().map(directory_record).collect(),
+            Some(changes) => changes.iter().map(encode_change).collect(),
+            None => directory.all_changes(now).iter().map(encode_change).collect(),
         };
         let records = DirectoryRecords {
             end: directory.end().offset,
             era: directory.end().era,
             records,
             is_whole,
-            lapses_ms: directory.lapses_for(now).as_millis() as u32,
+            lapses_ms: directory.lapse_time_left(now).as_millis() as u32,
             age_ms: self.age_ms(TailedTopic::Upstreams),
             packed: if is_packed { self.packed_directory(now) } else { Bytes::new() },
         };
@@ -511,7 +511,7 @@
         {
             return held.bytes.clone();
         }
-        let records = directory.all_changes(now).iter().map(directory_record).collect();
+        let records = directory.all_changes(now).iter().map(encode_change).collect();
         let bytes = pack(&DirectoryList { records }.encode_to_vec());
         *held = Some(PackedDirectory { end, at: now, bytes: bytes.clone() });
         bytes
@@ -519,13 +519,13 @@
 
     /// Answers a peer's question with a record, or puts it off.
     fn pass_on(&self, peer: SocketAddr, what: TailedTopic, bytes: usize, record: GatewayBody) {
-        let reply = self.loops.following(what).borrow_mut().asked(self.serving.now(), bytes);
+        let reply = self.loops.following(what).borrow_mut().handle_request(self.serving.now(), bytes);
         match (reply, what) {
             (Reply::Record, _) => self.peers.send_record(peer, record),
-            (Reply::PutOff, TailedTopic::Config) => {
+            (Reply::Deferred, TailedTopic::Config) => {
                 self.peers.send(peer, GatewayBody::ConfigPutOff(Nothing {}));
             }
-            (Reply::PutOff, TailedTopic::Upstreams) => {
+            (Reply::Deferred, TailedTopic::Upstreams) => {
                 self.peers.send(peer, GatewayBody::DirectoryPutOff(Nothing {}));
             }
         }
@@ -533,7 +533,7 @@
 
     fn put_off(&self, what: TailedTopic) {
         let mut following = self.loops.following(what).borrow_mut();
-        following.put_off(self.serving.now(), rand::random());
+        following.handle_deferral(self.serving.now(), rand::random());
     }
 
     fn take_directory(&self, mut records: DirectoryRecords) {
@@ -547,17 +547,17 @@
                 }
             }
         }
-        self.loops.take_peer_upstreams(PeerRecords {
+        self.loops.handle_peer_upstreams(PeerRecords {
             end: Position::new(records.era, records.end),
-            changes: records.records.into_iter().filter_map(change_from).collect(),
-            is_whole: records.is_whole,
+            changes: records.records.into_iter().filter_map(decode_change).collect(),
+            is_full: records.is_whole,
             lapses_for: Duration::from_millis(records.lapses_ms.into()),
             age: records.age_ms.map(from_ms),
         });
     }
 
     fn age_ms(&self, what: TailedTopic) -> Option<u32> {
-        let age = self.loops.following(what).borrow().told_age(self.serving.now())?;
+        let age = self.loops.following(what).borrow().reported_age(self.serving.now())?;
         Some(u32::try_from(age.as_millis()).unwrap_or(u32::MAX))
     }
 }
@@ -574,7 +574,7 @@
             GatewayBody::ConfigRequest(_) => self.send_config(sender),
             GatewayBody::Config(config) => {
                 let end = Position::new(config.era, config.end);
-                self.loops.take_peer_config(config.packed, end);
+                self.loops.handle_peer_config(config.packed, end);
             }
             GatewayBody::ConfigPutOff(_) => self.put_off(TailedTopic::Config),
             GatewayBody::DirectoryPutOff(_) => self.put_off(TailedTopic::Upstreams),
@@ -620,12 +620,12 @@
             let tells_on = tells_on && heartbeat.is_follower;
             self.upstreams.peer_found_unreachable(now, &heartbeat.unreachable, tells_on);
         }
-        self.loops.hear_era(heartbeat.store_era);
+        self.loops.handle_era(heartbeat.store_era);
         let directory_end = Position::new(heartbeat.directory_era, heartbeat.directory_end);
         // Before the age confirms that nothing else is in force.
         for word in &heartbeat.evacuations {
-            let (failure_domain, word) = evacuation_from(word);
-            self.loops.take_evacuation(failure_domain, word, "peer");
+            let (failure_domain, word) = decode_evacuation(word);
+            self.loops.apply_evacuation(failure_domain, word, "peer");
         }
         self.serving.rollouts.told(&heartbeat.rollouts);
         self.upstreams.told_limits(&heartbeat.limits);
@@ -635,7 +635,7 @@
             (TailedTopic::Upstreams, directory_end, heartbeat.directory_age_ms),
         ];
         for (what, mark, age_ms) in known {
-            if self.loops.heard(what, mark, age_ms.map(from_ms)) {
+            if self.loops.handle_peer_mark(what, mark, age_ms.map(from_ms)) {
                 self.ask(sender, what);
             }
         }
@@ -651,7 +651,7 @@
         heartbeat.directory_age_ms = self.age_ms(TailedTopic::Upstreams);
         heartbeat.unreachable = self.upstreams.unreachable(self.serving.now());
         let evacuations = self.upstreams.evacuations().borrow();
-        heartbeat.evacuations = evacuations.words().map(evacuation_word).collect();
+        heartbeat.evacuations = evacuations.orders().map(encode_evacuation).collect();
         heartbeat.limits = self.upstreams.limits_to_tell();
         heartbeat.rollouts = self.serving.rollouts.words();
         let link = self.settings.borrow().node.link_bytes_per_s();
--- a/crates/fernring-gateway/src/rollout/shell.rs
+++ b/crates/fernring-gateway/src/rollout/shell.rs
@@ -13,7 +13,7 @@
         model::RolloutState,
         peers::Peers,
         position::Position,
-        records::{rollout_counts, rollout_report, rollout_word, rollout_word_from},
+        records::{decode_rollout_counts, encode_rollout_report, encode_rollout_order, decode_rollout_order},
         settings::RolloutSettings,
         upstreams::{Target, Upstreams},
         wire::{RolloutRecord, RolloutStatus, Store, StoreError, Topic, Wire},
@@ -248,7 +248,7 @@
         }
         let now = self.now();
         for told in words {
-            let (service, word) = rollout_word_from(now, told);
+            let (service, word) = decode_rollout_order(now, told);
             let before = self.standing(&service);
             let (standing, at) = (word.standing, word.at);
             if self.orders.borrow_mut().learn(&service, word) {
@@ -280,7 +280,7 @@
         let now = self.now();
         let orders = self.orders.borrow();
         let word = |(service, word): (&Arc<str>, &Word)| {
-            rollout_word(now, service, word, orders.is_withdrawn(service))
+            encode_rollout_order(now, service, word, orders.is_withdrawn(service))
         };
         orders.words().map(word).collect()
     }
@@ -434,7 +434,7 @@
             serves_alone && !self.upstreams.has_work_at_others(service, &word.order.destination);
         self.with_own(service, word.at, |own| {
             let is_drained = is_idle && own.counts.at_others == 0;
-            report = Some(rollout_report(service, word.at, &own.counts, is_drained));
+            report = Some(encode_rollout_report(service, word.at, &own.counts, is_drained));
         });
         let incarnation = self.peers.incarnation();
         RolloutReport { incarnation, ..report.unwrap_or_default() }
@@ -456,7 +456,7 @@
             *deciding = new();
         }
         let (incarnation, is_drained) = (report.incarnation, report.is_drained);
-        let counts = rollout_counts(report);
+        let counts = decode_rollout_counts(report);
         let reported = Reported { counts, incarnation, is_drained, heard_at: now };
         if let Some(before) = deciding.reports.insert(sender, reported)
             && before.incarnation != incarnation
@@ -648,7 +648,7 @@
         let directory = self.upstreams.directory();
         let mut engines = Engines::default();
         for (_, upstream) in directory.of_service(service) {
-            if !upstream.takes_work() || upstream.is_cold(now) {
+            if !upstream.accepts_work() || upstream.is_cold(now) {
                 continue;
             }
             match upstream.record.version == *destination {
--- a/crates/fernring-gateway/src/serving/caller_body.rs
+++ b/crates/fernring-gateway/src/serving/caller_body.rs
@@ -28,7 +28,7 @@
 
 impl CallerBody {
     /// Returns a body that is there as a whole.
-    pub fn whole(body: Full<Bytes>) -> Self {
+    pub fn full(body: Full<Bytes>) -> Self {
         Self { kind: Kind::Whole(body), guard: None, ends_at: None }
     }
 
@@ -48,7 +48,7 @@
     }
 
     /// Holds a guard for as long as the body is sent.
-    pub fn hold(&mut self, guard: impl Any) {
+    pub fn attach_guard(&mut self, guard: impl Any) {
         self.guard = Some(Box::new(guard));
     }
 }
--- a/crates/fernring-gateway/src/serving/context.rs
+++ b/crates/fernring-gateway/src/serving/context.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        deadline_timer::Alarm, blame::Blame, config::ConfigState, peers::Peers, reading::ReadingSpeeds,
+        deadline_timer::DeadlineTimer, blame::Blame, config::ConfigState, peers::Peers, reading::ReadingSpeeds,
         retries::Retries, rollout::shell::Rollouts, settings::DecideSettings, stages::Stages,
         upstreams::Upstreams, wire::Wire,
     },
@@ -15,11 +15,11 @@
 };
 
 /// What serves requests; shared by all connections of a node.
-pub struct Serving {
+pub struct ServingContext {
     /// The clock.
     pub clock: Rc<dyn Clock>,
     /// Waits for its points.
-    pub alarm: Rc<Alarm>,
+    pub alarm: Rc<DeadlineTimer>,
     /// The platform's formats.
     pub wire: Rc<dyn Wire>,
     /// The configuration in force.
@@ -31,9 +31,9 @@
     /// The stages.
     pub stages: Rc<Stages>,
     /// How fast model engines read, as learned since the start.
-    pub reading: ReadingSpeeds,
+    pub prefill_speeds: ReadingSpeeds,
     /// The mechanisms of the policy that are on.
-    pub rules: Rc<Cell<DecideSettings>>,
+    pub mechanisms: Rc<Cell<DecideSettings>>,
     /// The retry budget.
     pub retries: Rc<Retries>,
     /// Versions that are rolled out.
@@ -44,20 +44,20 @@
     pub in_flight: Cell<isize>,
 }
 
-impl std::fmt::Debug for Serving {
+impl std::fmt::Debug for ServingContext {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Serving").field("in_flight", &self.in_flight).finish_non_exhaustive()
     }
 }
 
-impl Serving {
+impl ServingContext {
     /// Returns the steady time.
     pub fn now(&self) -> Duration {
         self.clock.now().monotonic
     }
 
     /// Adds to the number of requests in flight.
-    pub fn count_in_flight(&self, change: isize) {
+    pub fn adjust_in_flight(&self, change: isize) {
         self.in_flight.set(self.in_flight.get() + change);
     }
 }
--- a/crates/fernring-gateway/src/serving/deadline_timer.rs
+++ b/crates/fernring-gateway/src/serving/deadline_timer.rs
@@ -16,39 +16,39 @@
 };
 
 /// How much the clock may run ahead of the timers between two looks: more than their readings differ by.
-const AHEAD_MIN: Duration = Duration::from_millis(50);
+const SUSPENSION_MIN: Duration = Duration::from_millis(50);
 
 /// What wakes those who wait for a deadline.
-pub struct Alarm {
+pub struct DeadlineTimer {
     clock: Rc<dyn Clock>,
     /// Readings of the clock and of the timers' clock at the same moment.
-    looked_at: Cell<(Duration, Instant)>,
-    woke: Notify,
+    last_check: Cell<(Duration, Instant)>,
+    resumed: Notify,
 }
 
-impl Alarm {
+impl DeadlineTimer {
     /// Creates an alarm on a clock.
     pub fn new(clock: Rc<dyn Clock>) -> Self {
         let looked_at = Cell::new((clock.now().monotonic, Instant::now()));
-        Self { clock, looked_at, woke: Notify::new() }
+        Self { clock, last_check: looked_at, resumed: Notify::new() }
     }
 
     /// Looks whether the VM was suspended since the last look.
-    pub fn look(&self) {
+    pub fn check_for_suspension(&self) {
         let (now, timers_now) = (self.clock.now().monotonic, Instant::now());
-        let (before, timers_before) = self.looked_at.replace((now, timers_now));
+        let (before, timers_before) = self.last_check.replace((now, timers_now));
         let ahead = now.saturating_sub(before).saturating_sub(timers_now - timers_before);
-        if ahead >= AHEAD_MIN {
+        if ahead >= SUSPENSION_MIN {
             let line = LogLine::event("vm_suspended").with("suspended_ms", ahead.as_millis());
             log::warn(line);
-            self.woke.notify_waiters();
+            self.resumed.notify_waiters();
         }
     }
 
     /// Waits until a point of the clock.
-    pub async fn until(&self, at: Duration) {
+    pub async fn sleep_until(&self, at: Duration) {
         loop {
-            let woke = self.woke.notified();
+            let woke = self.resumed.notified();
             let left = at.saturating_sub(self.clock.now().monotonic);
             if left.is_zero() {
                 return;
@@ -61,11 +61,11 @@
     }
 
     /// Waits for work until a point of the clock; `None` if it isn't done by then.
-    pub async fn within<T>(&self, at: Duration, work: impl Future<Output = T>) -> Option<T> {
+    pub async fn complete_by<T>(&self, at: Duration, work: impl Future<Output = T>) -> Option<T> {
         tokio::select! {
             biased;
             done = work => Some(done),
-            () = self.until(at) => None,
+            () = self.sleep_until(at) => None,
         }
     }
 }
--- a/crates/fernring-gateway/src/serving/events.rs
+++ b/crates/fernring-gateway/src/serving/events.rs
@@ -43,6 +43,6 @@
 }
 
 /// Returns the number of the last event among whole events, as `number_of` reads it from a line.
-pub fn last_number(events: &[u8], number_of: impl Fn(&[u8]) -> Option<u64>) -> Option<u64> {
+pub fn last_event_number(events: &[u8], number_of: impl Fn(&[u8]) -> Option<u64>) -> Option<u64> {
     events.split(|byte| *byte == b'\n').filter_map(number_of).next_back()
 }
--- a/crates/fernring-gateway/src/serving/exchange/admitting.rs
+++ b/crates/fernring-gateway/src/serving/exchange/admitting.rs
@@ -19,7 +19,7 @@
     pub(super) fn admit(&mut self) -> Result<(), Refusal> {
         let stages = self.route.stages.len();
         let is_plain = (0..stages).all(|stage| self.plan.count(stage) == 0);
-        if is_plain || !self.serving.rules.get().admission {
+        if is_plain || !self.serving.mechanisms.get().admission {
             return Ok(());
         }
         let need = self.need();
--- a/crates/fernring-gateway/src/serving/exchange/mod.rs
+++ b/crates/fernring-gateway/src/serving/exchange/mod.rs
@@ -14,7 +14,7 @@
         come_back::come_back,
         connections::AnswerBody,
         fingerprint::Fingerprint,
-        context::Serving,
+        context::ServingContext,
         log, measures,
         model::{Repeat, RequestFields, Route, UpstreamKey, Workspace},
         refusal::Refusal,
@@ -79,19 +79,19 @@
 
 /// Counts a request as in flight until it is dropped.
 #[derive(Debug)]
-pub struct InFlight(Rc<Serving>);
+pub struct InFlight(Rc<ServingContext>);
 
 impl InFlight {
     /// Counts a request.
-    pub fn new(serving: Rc<Serving>) -> Self {
-        serving.count_in_flight(1);
+    pub fn new(serving: Rc<ServingContext>) -> Self {
+        serving.adjust_in_flight(1);
         Self(serving)
     }
 }
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        self.0.count_in_flight(-1);
+        self.0.adjust_in_flight(-1);
     }
 }
 
@@ -152,7 +152,7 @@
 
 /// One request on its way.
 pub struct Exchange {
-    serving: Rc<Serving>,
+    serving: Rc<ServingContext>,
     request: CallerRequest,
     route: Arc<Route>,
     workspace: Option<Arc<Workspace>>,
@@ -203,7 +203,7 @@
 impl Exchange {
     /// Starts the account of a request that arrived at `arrived_at`.
     pub fn new(
-        serving: Rc<Serving>,
+        serving: Rc<ServingContext>,
         request: CallerRequest,
         route: Arc<Route>,
         workspace: Option<Arc<Workspace>>,
@@ -273,7 +273,7 @@
     ) -> Option<T> {
         let patient_at = patience.map(|patience| self.serving.now() + patience);
         let at = patient_at.map_or(self.end_at, |at| at.min(self.end_at));
-        self.serving.alarm.within(at, work).await
+        self.serving.alarm.complete_by(at, work).await
     }
 
     /// Returns the number of the event that the stream goes on after.
@@ -297,7 +297,7 @@
         let now = self.serving.now();
         if let Some(reads) = opened.reads.take() {
             let took = now.saturating_sub(reads.sent_at);
-            self.serving.reading.read(&self.service, reads.tokens, took);
+            self.serving.prefill_speeds.read(&self.service, reads.tokens, took);
         }
         let passed_on = self.passed_on.get_or_insert(PassedOn {
             first_at: now,
--- a/crates/fernring-gateway/src/serving/exchange/sending.rs
+++ b/crates/fernring-gateway/src/serving/exchange/sending.rs
@@ -247,7 +247,7 @@
             .with("is_avoided", chosen.is_some_and(|candidate| candidate.is_avoided))
             .with("is_cold", chosen.is_some_and(|candidate| candidate.is_cold))
             .with("is_home", is_home)
-            .with("reads_per_ms", self.serving.reading.of(&self.service).tokens_in(ONE_MS).round())
+            .with("reads_per_ms", self.serving.prefill_speeds.of(&self.service).tokens_in(ONE_MS).round())
             .with("config", self.serving.config.borrow().version())
             .with("left_ms", self.time_left().as_millis());
         log::info(line);
@@ -255,14 +255,14 @@
 
     /// What the request needs of a model engine; `None` if it goes to a plain service.
     fn prompt_need(&self) -> Option<PromptNeed> {
-        if !self.route.prefix_affinity || !self.serving.rules.get().prefixes {
+        if !self.route.prefix_affinity || !self.serving.mechanisms.get().prefixes {
             return None;
         }
         let parts = &self.request.fields.prompt;
         let shared = parts.len().checked_sub(2).and_then(|index| parts.get(index));
         let own = parts.last()?;
         let time_left = self.objective_at.saturating_sub(self.serving.now());
-        let speed = self.serving.reading.of(&self.service);
+        let speed = self.serving.prefill_speeds.of(&self.service);
         Some(PromptNeed {
             prefix: shared.unwrap_or(own).id,
             own_tokens: f64::from(own.tokens),
--- a/crates/fernring-gateway/src/serving/exchange/staging.rs
+++ b/crates/fernring-gateway/src/serving/exchange/staging.rs
@@ -66,7 +66,7 @@
     }
 
     pub(super) async fn make_admitted(&mut self) -> Result<(), Refusal> {
-        if self.serving.rules.get().placing && self.plan.makes_any(NEAR_BYTES_MIN) {
+        if self.serving.mechanisms.get().placing && self.plan.makes_any(NEAR_BYTES_MIN) {
             self.home = self.choose_home();
         }
         for _ in 0..STAGE_ROUNDS_MAX {
@@ -130,7 +130,7 @@
     /// not what the request waits for in the end. Requests of the lowest rank do without, and
     /// leave the room for results to the others meanwhile.
     fn chain_lead(&self) -> usize {
-        if !self.serving.rules.get().made_late {
+        if !self.serving.mechanisms.get().made_late {
             return self.route.stages.len();
         }
         let held = self.serving.config.borrow().current();
@@ -194,13 +194,13 @@
 
     /// Time that a model engine needs for the whole prompt.
     pub(super) fn reading_time(&self) -> Duration {
-        self.serving.reading.of(&self.service).time_for(self.prompt_tokens())
+        self.serving.prefill_speeds.of(&self.service).time_for(self.prompt_tokens())
     }
 
     /// Failure domain in which a stage's pieces are best made: where its results are read if they
     /// are large, else where the results lie that each piece reads, if those are.
     fn near(&self, stage: usize) -> Option<Arc<str>> {
-        if !self.serving.rules.get().placing {
+        if !self.serving.mechanisms.get().placing {
             return None;
         }
         let spec = self.plan.spec(stage);
--- a/crates/fernring-gateway/src/serving/ingress.rs
+++ b/crates/fernring-gateway/src/serving/ingress.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        caller_body::CallerBody, config::ConfigState, context::Serving, log, model::CallerLimits,
+        caller_body::CallerBody, config::ConfigState, context::ServingContext, log, model::CallerLimits,
     },
     fernring_core::{clock::Clock, text::LogLine},
     http::{HeaderValue, Request, Response, header::CONNECTION},
@@ -149,7 +149,7 @@
 
 /// The callers' connections of a node.
 pub struct Ingress {
-    serving: Rc<Serving>,
+    serving: Rc<ServingContext>,
     config: Rc<RefCell<ConfigState>>,
     phase: watch::Sender<Phase>,
     open: Cell<usize>,
@@ -157,7 +157,7 @@
 
 impl Ingress {
     /// Creates an ingress without connections.
-    pub fn new(serving: Rc<Serving>, config: Rc<RefCell<ConfigState>>) -> Self {
+    pub fn new(serving: Rc<ServingContext>, config: Rc<RefCell<ConfigState>>) -> Self {
         let open = Cell::new(0);
         Self { serving, config, phase: watch::Sender::new(Phase::Serving), open }
     }
@@ -222,7 +222,7 @@
         // Reset to what the connection is doing each time that it is looked at.
         let alarm = &self.serving.alarm;
         let mut timer_at = self.serving.now() + limits.idle_timeout;
-        let mut timer = Box::pin(alarm.until(timer_at));
+        let mut timer = Box::pin(alarm.sleep_until(timer_at));
         poll_fn(|context| {
             if !is_closing && closing.as_mut().poll(context).is_ready() {
                 is_closing = true;
@@ -236,7 +236,7 @@
             };
             if timer_at != deadline {
                 timer_at = deadline;
-                timer.set(alarm.until(deadline));
+                timer.set(alarm.sleep_until(deadline));
             }
             match timer.as_mut().poll(context) {
                 Poll::Ready(()) => Poll::Ready(Ok(())),
@@ -265,7 +265,7 @@
         if self.phase() >= Phase::Leaving {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        response.body_mut().hold(guard);
+        response.body_mut().attach_guard(guard);
         Ok(response)
     }
 }
--- a/crates/fernring-gateway/src/serving/refusal.rs
+++ b/crates/fernring-gateway/src/serving/refusal.rs
@@ -23,15 +23,15 @@
     pub detail: String,
     status: StatusCode,
     retry_after: Option<Duration>,
-    closes: bool,
+    closes_connection: bool,
 }
 
 impl Refusal {
     /// Refuses a request that the caller has to correct. `code` must be of that kind.
-    pub fn incorrect(code: ResultCode, detail: impl Into<String>) -> Self {
+    pub fn invalid_request(code: ResultCode, detail: impl Into<String>) -> Self {
         let status = StatusCode::from_u16(code.http_status()).unwrap_or(StatusCode::BAD_REQUEST);
         let closes = matches!(code, ResultCode::BadRequest | ResultCode::BodyTooLarge);
-        Self { code, detail: detail.into(), status, retry_after: None, closes }
+        Self { code, detail: detail.into(), status, retry_after: None, closes_connection: closes }
     }
 
     /// Refuses a request whose body did not come in time. It has not run: it wasn't whole.
@@ -41,7 +41,7 @@
             detail: "the body did not come in time".to_owned(),
             status: StatusCode::REQUEST_TIMEOUT,
             retry_after: None,
-            closes: true,
+            closes_connection: true,
         }
     }
 
@@ -53,15 +53,15 @@
         detail: impl Into<String>,
     ) -> Self {
         let status = StatusCode::SERVICE_UNAVAILABLE;
-        Self { code, detail: detail.into(), status, retry_after: Some(after), closes: false }
+        Self { code, detail: detail.into(), status, retry_after: Some(after), closes_connection: false }
     }
 
     /// Turns away a request that has not run and that upstreams end under. There is no time to come back at: it would be
     /// refused again.
-    pub fn turned_away(_: NotRun, detail: impl Into<String>) -> Self {
+    pub fn quarantined(_: NotRun, detail: impl Into<String>) -> Self {
         let code = ResultCode::EndsUpstreams;
         let status = StatusCode::TOO_MANY_REQUESTS;
-        Self { code, detail: detail.into(), status, retry_after: None, closes: false }
+        Self { code, detail: detail.into(), status, retry_after: None, closes_connection: false }
     }
 
     /// Gives up a request that may have run.
@@ -70,7 +70,7 @@
             ResultCode::WindowEnded | ResultCode::EffectUnknown => StatusCode::GATEWAY_TIMEOUT,
             _ => StatusCode::BAD_GATEWAY,
         };
-        Self { code, detail: detail.into(), status, retry_after: None, closes: false }
+        Self { code, detail: detail.into(), status, retry_after: None, closes_connection: false }
     }
 
     /// Returns the status.
@@ -86,7 +86,7 @@
         if let Some(after) = self.retry_after {
             wire.encode_retry_after(headers, after);
         }
-        if self.closes {
+        if self.closes_connection {
             headers.insert(CONNECTION, HeaderValue::from_static("close"));
         }
         response
--- a/crates/fernring-gateway/src/serving/relay.rs
+++ b/crates/fernring-gateway/src/serving/relay.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         connections::{AnswerBody, BreakOff},
-        events::{EventSplitter, last_number},
+        events::{EventSplitter, last_event_number},
         exchange::{Ended, Exchange, Opened, StreamFailure},
         log,
         model::Repeat,
@@ -88,7 +88,7 @@
         }
         let whole = self.splitter.push(&bytes);
         let whole = whole.map_err(|error| StreamFailure::Broken(error.to_string()))?;
-        let number = last_number(&whole, |line| self.exchange.event_number(line));
+        let number = last_event_number(&whole, |line| self.exchange.event_number(line));
         self.last_event = number.or(self.last_event);
         Ok(whole)
     }
--- a/crates/fernring-gateway/src/serving/serve.rs
+++ b/crates/fernring-gateway/src/serving/serve.rs
@@ -7,7 +7,7 @@
         config::HeldConfig,
         connections::BreakOff,
         fingerprint::Fingerprint,
-        context::Serving,
+        context::ServingContext,
         exchange::{CallerRequest, Ended, Exchange, InFlight, Opened},
         log, measures,
         model::{Route, Workspace, key_hash},
@@ -44,7 +44,7 @@
     request: CallerRequest,
 }
 
-impl Serving {
+impl ServingContext {
     /// Answers a request. Dropping the future gives it up.
     pub async fn serve(self: Rc<Self>, request: Request<Incoming>) -> Response<CallerBody> {
         let arrived_at = self.now();
@@ -54,7 +54,7 @@
             Ok(accepted) => accepted,
             Err((id, refusal)) => {
                 self.log_refusal(id.as_deref(), &refusal);
-                return refusal.response(&*self.wire).map(CallerBody::whole);
+                return refusal.response(&*self.wire).map(CallerBody::full);
             }
         };
         let streaming = accepted.route.streaming;
@@ -87,7 +87,7 @@
         arrived_at: Duration,
     ) -> Result<Accepted, (Option<Arc<str>>, Refusal)> {
         let fields = self.wire.decode_request(&head.headers).map_err(|error| {
-            (None, Refusal::incorrect(ResultCode::BadRequest, error.to_string()))
+            (None, Refusal::invalid_request(ResultCode::BadRequest, error.to_string()))
         })?;
         let id = fields.id.clone();
         let refuse = |refusal| (id.clone(), refusal);
@@ -96,16 +96,16 @@
         let route = find_route(&held, &head).map_err(refuse)?;
         let workspace = find_workspace(&held, &route, fields.api_key.as_deref()).map_err(refuse)?;
         let Some(request_id) = id.clone() else {
-            return Err(refuse(Refusal::incorrect(ResultCode::BadRequest, "no request id")));
+            return Err(refuse(Refusal::invalid_request(ResultCode::BadRequest, "no request id")));
         };
         let end_at = arrived_at + route.wait(fields.remaining);
         let reading = read_body(body, held.config.limits.body_bytes_max);
-        let body = self.alarm.within(end_at, reading).await;
+        let body = self.alarm.complete_by(end_at, reading).await;
         let body = body.unwrap_or_else(|| Err(Refusal::slow_body()));
         let body = body.map_err(refuse)?;
         let path = head.uri.path_and_query().map(|path| path.as_str()).unwrap_or("/");
         let uri = path.parse().map_err(|_| {
-            refuse(Refusal::incorrect(ResultCode::BadRequest, "the path can't be read"))
+            refuse(Refusal::invalid_request(ResultCode::BadRequest, "the path can't be read"))
         })?;
         let mut headers = head.headers;
         strip_connection_headers(&mut headers);
@@ -164,10 +164,10 @@
         mut opened: Opened,
     ) -> Result<Response<CallerBody>, String> {
         let collecting = Limited::new(&mut opened.body, WHOLE_ANSWER_BYTES_MAX).collect();
-        let why = match self.alarm.within(exchange.end_at(), collecting).await {
+        let why = match self.alarm.complete_by(exchange.end_at(), collecting).await {
             Some(Ok(whole)) => {
                 opened.is_whole_so_far();
-                let body = CallerBody::whole(Full::new(whole.to_bytes())).until(exchange.end_at());
+                let body = CallerBody::full(Full::new(whole.to_bytes())).until(exchange.end_at());
                 return Ok(response(&opened, body, true));
             }
             Some(Err(error)) => match error.downcast_ref::<hyper::Error>() {
@@ -189,7 +189,7 @@
             Ok(opened) => opened,
             Err(refusal) => return self.refuse(&mut exchange, &refusal),
         };
-        let head = response(&opened, CallerBody::whole(Full::default()), false);
+        let head = response(&opened, CallerBody::full(Full::default()), false);
         if opened.status() == StatusCode::OK {
             exchange.succeeded(opened.key());
         }
@@ -204,7 +204,7 @@
 
     fn refuse(&self, exchange: &mut Exchange, refusal: &Refusal) -> Response<CallerBody> {
         exchange.finished(Ended::Refused(refusal));
-        refusal.response(&*self.wire).map(CallerBody::whole)
+        refusal.response(&*self.wire).map(CallerBody::full)
     }
 }
 
@@ -215,7 +215,7 @@
 
 fn check_host(head: &request::Parts) -> Result<(), Refusal> {
     if head.headers.get_all(HOST).iter().count() > 1 {
-        return Err(Refusal::incorrect(ResultCode::BadRequest, "more than one host"));
+        return Err(Refusal::invalid_request(ResultCode::BadRequest, "more than one host"));
     }
     Ok(())
 }
@@ -225,7 +225,7 @@
     let host = head.uri.host().or(named).unwrap_or_default();
     let host = host.rsplit_once(':').map_or(host, |(host, _port)| host);
     let route = held.config.route(host, head.uri.path()).cloned();
-    route.ok_or_else(|| Refusal::incorrect(ResultCode::UnknownPipeline, "no route"))
+    route.ok_or_else(|| Refusal::invalid_request(ResultCode::UnknownPipeline, "no route"))
 }
 
 fn find_workspace(
@@ -238,7 +238,7 @@
     };
     let found = key.and_then(|key| workspaces.get(&key_hash(key)).cloned());
     if found.is_none() && !route.is_public {
-        return Err(Refusal::incorrect(ResultCode::UnknownKeyHolder, "the key is unknown"));
+        return Err(Refusal::invalid_request(ResultCode::UnknownKeyHolder, "the key is unknown"));
     }
     Ok(found)
 }
@@ -253,13 +253,13 @@
     match Limited::new(&mut body, bytes_max).collect().await {
         Ok(whole) => Ok(whole.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => Err(too_long(body, bytes_max).await),
-        Err(error) => Err(Refusal::incorrect(ResultCode::BadRequest, error.to_string())),
+        Err(error) => Err(Refusal::invalid_request(ResultCode::BadRequest, error.to_string())),
     }
 }
 
 async fn too_long(body: Incoming, bytes_max: usize) -> Refusal {
     discard(body).await;
-    Refusal::incorrect(ResultCode::BodyTooLarge, format!("over {bytes_max} bytes"))
+    Refusal::invalid_request(ResultCode::BodyTooLarge, format!("over {bytes_max} bytes"))
 }
 
 /// Reads on for a while, since closing a connection with unread bytes resets it and the answer
--- a/crates/fernring-gateway/src/settings.rs
+++ b/crates/fernring-gateway/src/settings.rs
@@ -1,7 +1,7 @@
 //! What a gateway process needs to start, checked in one place.
 
 use {
-    crate::{budget::Allowance, tailing::SMALLEST_LINK_BYTES_PER_S, residency::Regions},
+    crate::{budget::Allowance, tailing::MIN_LINK_BYTES_PER_S, residency::Regions},
     serde::{Deserialize, Serialize},
     std::{collections::BTreeMap, net::SocketAddr, path::Path, time::Duration},
     thiserror::Error,
@@ -118,7 +118,7 @@
 
 /// The smallest link that is in use, for a node whose own isn't known.
 fn smallest_link_mbps() -> f64 {
-    SMALLEST_LINK_BYTES_PER_S / BYTES_PER_S_OF_MBPS
+    MIN_LINK_BYTES_PER_S / BYTES_PER_S_OF_MBPS
 }
 
 impl Settings {
--- a/crates/fernring-gateway/src/store/bootstrap.rs
+++ b/crates/fernring-gateway/src/store/bootstrap.rs
@@ -12,36 +12,36 @@
 use std::time::Duration;
 
 /// The longest wait of a node with a small link.
-const WAIT_MAX: Duration = Duration::from_secs(6);
+const FULL_READ_DELAY_MAX: Duration = Duration::from_secs(6);
 /// The wait is the longest of so many draws: of a thousand nodes the first is through after a third of the longest wait, and few
 /// follow it within the time that a reading takes.
 const DRAWS: f64 = 6.0;
 /// A link whose nodes wait longest, in bytes a second: 10 Mbit/s.
 const SMALL_LINK_BYTES_PER_S: f64 = 1.25e6;
 /// Time for a peer that knows more to pass the records on, or to say that it has others to serve first.
-const PASSED_ON_TIME: Duration = Duration::from_secs(2);
+const PEER_TRANSFER_TIME: Duration = Duration::from_secs(2);
 /// The longest wait for peers.
-const PEERS_TIME_MAX: Duration = Duration::from_secs(10);
+const PEER_WAIT_MAX: Duration = Duration::from_secs(10);
 
 /// A node that has read the first page of a topic.
 #[derive(Debug, Clone, Copy)]
-pub struct Starting {
-    began_at: Duration,
+pub struct Bootstrap {
+    started_at: Duration,
     due_at: Duration,
 }
 
-impl Starting {
+impl Bootstrap {
     /// Starts the wait of a node with a link; `draw` is drawn from 0 to 1.
     pub fn new(now: Duration, link_bytes_per_s: f64, draw: f64) -> Self {
         let links = (link_bytes_per_s / SMALL_LINK_BYTES_PER_S).max(1.0);
         let part = draw.clamp(0.0, 1.0).powf(1.0 / DRAWS) / (1.0 + links.ln());
-        Self { began_at: now, due_at: now + WAIT_MAX.mul_f64(part) }
+        Self { started_at: now, due_at: now + FULL_READ_DELAY_MAX.mul_f64(part) }
     }
 
     /// Tells whether the node reads on by itself. `heard_at` is when it first heard of a peer that knows more, or was last put off
     /// by one.
     pub fn shall_read_on(&self, now: Duration, heard_at: Option<Duration>) -> bool {
-        let passed_on_at = heard_at.map_or(Duration::ZERO, |heard_at| heard_at + PASSED_ON_TIME);
-        now >= self.due_at.max(passed_on_at.min(self.began_at + PEERS_TIME_MAX))
+        let passed_on_at = heard_at.map_or(Duration::ZERO, |heard_at| heard_at + PEER_TRANSFER_TIME);
+        now >= self.due_at.max(passed_on_at.min(self.started_at + PEER_WAIT_MAX))
     }
 }
--- a/crates/fernring-gateway/src/store/directory.rs
+++ b/crates/fernring-gateway/src/store/directory.rs
@@ -62,7 +62,7 @@
     /// It is leaving.
     Draining(UpstreamKey),
     /// It gets no new work until it is back or gone.
-    Held(UpstreamKey),
+    Lapsed(UpstreamKey),
     /// It is back.
     Returned(UpstreamKey),
     /// It is gone, and its key with it.
@@ -93,7 +93,7 @@
 
 impl Upstream {
     /// Tells whether it is to get new work.
-    pub fn takes_work(&self) -> bool {
+    pub fn accepts_work(&self) -> bool {
         self.record.state == UpstreamState::Ready
     }
 
@@ -120,20 +120,20 @@
         if self.at.era == at.era {
             return self.at <= at;
         }
-        let known = (self.record.sequence, !self.takes_work(), self.at);
+        let known = (self.record.sequence, !self.accepts_work(), self.at);
         known < (record.sequence, record.state == UpstreamState::Draining, at)
     }
 
     /// Keeps what is known, since a record says no more; but an upstream that leaves in a later era of the store does leave,
     /// whatever it counts.
-    fn keep_but_leave(
+    fn apply_late_drain(
         &mut self,
         key: UpstreamKey,
         at: Position,
         record: &UpstreamRecord,
     ) -> Effect {
         let leaves = at.era > self.at.era && record.state == UpstreamState::Draining;
-        if !(leaves && self.takes_work()) {
+        if !(leaves && self.accepts_work()) {
             return Effect::None;
         }
         self.record.state = UpstreamState::Draining;
@@ -141,7 +141,7 @@
     }
 
     /// Tells whether its record has lapsed, so that others go first.
-    pub fn is_doubtful(&self) -> bool {
+    pub fn has_lapsed(&self) -> bool {
         self.removal_due.is_some()
     }
 }
@@ -162,7 +162,7 @@
 impl Removal {
     /// Tells whether a record says no more than was known when it was removed, in an earlier era of the store: the copy that
     /// the store came back from holds it, and the upstream is gone all the same.
-    fn is_copied(&mut self, at: Position, record: &UpstreamRecord) -> bool {
+    fn is_from_copy(&mut self, at: Position, record: &UpstreamRecord) -> bool {
         if self.at.era == at.era || is_earlier(self.started_ms, record.started_ms) {
             return false;
         }
@@ -238,7 +238,7 @@
     }
 
     /// Lists the upstreams whose starts have a short hash.
-    pub fn of_run(&self, run_hash: u32) -> &[UpstreamKey] {
+    pub fn by_incarnation(&self, run_hash: u32) -> &[UpstreamKey] {
         self.index.of_run(run_hash)
     }
 
@@ -249,17 +249,17 @@
     }
 
     /// Says that the store did not answer until now: removals may be lapses for a while.
-    pub fn store_was_out(&mut self, now: Duration) {
+    pub fn record_store_outage(&mut self, now: Duration) {
         self.lapses_until = now + RETURN_GRACE;
     }
 
     /// Returns the time for which removals may still be lapses.
-    pub fn lapses_for(&self, now: Duration) -> Duration {
+    pub fn lapse_time_left(&self, now: Duration) -> Duration {
         self.lapses_until.saturating_sub(now)
     }
 
     /// Says that removals may be lapses for some time, as a peer has found.
-    pub fn lapses_known(&mut self, now: Duration, time: Duration) {
+    pub fn extend_lapse_window(&mut self, now: Duration, time: Duration) {
         self.lapses_until = self.lapses_until.max(now + time);
     }
 
@@ -273,7 +273,7 @@
         if since < self.floor || since.era != self.end.era {
             return None;
         }
-        let present = self.upstreams.values().filter(|u| u.at >= since && !u.is_doubtful());
+        let present = self.upstreams.values().filter(|u| u.at >= since && !u.has_lapsed());
         let present = present.map(|upstream| upstream.change(now));
         let is_newest = |instance: &Arc<str>, removal: &Removal| {
             let upstream = self.by_instance.get(instance).map(|key| &self.upstreams[*key]);
@@ -292,7 +292,7 @@
     /// Lists all upstreams as changes, without those whose records have lapsed: who doesn't know
     /// these yet learns of them when they are back.
     pub fn all_changes(&self, now: Duration) -> Vec<Change> {
-        let present = self.upstreams.values().filter(|upstream| !upstream.is_doubtful());
+        let present = self.upstreams.values().filter(|upstream| !upstream.has_lapsed());
         present.map(|upstream| upstream.change(now)).collect()
     }
 
@@ -302,12 +302,12 @@
         match change.entry {
             Entry::Present(record) => self.insert(now, change.at, record),
             Entry::Removed => self.remove(now, &change.instance, change.at),
-            Entry::Unusable => self.refuse(&change.instance, change.at),
+            Entry::Unusable => self.remove_unusable(&change.instance, change.at),
         }
     }
 
     /// Tells whether it is known that an entry, by its number, can't be read.
-    pub fn is_refused(&self, instance: &str, at: Position) -> bool {
+    pub fn is_known_unusable(&self, instance: &str, at: Position) -> bool {
         let removal = self.removed.get(instance);
         removal.is_some_and(|removal| removal.is_unusable && removal.at == at)
     }
@@ -325,7 +325,7 @@
     /// known, it may only be missing from the copy that the store came back from, and is written again if it lives.
     pub fn replace(&mut self, now: Duration, records: Vec<Change>, end: Position) -> Vec<Effect> {
         if end.era > self.end.era {
-            self.store_was_out(now);
+            self.record_store_outage(now);
         }
         let present: HashSet<_> = records.iter().map(|change| change.instance.clone()).collect();
         let mut effects: Vec<_> =
@@ -348,7 +348,7 @@
         self.lapsed.retain(|key| removal_due(key).is_some());
         let is_due = |key: &&UpstreamKey| removal_due(key).is_some_and(|due| due <= now);
         let gone: Vec<_> = self.lapsed.iter().filter(is_due).copied().collect();
-        gone.into_iter().map(|key| self.drop_upstream(key)).collect()
+        gone.into_iter().map(|key| self.remove_upstream(key)).collect()
     }
 
     fn insert(&mut self, now: Duration, at: Position, record: UpstreamRecord) -> Effect {
@@ -357,9 +357,9 @@
         if let Some(removal) = self.removed.get_mut(&record.instance) {
             if removal.at > at {
                 removal.started_ms = removal.started_ms.max(record.started_ms);
-                return self.end_earlier(&record);
+                return self.remove_earlier_incarnation(&record);
             }
-            if is_earlier(record.started_ms, removal.started_ms) || removal.is_copied(at, &record) {
+            if is_earlier(record.started_ms, removal.started_ms) || removal.is_from_copy(at, &record) {
                 return Effect::None;
             }
         }
@@ -373,22 +373,22 @@
         let upstream = &mut self.upstreams[key];
         let known_ms = upstream.record.started_ms;
         if is_earlier(known_ms, record.started_ms) {
-            return self.restart(key, Upstream { record, at, removal_due: None, cold_until });
+            return self.replace_restarted(key, Upstream { record, at, removal_due: None, cold_until });
         }
         if is_earlier(record.started_ms, known_ms) {
             return Effect::None;
         }
         if !upstream.is_older_than(at, &record) {
-            return upstream.keep_but_leave(key, at, &record);
+            return upstream.apply_late_drain(key, at, &record);
         }
-        let was_ready = upstream.takes_work();
+        let was_ready = upstream.accepts_work();
         let was_held = upstream.removal_due.take().is_some();
         upstream.at = at;
         upstream.cold_until = said.unwrap_or(upstream.cold_until);
         self.index.remove(key, &upstream.record);
         upstream.record = UpstreamRecord { started_ms: record.started_ms.or(known_ms), ..record };
         self.index.add(key, &upstream.record);
-        match (was_ready, upstream.takes_work()) {
+        match (was_ready, upstream.accepts_work()) {
             (true, false) => Effect::Draining(key),
             (_, true) if was_held => Effect::Returned(key),
             _ => Effect::None,
@@ -396,16 +396,16 @@
     }
 
     /// Ends an upstream that started earlier than another run of its instance that is over already, too.
-    fn end_earlier(&mut self, over: &UpstreamRecord) -> Effect {
+    fn remove_earlier_incarnation(&mut self, over: &UpstreamRecord) -> Effect {
         let key = self.by_instance.get(&over.instance).copied();
         let earlier =
             key.filter(|key| is_earlier(self.upstreams[*key].record.started_ms, over.started_ms));
-        earlier.map_or(Effect::None, |key| self.drop_upstream(key))
+        earlier.map_or(Effect::None, |key| self.remove_upstream(key))
     }
 
     /// Ends an upstream whose process has started again, and begins the new one.
-    fn restart(&mut self, old: UpstreamKey, upstream: Upstream) -> Effect {
-        self.take_out(old);
+    fn replace_restarted(&mut self, old: UpstreamKey, upstream: Upstream) -> Effect {
+        self.detach(old);
         let instance = upstream.record.instance.clone();
         let new = self.add(upstream);
         self.by_instance.insert(instance, new);
@@ -413,27 +413,27 @@
     }
 
     fn remove(&mut self, now: Duration, instance: &Arc<str>, at: Position) -> Effect {
-        let Some(key) = self.note_removal(instance, at, false) else {
+        let Some(key) = self.record_removal(instance, at, false) else {
             return Effect::None;
         };
-        if now < self.lapses_until && self.upstreams[key].takes_work() {
+        if now < self.lapses_until && self.upstreams[key].accepts_work() {
             self.upstreams[key].removal_due.get_or_insert(self.lapses_until);
             self.lapsed.insert(key);
-            return Effect::Held(key);
+            return Effect::Lapsed(key);
         }
-        self.drop_upstream(key)
+        self.remove_upstream(key)
     }
 
     /// Takes an upstream out of use whose entry can't be read.
-    fn refuse(&mut self, instance: &Arc<str>, at: Position) -> Effect {
-        match self.note_removal(instance, at, true) {
-            Some(key) => self.drop_upstream(key),
+    fn remove_unusable(&mut self, instance: &Arc<str>, at: Position) -> Effect {
+        match self.record_removal(instance, at, true) {
+            Some(key) => self.remove_upstream(key),
             None => Effect::None,
         }
     }
 
     /// Remembers a removal unless a newer record is known; returns the upstream that it ends, if there is one.
-    fn note_removal(
+    fn record_removal(
         &mut self,
         instance: &Arc<str>,
         at: Position,
@@ -452,13 +452,13 @@
         let sequence = counted.or(before.and_then(|removal| removal.sequence));
         let removal = Removal { at, started_ms, sequence, is_unusable };
         self.removed.insert(instance.clone(), removal);
-        self.forget_old_removals();
+        self.prune_removals();
         key.filter(|_| is_over)
     }
 
     /// Forgets the older half of the removals when there are too many; who asks for changes from
     /// before gets all records.
-    fn forget_old_removals(&mut self) {
+    fn prune_removals(&mut self) {
         if self.removed.len() <= REMOVALS_MAX {
             return;
         }
@@ -476,14 +476,14 @@
         key
     }
 
-    fn take_out(&mut self, key: UpstreamKey) -> Option<Upstream> {
+    fn detach(&mut self, key: UpstreamKey) -> Option<Upstream> {
         let upstream = self.upstreams.remove(key)?;
         self.index.remove(key, &upstream.record);
         Some(upstream)
     }
 
-    fn drop_upstream(&mut self, key: UpstreamKey) -> Effect {
-        let Some(upstream) = self.take_out(key) else {
+    fn remove_upstream(&mut self, key: UpstreamKey) -> Effect {
+        let Some(upstream) = self.detach(key) else {
             return Effect::None;
         };
         self.by_instance.remove(&upstream.record.instance);
--- a/crates/fernring-gateway/src/store/evacuations.rs
+++ b/crates/fernring-gateway/src/store/evacuations.rs
@@ -26,7 +26,7 @@
 
 /// The newest word on one failure domain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Word {
+pub struct EvacuationOrder {
     /// Where it lies in the store.
     pub at: Position,
     /// Whether the domain is evacuated; if not, that was taken back.
@@ -37,36 +37,36 @@
 #[derive(Debug, Clone, Default)]
 pub struct Evacuations {
     /// Invariant: at most [`DOMAINS_MAX`] entries, unless more are evacuated.
-    words: BTreeMap<Arc<str>, Word>,
+    words: BTreeMap<Arc<str>, EvacuationOrder>,
 }
 
 impl Evacuations {
     /// Takes in a word; tells whether a domain is evacuated or given back by it.
-    pub fn learn(&mut self, failure_domain: Arc<str>, word: Word) -> bool {
+    pub fn apply(&mut self, failure_domain: Arc<str>, word: EvacuationOrder) -> bool {
         let before = self.words.get(&failure_domain).copied();
         if before.is_some_and(|before| word.at <= before.at) {
             return false;
         }
         self.words.insert(failure_domain, word);
-        self.forget_oldest();
+        self.drop_oldest_withdrawn();
         before.is_some_and(|before| before.is_in_force) != word.is_in_force
     }
 
     /// Takes in that the store held the words `present` and no others up to `end`. One of the same era that is missing was
     /// taken back; one of an earlier era may be missing from the copy that the store came back from, and holds until the
     /// operator says something new. Returns the domains for which that changes something.
-    pub fn replace(&mut self, present: Vec<(Arc<str>, Position)>, end: Position) -> Vec<Arc<str>> {
+    pub fn replace_all(&mut self, present: Vec<(Arc<str>, Position)>, end: Position) -> Vec<Arc<str>> {
         let names: Vec<_> = present.iter().map(|(domain, _)| domain.clone()).collect();
         let mut changed = Vec::new();
         for (domain, at) in present {
-            if self.learn(domain.clone(), Word { at, is_in_force: true }) {
+            if self.apply(domain.clone(), EvacuationOrder { at, is_in_force: true }) {
                 changed.push(domain);
             }
         }
         for (domain, word) in &mut self.words {
             let is_of_era = word.at.era == end.era && word.at < end;
             if word.is_in_force && is_of_era && !names.contains(domain) {
-                *word = Word { at: word.at.next(), is_in_force: false };
+                *word = EvacuationOrder { at: word.at.next(), is_in_force: false };
                 changed.push(domain.clone());
             }
         }
@@ -74,26 +74,26 @@
     }
 
     /// Tells whether a failure domain is evacuated.
-    pub fn covers(&self, failure_domain: &str) -> bool {
+    pub fn is_evacuated(&self, failure_domain: &str) -> bool {
         self.words.get(failure_domain).is_some_and(|word| word.is_in_force)
     }
 
     /// Returns the newest word on a failure domain.
-    pub fn word(&self, failure_domain: &str) -> Option<Word> {
+    pub fn order(&self, failure_domain: &str) -> Option<EvacuationOrder> {
         self.words.get(failure_domain).copied()
     }
 
     /// Returns the number of evacuated failure domains.
-    pub fn in_force(&self) -> usize {
+    pub fn evacuated_count(&self) -> usize {
         self.words.values().filter(|word| word.is_in_force).count()
     }
 
     /// Lists all words, to be passed on.
-    pub fn words(&self) -> impl Iterator<Item = (&Arc<str>, &Word)> {
+    pub fn orders(&self) -> impl Iterator<Item = (&Arc<str>, &EvacuationOrder)> {
         self.words.iter()
     }
 
-    fn forget_oldest(&mut self) {
+    fn drop_oldest_withdrawn(&mut self) {
         if self.words.len() <= DOMAINS_MAX {
             return;
         }
--- a/crates/fernring-gateway/src/store/freshness.rs
+++ b/crates/fernring-gateway/src/store/freshness.rs
@@ -48,34 +48,34 @@
     confirmed_at: Option<Duration>,
     read_at: Option<Duration>,
     stand_in_until: Duration,
-    patience: Duration,
+    stale_after: Duration,
 }
 
 impl Freshness {
     /// Starts with nothing known. `draw`, from 0 to 1, spreads the nodes.
     pub fn new(draw: f64) -> Self {
         let patience = STALE_AFTER + STALE_SPREAD.mul_f64(draw.clamp(0.0, 1.0));
-        Self { confirmed_at: None, read_at: None, stand_in_until: Duration::ZERO, patience }
+        Self { confirmed_at: None, read_at: None, stand_in_until: Duration::ZERO, stale_after: patience }
     }
 
     /// Takes in that what is known here was the newest at some time.
-    pub fn confirmed(&mut self, at: Duration) {
+    pub fn record_confirmation(&mut self, at: Duration) {
         self.confirmed_at = self.confirmed_at.max(Some(at));
     }
 
     /// Takes in that the store answered a read of this node.
-    pub fn was_read(&mut self, now: Duration, part: ReaderPart) {
+    pub fn record_read(&mut self, now: Duration, part: ReaderPart) {
         if part == ReaderPart::None && self.confirmed_at.is_some() && self.is_stale(now) {
             self.stand_in_until = now + STAND_IN_TIME;
         }
         self.read_at = Some(now);
-        self.confirmed(now);
+        self.record_confirmation(now);
     }
 
     /// Returns the age that peers are told: the time since this node itself read the store last. What it has
     /// heard isn't told on: each hop leaves out the time on the way, so that among many nodes ages grow
     /// hardly at all (with 78 of them and 1 to 8 ms on the way, doubt came after 6.6 s in place of 1.7 s).
-    pub fn told_age(&self, now: Duration) -> Option<Duration> {
+    pub fn reported_age(&self, now: Duration) -> Option<Duration> {
         self.read_at.map(|at| now.saturating_sub(at))
     }
 
@@ -86,31 +86,31 @@
 
     /// Tells whether what is known may be out of date.
     pub fn is_stale(&self, now: Duration) -> bool {
-        self.age(now).is_none_or(|age| age >= self.patience)
+        self.age(now).is_none_or(|age| age >= self.stale_after)
     }
 
     /// Returns the time until a reader is in doubt.
-    pub fn sure_for(&self, now: Duration) -> Duration {
+    pub fn time_until_doubt(&self, now: Duration) -> Duration {
         self.age(now).map_or(Duration::ZERO, |age| DOUBT_AFTER.saturating_sub(age))
     }
 
     /// Returns how long a read waits for a record, of what was drawn from [`read_wait`]. The first reader has to say
     /// again that nothing is new before others doubt it: after a pause in which records gathered, a whole wait ended
     /// when what all nodes knew was 1.45 s old, and each of them read by itself for three seconds.
-    pub fn wait_of_read(&self, now: Duration, part: ReaderPart, drawn: Duration) -> Duration {
+    pub fn read_wait_of(&self, now: Duration, part: ReaderPart, drawn: Duration) -> Duration {
         match part {
-            ReaderPart::First => drawn.min(self.sure_for(now)),
+            ReaderPart::First => drawn.min(self.time_until_doubt(now)),
             ReaderPart::OfDomain | ReaderPart::Alone | ReaderPart::None => drawn,
         }
     }
 
     /// Tells whether a reader doesn't wait any longer for others to confirm what is known.
-    pub fn is_in_doubt(&self, now: Duration) -> bool {
+    pub fn needs_confirmation(&self, now: Duration) -> bool {
         self.age(now).is_none_or(|age| age >= DOUBT_AFTER)
     }
 
     /// Tells whether this node reads the store now.
-    pub fn shall_read(&self, now: Duration, part: ReaderPart) -> bool {
+    pub fn should_read(&self, now: Duration, part: ReaderPart) -> bool {
         part != ReaderPart::None || now < self.stand_in_until || self.is_stale(now)
     }
 }
--- a/crates/fernring-gateway/src/store/full_read.rs
+++ b/crates/fernring-gateway/src/store/full_read.rs
@@ -17,12 +17,12 @@
 
 impl FullRead {
     /// Tells whether a page was read.
-    pub fn has_begun(&self) -> bool {
+    pub fn has_started(&self) -> bool {
         self.pages.is_some()
     }
 
     /// Returns the key after which the next page begins; `None` for the first.
-    pub fn next(&self) -> Option<&str> {
+    pub fn page_token(&self) -> Option<&str> {
         self.next.as_deref()
     }
 
@@ -35,7 +35,7 @@
     ///
     /// # Errors
     /// If the store came back from a copy between two pages ([`StoreError::Expired`]).
-    pub fn take(&mut self, newest: NewestPage) -> Result<Option<Page>, StoreError> {
+    pub fn add_page(&mut self, newest: NewestPage) -> Result<Option<Page>, StoreError> {
         let NewestPage { page, next } = newest;
         let pages = match self.pages.take() {
             None => page,
--- a/crates/fernring-gateway/src/store/index.rs
+++ b/crates/fernring-gateway/src/store/index.rs
@@ -10,7 +10,7 @@
 pub(super) struct Index {
     by_service: HashMap<Arc<str>, Vec<UpstreamKey>>,
     by_address: HashMap<SocketAddr, Vec<UpstreamKey>>,
-    by_run: HashMap<u32, Vec<UpstreamKey>>,
+    by_incarnation: HashMap<u32, Vec<UpstreamKey>>,
 }
 
 impl Index {
@@ -18,14 +18,14 @@
     pub(super) fn add(&mut self, key: UpstreamKey, record: &UpstreamRecord) {
         self.by_service.entry(record.service.clone()).or_default().push(key);
         self.by_address.entry(record.address).or_default().push(key);
-        self.by_run.entry(record.run_hash()).or_default().push(key);
+        self.by_incarnation.entry(record.run_hash()).or_default().push(key);
     }
 
     /// Removes an upstream that was added with this record.
     pub(super) fn remove(&mut self, key: UpstreamKey, record: &UpstreamRecord) {
         remove(&mut self.by_service, &record.service, key);
         remove(&mut self.by_address, &record.address, key);
-        remove(&mut self.by_run, &record.run_hash(), key);
+        remove(&mut self.by_incarnation, &record.run_hash(), key);
     }
 
     /// Lists the upstreams of a service.
@@ -40,7 +40,7 @@
 
     /// Lists the upstreams whose starts have a short hash.
     pub(super) fn of_run(&self, run_hash: u32) -> &[UpstreamKey] {
-        self.by_run.get(&run_hash).map_or(&[], Vec::as_slice)
+        self.by_incarnation.get(&run_hash).map_or(&[], Vec::as_slice)
     }
 }
 
--- a/crates/fernring-gateway/src/store/records.rs
+++ b/crates/fernring-gateway/src/store/records.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         directory::{Change, Entry},
-        evacuations::Word,
+        evacuations::EvacuationOrder,
         model::{UpstreamRecord, UpstreamState},
         position::Position,
         rollout::{
@@ -20,7 +20,7 @@
 };
 
 /// Encodes a change for a peer.
-pub(crate) fn directory_record(change: &Change) -> DirectoryRecord {
+pub(crate) fn encode_change(change: &Change) -> DirectoryRecord {
     let instance = change.instance.to_string();
     let Position { era, offset } = change.at;
     let record = match &change.entry {
@@ -58,7 +58,7 @@
 }
 
 /// Decodes a change of a peer; `None` if its address can't be read.
-pub(crate) fn change_from(record: DirectoryRecord) -> Option<Change> {
+pub(crate) fn decode_change(record: DirectoryRecord) -> Option<Change> {
     let instance: Arc<str> = record.instance.into();
     let at = Position::new(record.era, record.offset);
     if record.is_removed {
@@ -85,7 +85,7 @@
 }
 
 /// Encodes an operator's word on a failure domain for a peer.
-pub(crate) fn evacuation_word((failure_domain, word): (&Arc<str>, &Word)) -> EvacuationWord {
+pub(crate) fn encode_evacuation((failure_domain, word): (&Arc<str>, &EvacuationOrder)) -> EvacuationWord {
     EvacuationWord {
         failure_domain: failure_domain.to_string(),
         is_in_force: word.is_in_force,
@@ -95,13 +95,13 @@
 }
 
 /// Decodes a word that a peer passes on, and on which failure domain.
-pub(crate) fn evacuation_from(word: &EvacuationWord) -> (Arc<str>, Word) {
+pub(crate) fn decode_evacuation(word: &EvacuationWord) -> (Arc<str>, EvacuationOrder) {
     let at = Position::new(word.era, word.offset);
-    (word.failure_domain.as_str().into(), Word { at, is_in_force: word.is_in_force })
+    (word.failure_domain.as_str().into(), EvacuationOrder { at, is_in_force: word.is_in_force })
 }
 
 /// Encodes what is known of a service's order for a peer.
-pub(crate) fn rollout_word(
+pub(crate) fn encode_rollout_order(
     now: Duration,
     service: &str,
     word: &OrderWord,
@@ -134,7 +134,7 @@
 }
 
 /// Decodes what a peer says of a service's order.
-pub(crate) fn rollout_word_from(now: Duration, word: &RolloutWord) -> (Arc<str>, OrderWord) {
+pub(crate) fn decode_rollout_order(now: Duration, word: &RolloutWord) -> (Arc<str>, OrderWord) {
     let ago = |ms: u32| now.saturating_sub(Duration::from_millis(ms.into()));
     let standing = match word.standing() {
         RolloutStanding::Unknown => Standing::Unknown,
@@ -156,7 +156,7 @@
 }
 
 /// Encodes what a node counts of an order. Its own run is left to be named.
-pub(crate) fn rollout_report(
+pub(crate) fn encode_rollout_report(
     service: &str,
     at: Position,
     counts: &Counts,
@@ -185,7 +185,7 @@
 }
 
 /// Decodes what a node counts of an order.
-pub(crate) fn rollout_counts(report: RolloutReport) -> Counts {
+pub(crate) fn decode_rollout_counts(report: RolloutReport) -> Counts {
     let answers = |answers: VersionAnswers| {
         let time = |class: usize| answers.times.get(class).copied().unwrap_or(0);
         Answers { failed: answers.failed, times: std::array::from_fn::<_, TIME_CLASSES, _>(time) }
--- a/crates/fernring-gateway/src/store/store_loops/operator_records.rs
+++ b/crates/fernring-gateway/src/store/store_loops/operator_records.rs
@@ -4,7 +4,7 @@
     super::{TailedTopic, StoreLoops},
     crate::{
         directory::Upstream,
-        evacuations::Word,
+        evacuations::EvacuationOrder,
         log, measures,
         position::Position,
         wire::{EvacuationRecord, Malformed, Page, Topic},
@@ -17,7 +17,7 @@
 
 impl StoreLoops {
     /// Takes in the operators' records. Words on failure domains come first: a configuration takes time to decode.
-    pub(super) fn take_operator_records(&self, page: Page, is_whole: bool) {
+    pub(super) fn apply_operator_page(&self, page: Page, is_whole: bool) {
         let mut configs = Vec::new();
         let mut words = Vec::new();
         let mut rollouts = Vec::new();
@@ -30,52 +30,52 @@
             match self.wire.decode_evacuation(record) {
                 None => configs.push((record, at)),
                 Some(EvacuationRecord { failure_domain, is_in_force: Ok(is_in_force) }) => {
-                    words.push((failure_domain, Word { at, is_in_force }));
+                    words.push((failure_domain, EvacuationOrder { at, is_in_force }));
                 }
                 Some(EvacuationRecord { failure_domain, is_in_force: Err(error) }) => {
-                    evacuation_refused(&failure_domain, at, &error);
+                    log_evacuation_refused(&failure_domain, at, &error);
                     // What was in force before it stays so, also if all words are read anew.
-                    let known = self.upstreams.evacuations().borrow().word(&failure_domain);
+                    let known = self.upstreams.evacuations().borrow().order(&failure_domain);
                     words.extend(known.map(|word| (failure_domain, word)));
                 }
             }
         }
         if is_whole {
-            self.take_all_evacuations(words, page.end_position());
+            self.replace_evacuations(words, page.end_position());
         } else {
             for (failure_domain, word) in words {
-                self.take_evacuation(failure_domain, word, "store");
+                self.apply_evacuation(failure_domain, word, "store");
             }
         }
         self.rollouts.take_records(rollouts, is_whole, page.end_position());
         for (record, at) in configs {
             if let Some(value) = &record.value {
-                self.take_config(value, pack(value), at.next(), "store");
+                self.apply_config(value, pack(value), at.next(), "store");
             }
         }
     }
 
-    fn take_all_evacuations(&self, words: Vec<(Arc<str>, Word)>, end: Position) {
+    fn replace_evacuations(&self, words: Vec<(Arc<str>, EvacuationOrder)>, end: Position) {
         let present = words.into_iter().filter(|(_, word)| word.is_in_force);
         let present = present.map(|(failure_domain, word)| (failure_domain, word.at)).collect();
-        let changed = self.upstreams.evacuations().borrow_mut().replace(present, end);
+        let changed = self.upstreams.evacuations().borrow_mut().replace_all(present, end);
         for failure_domain in changed {
-            self.evacuation_changed(&failure_domain, "store", end);
+            self.log_evacuation_change(&failure_domain, "store", end);
         }
     }
 
     /// Takes in an operator's word on a failure domain, from anywhere.
-    pub fn take_evacuation(&self, failure_domain: Arc<str>, word: Word, source: &str) {
+    pub fn apply_evacuation(&self, failure_domain: Arc<str>, word: EvacuationOrder, source: &str) {
         let mut evacuations = self.upstreams.evacuations().borrow_mut();
-        let has_changed = evacuations.learn(failure_domain.clone(), word);
+        let has_changed = evacuations.apply(failure_domain.clone(), word);
         drop(evacuations);
         if has_changed {
-            self.evacuation_changed(&failure_domain, source, word.at);
+            self.log_evacuation_change(&failure_domain, source, word.at);
         }
     }
 
-    fn evacuation_changed(&self, failure_domain: &Arc<str>, source: &str, at: Position) {
-        let is_in_force = self.upstreams.evacuations().borrow().covers(failure_domain);
+    fn log_evacuation_change(&self, failure_domain: &Arc<str>, source: &str, at: Position) {
+        let is_in_force = self.upstreams.evacuations().borrow().is_evacuated(failure_domain);
         let directory = self.upstreams.directory();
         let there = |upstream: &&Upstream| upstream.record.failure_domain == *failure_domain;
         let upstreams = directory.iter().map(|(_, upstream)| upstream).filter(there).count();
@@ -87,10 +87,10 @@
     }
 
     /// Takes in a configuration from anywhere: its record, the same packed, and the store's number after it.
-    fn take_config(&self, record: &[u8], packed: Bytes, end: Position, source: &str) {
+    fn apply_config(&self, record: &[u8], packed: Bytes, end: Position, source: &str) {
         let config = match self.wire.decode_config(record) {
             Ok(config) => config,
-            Err(error) => return config_refused(source, &error),
+            Err(error) => return log_config_refused(source, &error),
         };
         let (from, to) = (self.config.borrow().version(), config.version);
         let packed_bytes = packed.len();
@@ -98,8 +98,8 @@
             return;
         }
         let mut following = self.following(TailedTopic::Config).borrow_mut();
-        let behind = following.behind();
-        following.caught_up(packed_bytes);
+        let behind = following.lag();
+        following.record_caught_up(packed_bytes);
         let line = LogLine::event("config_taken").with("from", from).with("to", to);
         let line = line.with("source", source).with("bytes", record.len());
         let line = line.with("packed_bytes", packed_bytes);
@@ -130,22 +130,22 @@
 
     /// Takes in a packed configuration that a peer passes on, with the store's number after it. It confirms nothing:
     /// if it can't be read, what is known here may well be out of date.
-    pub fn take_peer_config(&self, packed: Bytes, end: Position) {
+    pub fn handle_peer_config(&self, packed: Bytes, end: Position) {
         match unpack(&packed) {
-            Ok(record) => self.take_config(&record, packed, end, "peer"),
-            Err(error) => config_refused("peer", &error),
+            Ok(record) => self.apply_config(&record, packed, end, "peer"),
+            Err(error) => log_config_refused("peer", &error),
         }
     }
 }
 
 /// Says that an operator's word can't be read.
-fn evacuation_refused(failure_domain: &str, at: Position, error: &Malformed) {
+fn log_evacuation_refused(failure_domain: &str, at: Position, error: &Malformed) {
     measures::record_refused(Topic::Config.name());
     let line = LogLine::event("evacuation_refused").with("failure_domain", failure_domain);
     log::warn(line.with("record", at).with("error", error));
 }
 
-fn config_refused(source: &str, error: &dyn std::fmt::Display) {
+fn log_config_refused(source: &str, error: &dyn std::fmt::Display) {
     let line = LogLine::event("config_refused").with("source", source);
     log::warn(line.with("error", error));
 }
--- a/crates/fernring-gateway/src/store/store_loops/upstream_records.rs
+++ b/crates/fernring-gateway/src/store/store_loops/upstream_records.rs
@@ -19,7 +19,7 @@
 /// Size of all records where they are more than a page, as far as a node can know that has read one: ten thousand of some forty bytes,
 /// packed.
 /// One that asks another peer before they can have come gets them twice.
-const WHOLE_BYTES: usize = 400 << 10;
+const ALL_RECORDS_BYTES: usize = 400 << 10;
 
 /// Records of upstreams that a peer passes on.
 #[derive(Debug)]
@@ -29,7 +29,7 @@
     /// The records.
     pub changes: Vec<Change>,
     /// Whether these are all; if not, those since the number that was asked for.
-    pub is_whole: bool,
+    pub is_full: bool,
     /// Time for which removals may still be lapses.
     pub lapses_for: Duration,
     /// Time since they were the newest for sure.
@@ -37,20 +37,20 @@
 }
 
 impl StoreLoops {
-    pub(super) fn take_upstreams(&self, page: Page, is_whole: bool) {
+    pub(super) fn apply_upstream_page(&self, page: Page, is_whole: bool) {
         let decoded = page.records.iter().map(|record| self.decode(record, page.position(record)));
         let changes: Vec<_> = decoded.collect();
         self.apply_upstreams(changes, page.end_position(), is_whole);
     }
 
     /// Takes in the first of the pages of a topic that isn't known, so that requests are served before the others have come.
-    pub(super) fn take_preview(&self, what: TailedTopic, page: &Page) {
+    pub(super) fn apply_preview(&self, what: TailedTopic, page: &Page) {
         if what != TailedTopic::Upstreams || self.upstreams.directory().end() > Position::default() {
             return;
         }
         let decoded = page.records.iter().map(|record| self.decode(record, page.position(record)));
         let effects = self.upstreams.preview(self.now(), decoded.collect());
-        self.following(what).borrow_mut().expect(WHOLE_BYTES);
+        self.following(what).borrow_mut().expect_bytes(ALL_RECORDS_BYTES);
         self.upstreams_changed(&effects);
     }
 
@@ -60,13 +60,13 @@
         let error = match self.wire.decode_upstream(record) {
             Ok(entry) => {
                 let change = Change { instance, at, entry };
-                note_cold_time(&change);
+                report_missing_cold_time(&change);
                 return change;
             }
             Err(error) => error,
         };
         // Whole readings bring it again and again; it is said once.
-        if !self.upstreams.directory().is_refused(&record.key, at) {
+        if !self.upstreams.directory().is_known_unusable(&record.key, at) {
             measures::record_refused(Topic::Upstreams.name());
             let line = LogLine::event("upstream_refused").with("instance", &record.key);
             log::warn(line.with("record", at).with("error", error));
@@ -75,14 +75,14 @@
     }
 
     /// Takes in records of upstreams that a peer passes on.
-    pub fn take_peer_upstreams(&self, records: PeerRecords) {
+    pub fn handle_peer_upstreams(&self, records: PeerRecords) {
         if records.end <= self.upstreams.directory().end() {
             return;
         }
         self.upstreams.lapses_known(self.now(), records.lapses_for);
-        self.apply_upstreams(records.changes, records.end, records.is_whole);
+        self.apply_upstreams(records.changes, records.end, records.is_full);
         if let Some(age) = records.age {
-            self.known_from_peer(TailedTopic::Upstreams, age);
+            self.confirm_from_peer(TailedTopic::Upstreams, age);
         }
     }
 
@@ -96,14 +96,14 @@
         self.upstreams.advance(end);
         if end > known {
             // Only changes are passed on, so what a peer sends is small.
-            self.following(TailedTopic::Upstreams).borrow_mut().caught_up(0);
+            self.following(TailedTopic::Upstreams).borrow_mut().record_caught_up(0);
         }
         self.upstreams_changed(&effects);
     }
 
     pub(super) fn upstreams_changed(&self, effects: &[Effect]) {
         self.log_changes(effects);
-        self.blame.upstreams_changed(effects);
+        self.crash_attribution.upstreams_changed(effects);
         self.owner.upstreams_changed(effects);
     }
 
@@ -122,7 +122,7 @@
                 Effect::None => continue,
                 Effect::Appeared(key) => (key, "appeared"),
                 Effect::Draining(key) => (key, "draining"),
-                Effect::Held(key) => (key, "held"),
+                Effect::Lapsed(key) => (key, "held"),
                 Effect::Returned(key) => (key, "returned"),
                 Effect::Restarted { new, .. } => (new, "restarted"),
                 Effect::Gone(key) => (key, "gone"),
@@ -139,7 +139,7 @@
 }
 
 /// Says that an upstream's record holds no time for how long it is cold; what was known of that stays so.
-fn note_cold_time(change: &Change) {
+fn report_missing_cold_time(change: &Change) {
     if let Entry::Present(record) = &change.entry
         && record.cold_for.is_none()
     {
--- a/crates/fernring-gateway/src/store/tailing.rs
+++ b/crates/fernring-gateway/src/store/tailing.rs
@@ -24,21 +24,21 @@
 
 /// Smallest link that is in use, in bytes a second: 10 Mbit/s. A node whose own link isn't known counts on it,
 /// and so does one that waits for a record over a link that it doesn't know.
-pub const SMALLEST_LINK_BYTES_PER_S: f64 = 10e6 / 8.0;
+pub const MIN_LINK_BYTES_PER_S: f64 = 10e6 / 8.0;
 /// Part of a node's link that records for peers may take; the rest is for requests.
-const LINK_PART: f64 = 0.5;
+const LINK_SHARE: f64 = 0.5;
 /// Time on the link that may be promised ahead. Small records go out many at a time, large ones one by one.
-const SENT_AHEAD_MAX: Duration = Duration::from_millis(100);
+const SEND_QUEUE_TIME_MAX: Duration = Duration::from_millis(100);
 /// Wait for an answer before another peer is asked, besides the time that a record like the last one takes over
 /// the smallest link at [`LINK_PART`]: the way there and back to a node that has much to do.
-const ANSWER_WAIT: Duration = Duration::from_millis(300);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 /// Longest pause after a peer has put the question off. What keeps askers from asking the same peers at the same
 /// moments again; short beside the time that a record takes.
-const PUT_OFF_PAUSE_MAX: Duration = Duration::from_millis(60);
+const DEFERRED_PAUSE_MAX: Duration = Duration::from_millis(60);
 
 /// Time in which a node that has heard of something newer leaves the store to the readers: by its end 90 in 100 of 86 nodes
 /// have 530 KB from their peers and have heard that this is the newest. Without it 42 of them read the store in vain.
-const PASS_ON_TIME: Duration = Duration::from_millis(600);
+const PEER_DELIVERY_TIME: Duration = Duration::from_millis(600);
 
 /// What a node says to a peer that asks for a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -46,12 +46,12 @@
     /// Here it is.
     Record,
     /// Too much was sent just now.
-    PutOff,
+    Deferred,
 }
 
 /// How long a node has known that it is behind, and what it did about it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Behind {
+pub struct Lag {
     /// When it first heard of something newer.
     pub since: Option<Duration>,
     /// Questions to peers since.
@@ -59,42 +59,42 @@
     /// How many of them were put off.
     pub put_off: u32,
     /// When the last of these was.
-    pub put_off_at: Option<Duration>,
+    pub deferred_at: Option<Duration>,
 }
 
-impl Behind {
+impl Lag {
     /// Returns when a peer last showed that it knows more: when it was first heard of, or when it put a question off.
-    pub fn shown_at(&self) -> Option<Duration> {
-        self.put_off_at.max(self.since)
+    pub fn peer_ahead_at(&self) -> Option<Duration> {
+        self.deferred_at.max(self.since)
     }
 }
 
 /// What a node knows of one topic, and from whom.
 #[derive(Debug, Clone)]
-pub struct Following {
+pub struct Tailing {
     freshness: Freshness,
-    ask_at: Duration,
+    next_request_at: Duration,
     link_bytes_per_s: f64,
     /// Up to when the node's part of the link is taken by what it sends to peers.
-    sends_until: Duration,
+    link_busy_until: Duration,
     /// Size of the last record, in bytes.
     record_bytes: usize,
-    behind: Behind,
+    behind: Lag,
     /// Up to when peers have time to pass on what this node has heard of.
-    served_until: Duration,
+    peers_deliver_until: Duration,
 }
 
-impl Following {
+impl Tailing {
     /// Starts with nothing known. `draw`, from 0 to 1, spreads the nodes.
     pub fn new(draw: f64) -> Self {
         Self {
             freshness: Freshness::new(draw),
-            ask_at: Duration::ZERO,
-            link_bytes_per_s: SMALLEST_LINK_BYTES_PER_S,
-            sends_until: Duration::ZERO,
+            next_request_at: Duration::ZERO,
+            link_bytes_per_s: MIN_LINK_BYTES_PER_S,
+            link_busy_until: Duration::ZERO,
             record_bytes: 0,
-            behind: Behind::default(),
-            served_until: Duration::ZERO,
+            behind: Lag::default(),
+            peers_deliver_until: Duration::ZERO,
         }
     }
 
@@ -104,7 +104,7 @@
     }
 
     /// Says how large the next record is, as far as is known.
-    pub fn expect(&mut self, bytes: usize) {
+    pub fn expect_bytes(&mut self, bytes: usize) {
         self.record_bytes = bytes;
     }
 
@@ -119,42 +119,42 @@
     }
 
     /// Tells whether this node reads the store now.
-    pub fn shall_read(&self, now: Duration, part: ReaderPart) -> bool {
-        let is_served = now < self.served_until && part == ReaderPart::None;
+    pub fn should_read(&self, now: Duration, part: ReaderPart) -> bool {
+        let is_served = now < self.peers_deliver_until && part == ReaderPart::None;
         let is_starting = self.freshness.age(now).is_none();
-        (is_starting || !is_served) && self.freshness.shall_read(now, part)
+        (is_starting || !is_served) && self.freshness.should_read(now, part)
     }
 
     /// Returns how long the node has been behind.
-    pub fn behind(&self) -> Behind {
+    pub fn lag(&self) -> Lag {
         self.behind
     }
 
     /// Takes in that the store answered a read of this node.
-    pub fn was_read(&mut self, now: Duration, part: ReaderPart) {
-        self.freshness.was_read(now, part);
+    pub fn record_read(&mut self, now: Duration, part: ReaderPart) {
+        self.freshness.record_read(now, part);
     }
 
     /// Takes in that what is known here was the newest at some time, by what a peer says.
-    pub fn confirmed(&mut self, at: Duration) {
-        self.freshness.confirmed(at);
+    pub fn record_confirmation(&mut self, at: Duration) {
+        self.freshness.record_confirmation(at);
     }
 
     /// Takes in that something newer is known now, a record of so many bytes.
-    pub fn caught_up(&mut self, bytes: usize) {
-        self.behind = Behind::default();
+    pub fn record_caught_up(&mut self, bytes: usize) {
+        self.behind = Lag::default();
         self.record_bytes = bytes;
-        self.ask_at = Duration::ZERO;
+        self.next_request_at = Duration::ZERO;
     }
 
     /// Returns the age that peers are told.
-    pub fn told_age(&self, now: Duration) -> Option<Duration> {
-        self.freshness.told_age(now)
+    pub fn reported_age(&self, now: Duration) -> Option<Duration> {
+        self.freshness.reported_age(now)
     }
 
     /// Takes in how far a peer knows the topic (`mark`) and the age that it tells, with how far this node
     /// knows it (`own`); tells whether the peer is to be asked for what is new.
-    pub fn heard<M: Copy + Ord>(
+    pub fn handle_peer_mark<M: Copy + Ord>(
         &mut self,
         now: Duration,
         own: M,
@@ -164,44 +164,44 @@
         if mark == own
             && let Some(age) = age
         {
-            self.confirmed(now.saturating_sub(age));
+            self.record_confirmation(now.saturating_sub(age));
         }
         if mark <= own {
             return false;
         }
         if self.behind.since.is_none() {
             self.behind.since = Some(now);
-            self.served_until = now + PASS_ON_TIME;
+            self.peers_deliver_until = now + PEER_DELIVERY_TIME;
         }
-        if now < self.ask_at {
+        if now < self.next_request_at {
             return false;
         }
-        self.ask_at = now + ANSWER_WAIT + link_time(self.record_bytes, SMALLEST_LINK_BYTES_PER_S);
+        self.next_request_at = now + ANSWER_TIMEOUT + link_time(self.record_bytes, MIN_LINK_BYTES_PER_S);
         self.behind.asked += 1;
         true
     }
 
     /// Takes in that a peer put the question off: the next one that knows more is asked. `draw`, from 0 to 1,
     /// spreads the nodes.
-    pub fn put_off(&mut self, now: Duration, draw: f64) {
+    pub fn handle_deferral(&mut self, now: Duration, draw: f64) {
         self.behind.put_off += 1;
-        self.behind.put_off_at = Some(now);
-        self.ask_at = now + PUT_OFF_PAUSE_MAX.mul_f64(draw.clamp(0.0, 1.0));
+        self.behind.deferred_at = Some(now);
+        self.next_request_at = now + DEFERRED_PAUSE_MAX.mul_f64(draw.clamp(0.0, 1.0));
     }
 
     /// Takes in a peer's question for a record of so many bytes, and returns what it is told. Whoever gets
     /// none is told so at once and asks elsewhere: with questions dropped in silence, all nodes waited on one
     /// holder, and 271 KB took 4.3 s to 78 nodes.
-    pub fn asked(&mut self, now: Duration, bytes: usize) -> Reply {
-        if self.sends_until > now + SENT_AHEAD_MAX {
-            return Reply::PutOff;
+    pub fn handle_request(&mut self, now: Duration, bytes: usize) -> Reply {
+        if self.link_busy_until > now + SEND_QUEUE_TIME_MAX {
+            return Reply::Deferred;
         }
-        self.sends_until = self.sends_until.max(now) + link_time(bytes, self.link_bytes_per_s);
+        self.link_busy_until = self.link_busy_until.max(now) + link_time(bytes, self.link_bytes_per_s);
         Reply::Record
     }
 }
 
 /// Returns the time that a record takes over a link that it may have a part of.
 fn link_time(bytes: usize, link_bytes_per_s: f64) -> Duration {
-    Duration::from_secs_f64(bytes as f64 / (link_bytes_per_s * LINK_PART))
+    Duration::from_secs_f64(bytes as f64 / (link_bytes_per_s * LINK_SHARE))
 }
--- a/crates/fernring-gateway/src/upstreams/access.rs
+++ b/crates/fernring-gateway/src/upstreams/access.rs
@@ -135,10 +135,10 @@
         upstream: &Upstream,
         cold_start: Option<ColdStart>,
     ) -> Result<Option<ColdBounds>, Barred> {
-        if !upstream.takes_work() {
+        if !upstream.accepts_work() {
             return Err(Barred::Leaving);
         }
-        if self.evacuations.borrow().covers(&upstream.record.failure_domain) {
+        if self.evacuations.borrow().is_evacuated(&upstream.record.failure_domain) {
             return Err(Barred::Evacuated);
         }
         if !self.admits_version(&upstream.record.service, &upstream.record.version) {
--- a/crates/fernring-gateway/src/upstreams/health.rs
+++ b/crates/fernring-gateway/src/upstreams/health.rs
@@ -70,7 +70,7 @@
         }
         let directory = self.directory.borrow();
         let mut health = self.health.borrow_mut();
-        let named = upstreams.iter().flat_map(|run_hash| directory.of_run(*run_hash));
+        let named = upstreams.iter().flat_map(|run_hash| directory.by_incarnation(*run_hash));
         for key in named {
             if let Some(entry) = health.entry(*key) {
                 let entry = entry.or_default();
--- a/crates/fernring-gateway/src/upstreams/mod.rs
+++ b/crates/fernring-gateway/src/upstreams/mod.rs
@@ -219,12 +219,12 @@
 
     /// Says that removals may be lapses for some time, as a peer has found.
     pub fn lapses_known(&self, now: Duration, time: Duration) {
-        self.directory.borrow_mut().lapses_known(now, time);
+        self.directory.borrow_mut().extend_lapse_window(now, time);
     }
 
     /// Says that the store did not answer until now.
     pub fn store_was_out(&self, now: Duration) {
-        self.directory.borrow_mut().store_was_out(now);
+        self.directory.borrow_mut().record_store_outage(now);
     }
 
     /// Lets time pass: upstreams that did not come back go, idle connections are closed.
@@ -299,7 +299,7 @@
                 load: own_loads.get(key).copied().unwrap_or(0.0) + peers,
                 slots: record.slots,
                 is_near: record.failure_domain == self.failure_domain,
-                is_avoided: failed || upstream.is_doubtful() || is_silent(&record.failure_domain),
+                is_avoided: failed || upstream.has_lapsed() || is_silent(&record.failure_domain),
                 is_cold: cold.is_some(),
                 is_ordered: self.is_ordered(service, &record.version),
             })
@@ -326,7 +326,7 @@
     /// Tells whether an upstream has said that it leaves.
     pub fn is_leaving(&self, key: UpstreamKey) -> bool {
         let directory = self.directory.borrow();
-        directory.get(key).is_some_and(|upstream| !upstream.takes_work())
+        directory.get(key).is_some_and(|upstream| !upstream.accepts_work())
     }
 
     /// Returns the failure domain where most of some results lie, by their handles.
--- a/crates/fernring-gateway/tests/testsuite/bootstrap.rs
+++ b/crates/fernring-gateway/tests/testsuite/bootstrap.rs
@@ -7,10 +7,10 @@
 
 use {
     fernring_gateway::{
-        tailing::{Following, Reply},
+        tailing::{Tailing, Reply},
         members::{HEARTBEAT_INTERVAL, ReaderPart},
         position::Position,
-        bootstrap::Starting,
+        bootstrap::Bootstrap,
         full_read::FullRead,
         wire::{KeyedRecord, NewestPage, Page, StoreError},
     },
@@ -53,8 +53,8 @@
 struct Node {
     started_at: Duration,
     link: f64,
-    following: Following,
-    starting: Option<Starting>,
+    following: Tailing,
+    starting: Option<Bootstrap>,
     pages: usize,
     receives_until: Duration,
     sends_until: Duration,
@@ -97,7 +97,7 @@
             let started_at = random.random_range(Duration::ZERO..Duration::from_millis(300));
             let is_large = node % LARGE_ONE_IN == 0;
             let link = if is_large { LARGE_BYTES_PER_S } else { SMALL_BYTES_PER_S };
-            let mut following = Following::new(random.random());
+            let mut following = Tailing::new(random.random());
             following.set_link(link);
             fleet.nodes.push(Node {
                 started_at,
@@ -142,7 +142,7 @@
                 Event::Question { from, to } => self.question(from, to),
                 Event::PutOff { to } => {
                     let draw = self.random.random();
-                    self.nodes[to].following.put_off(self.now, draw);
+                    self.nodes[to].following.handle_deferral(self.now, draw);
                 }
                 Event::Record { to } => self.knows(to, false),
             }
@@ -157,8 +157,8 @@
         if node.pages > 0 && self.waits {
             let draw = self.random.random();
             let (now, link) = (self.now, node.link);
-            let starting = node.starting.get_or_insert_with(|| Starting::new(now, link, draw));
-            if !starting.shall_read_on(now, node.following.behind().shown_at()) {
+            let starting = node.starting.get_or_insert_with(|| Bootstrap::new(now, link, draw));
+            if !starting.shall_read_on(now, node.following.lag().peer_ahead_at()) {
                 return self.after(CHECK, Event::Reads { node: index });
             }
         }
@@ -193,7 +193,7 @@
         let node = &mut self.nodes[index];
         node.pages += 1;
         node.first_page_at.get_or_insert(self.now);
-        node.following.expect(self.pages * PAGE_RECORDS * RECORD_BYTES);
+        node.following.expect_bytes(self.pages * PAGE_RECORDS * RECORD_BYTES);
         if node.pages == self.pages {
             return self.knows(index, true);
         }
@@ -204,16 +204,16 @@
         let node = &mut self.nodes[index];
         if node.knows_at.is_none() {
             node.knows_at = Some(self.now);
-            node.following.caught_up(0);
+            node.following.record_caught_up(0);
             if has_read {
-                node.following.was_read(self.now, ReaderPart::None);
+                node.following.record_read(self.now, ReaderPart::None);
             }
         }
     }
 
     fn beat(&mut self, from: usize) {
         self.after(HEARTBEAT_INTERVAL, Event::Beat { node: from });
-        let age = self.nodes[from].following.told_age(self.now);
+        let age = self.nodes[from].following.reported_age(self.now);
         let mark = u64::from(self.nodes[from].knows_at.is_some());
         let now = self.now + TRANSIT;
         for to in 0..self.nodes.len() {
@@ -222,7 +222,7 @@
                 continue;
             }
             let own = u64::from(node.knows_at.is_some());
-            if node.following.heard(now, own, mark, age) {
+            if node.following.handle_peer_mark(now, own, mark, age) {
                 self.at(now + TRANSIT, Event::Question { from: to, to: from });
             }
         }
@@ -230,7 +230,7 @@
 
     fn question(&mut self, from: usize, to: usize) {
         let bytes = self.pages * PAGE_RECORDS * RECORD_BYTES;
-        match self.nodes[to].following.asked(self.now, bytes) {
+        match self.nodes[to].following.handle_request(self.now, bytes) {
             Reply::Record => {
                 let time = |link: f64| Duration::from_secs_f64(bytes as f64 / link);
                 let sender = &mut self.nodes[to];
@@ -242,7 +242,7 @@
                 let there_at = receiver.receives_until;
                 self.at(there_at, Event::Record { to: from });
             }
-            Reply::PutOff => self.after(TRANSIT, Event::PutOff { to: from }),
+            Reply::Deferred => self.after(TRANSIT, Event::PutOff { to: from }),
         }
     }
 
@@ -284,7 +284,7 @@
 fn a_node_that_hears_nobody_reads_on() {
     let link = SMALL_BYTES_PER_S;
     for draw in [0.0, 0.5, 1.0] {
-        let starting = Starting::new(Duration::ZERO, link, draw);
+        let starting = Bootstrap::new(Duration::ZERO, link, draw);
         assert!(starting.shall_read_on(Duration::from_secs(6), None), "{draw}");
         // One that hears of a peer waits for that; a peer that doesn't pass it on is not waited for longer.
         let heard_at = Some(Duration::from_millis(5_500));
@@ -294,7 +294,7 @@
         let now = Duration::from_secs(10);
         assert!(starting.shall_read_on(now, Some(now)));
     }
-    let large = Starting::new(Duration::ZERO, LARGE_BYTES_PER_S, 1.0);
+    let large = Bootstrap::new(Duration::ZERO, LARGE_BYTES_PER_S, 1.0);
     assert!(large.shall_read_on(Duration::from_millis(1_100), None), "it can serve many others");
 }
 
@@ -307,20 +307,20 @@
 #[test]
 fn a_page_that_fails_is_read_again_and_those_before_are_kept() {
     let mut reading = FullRead::default();
-    assert!(!reading.has_begun() && reading.next().is_none());
+    assert!(!reading.has_started() && reading.page_token().is_none());
     let next = |key: &str| Some(Arc::from(key));
     let first = NewestPage { page: page(&["a", "b"], 7, 0), next: next("b") };
-    assert_eq!(reading.take(first).unwrap(), None);
+    assert_eq!(reading.add_page(first).unwrap(), None);
     // A failure changes nothing: the page after "b" is asked for once more.
-    assert_eq!((reading.next(), reading.pages().unwrap().records.len()), (Some("b"), 2));
+    assert_eq!((reading.page_token(), reading.pages().unwrap().records.len()), (Some("b"), 2));
     let last = NewestPage { page: page(&["c"], 9, 0), next: None };
-    let whole = reading.take(last).unwrap().expect("it was the last");
+    let whole = reading.add_page(last).unwrap().expect("it was the last");
     assert_eq!((whole.records.len(), whole.end_position()), (3, Position::new(0, 7)));
     assert_eq!(whole.took, Duration::from_millis(6));
     // Between two pages the store came back from a copy: what was read says nothing of it.
     let first = NewestPage { page: page(&["a", "b"], 7, 0), next: next("b") };
-    reading.take(first).unwrap();
+    reading.add_page(first).unwrap();
     let other = NewestPage { page: page(&["c"], 5, 1), next: None };
-    assert!(matches!(reading.take(other), Err(StoreError::Expired)));
-    assert!(!reading.has_begun() && reading.next().is_none());
+    assert!(matches!(reading.add_page(other), Err(StoreError::Expired)));
+    assert!(!reading.has_started() && reading.page_token().is_none());
 }
--- a/crates/fernring-gateway/tests/testsuite/directory.rs
+++ b/crates/fernring-gateway/tests/testsuite/directory.rs
@@ -45,7 +45,7 @@
 }
 
 fn taking_work(directory: &Directory) -> usize {
-    directory.of_service("s").filter(|(_, upstream)| upstream.takes_work()).count()
+    directory.of_service("s").filter(|(_, upstream)| upstream.accepts_work()).count()
 }
 
 #[test]
@@ -81,10 +81,10 @@
     let mut directory = Directory::default();
     directory.apply(NOW, ready("back", 1));
     directory.apply(NOW, ready("gone", 2));
-    directory.store_was_out(NOW);
-    assert!(matches!(directory.apply(NOW, removed("back", 3)), Effect::Held(_)));
-    assert!(matches!(directory.apply(NOW, removed("gone", 4)), Effect::Held(_)));
-    assert_eq!(directory.iter().filter(|(_, upstream)| upstream.is_doubtful()).count(), 2);
+    directory.record_store_outage(NOW);
+    assert!(matches!(directory.apply(NOW, removed("back", 3)), Effect::Lapsed(_)));
+    assert!(matches!(directory.apply(NOW, removed("gone", 4)), Effect::Lapsed(_)));
+    assert_eq!(directory.iter().filter(|(_, upstream)| upstream.has_lapsed()).count(), 2);
     assert!(matches!(directory.apply(NOW, ready("back", 5)), Effect::Returned(_)));
     assert!(directory.expire(NOW + RETURN_GRACE / 2).is_empty());
     let effects = directory.expire(NOW + RETURN_GRACE);
@@ -158,11 +158,11 @@
     let (mut reader, mut follower) = (Directory::default(), Directory::default());
     reader.replace(NOW, vec![ready("a", 1)], 2.into());
     pass_on(&reader, &mut follower);
-    reader.store_was_out(NOW);
+    reader.record_store_outage(NOW);
     reader.apply(NOW, removed("a", 2));
-    follower.lapses_known(NOW, reader.lapses_for(NOW));
+    follower.extend_lapse_window(NOW, reader.lapse_time_left(NOW));
     pass_on(&reader, &mut follower);
-    assert!(follower.iter().all(|(_, upstream)| upstream.is_doubtful()));
+    assert!(follower.iter().all(|(_, upstream)| upstream.has_lapsed()));
     assert_eq!(instances(&follower), ["a"]);
     assert_eq!(follower.expire(NOW + RETURN_GRACE).len(), 1);
 }
@@ -252,9 +252,9 @@
     directory.apply(NOW, ready("i", 1));
     directory.apply(NOW, ready("other", 2));
     // Also while removals may be lapses: what lies there is no lapse.
-    directory.store_was_out(NOW);
+    directory.record_store_outage(NOW);
     assert!(matches!(directory.apply(NOW, unusable("i", 3)), Effect::Gone(_)));
-    assert!(directory.is_refused("i", 3.into()) && !directory.is_refused("i", 2.into()));
+    assert!(directory.is_known_unusable("i", 3.into()) && !directory.is_known_unusable("i", 2.into()));
     assert_eq!(instances(&directory), ["other"]);
     assert_eq!(directory.apply(NOW, ready("i", 2)), Effect::None, "an older one changes nothing");
     assert!(matches!(directory.apply(NOW, ready("i", 4)), Effect::Appeared(_)));
@@ -269,7 +269,7 @@
     reader.apply(NOW, unusable("i", 1));
     let changes = reader.changes_since(NOW, 1.into()).expect("known since the start");
     assert_eq!(changes, [unusable("i", 1)]);
-    follower.store_was_out(NOW);
+    follower.record_store_outage(NOW);
     pass_on(&reader, &mut follower);
     assert!(instances(&follower).is_empty());
 }
@@ -326,7 +326,7 @@
             for is_lapsing in [false, true] {
                 let mut directory = Directory::default();
                 if is_lapsing {
-                    directory.store_was_out(NOW);
+                    directory.record_store_outage(NOW);
                 }
                 for change in &order {
                     directory.apply(NOW, change.clone());
@@ -368,7 +368,7 @@
 }
 
 fn states(directory: &Directory) -> Vec<(String, bool)> {
-    let state = |upstream: &Upstream| (upstream.record.instance.to_string(), upstream.takes_work());
+    let state = |upstream: &Upstream| (upstream.record.instance.to_string(), upstream.accepts_work());
     let mut states: Vec<_> = directory.iter().map(|(_, upstream)| state(upstream)).collect();
     states.sort();
     states
@@ -484,7 +484,7 @@
             };
             let change = Change { instance: instance.as_str().into(), at: offset.into(), entry };
             match random.random_range(0..40) {
-                0 => directory.store_was_out(now),
+                0 => directory.record_store_outage(now),
                 1 => drop(directory.replace(now, vec![change], (offset + 1).into())),
                 2 => drop(directory.expire(now)),
                 _ => drop(directory.apply(now, change)),
@@ -506,7 +506,7 @@
             }
             for (_, record) in &all {
                 let run = record.run_hash();
-                let there: BTreeSet<_> = directory.of_run(run).iter().copied().collect();
+                let there: BTreeSet<_> = directory.by_incarnation(run).iter().copied().collect();
                 assert_eq!(there, found(&|other| other.run_hash() == run), "seed {seed}");
             }
         }
--- a/crates/fernring-gateway/tests/testsuite/events.rs
+++ b/crates/fernring-gateway/tests/testsuite/events.rs
@@ -1,7 +1,7 @@
 //! Whole events of a stream.
 
 use {
-    fernring_gateway::events::{EventSplitter, last_number},
+    fernring_gateway::events::{EventSplitter, last_event_number},
     proptest::prelude::*,
 };
 
@@ -14,7 +14,7 @@
     let mut splitter = EventSplitter::default();
     let whole = splitter.push(b"id: 1\ndata: x\n\nid: 2\nda").unwrap();
     assert_eq!(&whole[..], b"id: 1\ndata: x\n\n");
-    assert_eq!(last_number(&whole, number), Some(1));
+    assert_eq!(last_event_number(&whole, number), Some(1));
     splitter.discard();
     assert_eq!(&splitter.push(b"id: 2\n\n").unwrap()[..], b"id: 2\n\n");
 }
--- a/crates/fernring-gateway/tests/testsuite/fleet.rs
+++ b/crates/fernring-gateway/tests/testsuite/fleet.rs
@@ -3,7 +3,7 @@
 
 use {
     fernring_gateway::{
-        tailing::{Following, Reply},
+        tailing::{Tailing, Reply},
         members::{HEARTBEAT_INTERVAL, ReaderPart},
     },
     rand::{RngExt, SeedableRng, rngs::StdRng},
@@ -46,7 +46,7 @@
 
 #[derive(Debug)]
 struct Node {
-    following: Following,
+    following: Tailing,
     version: u64,
     reads: bool,
     sends_until: Duration,
@@ -76,9 +76,9 @@
     pub(crate) fn new(seed: u64, store_for: StoreFor, record_bytes: usize) -> Self {
         let mut random = StdRng::seed_from_u64(seed);
         let node = |_| {
-            let mut following = Following::new(random.random());
-            following.was_read(Duration::ZERO, ReaderPart::None);
-            following.caught_up(record_bytes);
+            let mut following = Tailing::new(random.random());
+            following.record_read(Duration::ZERO, ReaderPart::None);
+            following.record_caught_up(record_bytes);
             Node {
                 following,
                 version: 1,
@@ -167,14 +167,14 @@
             Event::Heartbeat { from, to, version, age_ms } => {
                 let age = age_ms.map(Duration::from_millis);
                 let hearer = &mut self.nodes[to];
-                if hearer.following.heard(self.now, hearer.version, version, age) {
+                if hearer.following.handle_peer_mark(self.now, hearer.version, version, age) {
                     self.send(Event::Question { from: to, to: from });
                 }
             }
             Event::Question { from, to } => self.question(from, to),
             Event::PutOff { to } => {
                 let draw = self.random.random();
-                self.nodes[to].following.put_off(self.now, draw);
+                self.nodes[to].following.handle_deferral(self.now, draw);
             }
             Event::Record { to, version } => {
                 self.nodes[to].copies += 1;
@@ -193,7 +193,7 @@
     }
 
     fn told_age_ms(&self, node: usize) -> Option<u64> {
-        let age = self.nodes[node].following.told_age(self.now)?;
+        let age = self.nodes[node].following.reported_age(self.now)?;
         Some(age.as_millis() as u64)
     }
 
@@ -202,7 +202,7 @@
         let now = self.now;
         let watched = &mut self.nodes[node];
         let is_reader = node < READERS;
-        if is_reader || watched.reads || !watched.following.shall_read(now, ReaderPart::None) {
+        if is_reader || watched.reads || !watched.following.should_read(now, ReaderPart::None) {
             return;
         }
         watched.doubted_at.get_or_insert(now);
@@ -230,7 +230,7 @@
 
     fn reader_reads(&mut self) {
         if self.store_answers {
-            self.nodes[0].following.was_read(self.now, ReaderPart::First);
+            self.nodes[0].following.record_read(self.now, ReaderPart::First);
         }
         self.after(READ_INTERVAL, Event::ReaderReads);
     }
@@ -243,19 +243,19 @@
         };
         let reader = &mut self.nodes[node];
         reader.reads = false;
-        reader.following.was_read(self.now, part);
+        reader.following.record_read(self.now, part);
         self.take(node, self.store_version);
     }
 
     fn question(&mut self, from: usize, to: usize) {
         let bytes = self.record_bytes;
-        match self.nodes[to].following.asked(self.now, bytes) {
+        match self.nodes[to].following.handle_request(self.now, bytes) {
             Reply::Record => {
                 let version = self.nodes[to].version;
                 let there_at = self.over_link(Some(to), from);
                 self.after(there_at - self.now, Event::Record { to: from, version });
             }
-            Reply::PutOff => self.send(Event::PutOff { to: from }),
+            Reply::Deferred => self.send(Event::PutOff { to: from }),
         }
     }
 
@@ -264,7 +264,7 @@
         let node = &mut self.nodes[node];
         if version > node.version {
             node.version = version;
-            node.following.caught_up(bytes);
+            node.following.record_caught_up(bytes);
         }
     }
 }
--- a/crates/fernring-gateway/tests/testsuite/tailing.rs
+++ b/crates/fernring-gateway/tests/testsuite/tailing.rs
@@ -2,7 +2,7 @@
 
 use {
     super::fleet::{Fleet, NODES, StoreFor},
-    fernring_gateway::{tailing::Following, freshness::STALE_AFTER},
+    fernring_gateway::{tailing::Tailing, freshness::STALE_AFTER},
     std::time::Duration,
 };
 
@@ -86,18 +86,18 @@
 #[test]
 fn one_question_is_under_way_and_the_next_goes_out_as_soon_as_the_answer_is_in() {
     let now = SETTLE_TIME;
-    let mut following = Following::new(0.0);
-    assert!(following.heard(now, 1, 2, None));
-    assert!(!following.heard(now, 1, 3, None), "the first is being answered");
-    assert_eq!(following.behind().since, Some(now));
-    following.caught_up(LARGE_BYTES);
-    assert_eq!(following.behind().since, None);
-    assert!(following.heard(now, 2, 3, None));
-    following.put_off(now, 0.0);
-    assert!(following.heard(now, 2, 3, None), "another peer is asked");
+    let mut following = Tailing::new(0.0);
+    assert!(following.handle_peer_mark(now, 1, 2, None));
+    assert!(!following.handle_peer_mark(now, 1, 3, None), "the first is being answered");
+    assert_eq!(following.lag().since, Some(now));
+    following.record_caught_up(LARGE_BYTES);
+    assert_eq!(following.lag().since, None);
+    assert!(following.handle_peer_mark(now, 2, 3, None));
+    following.handle_deferral(now, 0.0);
+    assert!(following.handle_peer_mark(now, 2, 3, None), "another peer is asked");
     let lost_after = Duration::from_secs(2);
     assert!(
-        following.heard(now + lost_after, 2, 3, None),
+        following.handle_peer_mark(now + lost_after, 2, 3, None),
         "an answer that was lost is asked for anew"
     );
 }
