--- a/crates/fernring-gateway/src/node.rs
+++ b/crates/fernring-gateway/src/node.rs
@@ -197,17 +197,17 @@
         let alarm = Rc::new(DeadlineTimer::new(clock.clone()));
         let serving = Rc::new(ServingContext {
             clock: clock.clone(),
-            alarm: alarm.clone(),
+            deadline_timer: alarm.clone(),
             wire: wire.clone(),
             config: config.clone(),
             upstreams: upstreams.clone(),
             peers: peers.clone(),
             stages: stages.clone(),
             prefill_speeds: ReadingSpeeds::default(),
-            mechanisms: rules,
+            decide_settings: rules,
             retries: retries.clone(),
             rollouts: rollouts.clone(),
-            blame: blame.clone(),
+            crash_attribution: blame.clone(),
             in_flight: Cell::new(0),
         });
         let ingress = Rc::new(Ingress::new(serving.clone(), config.clone()));
@@ -322,7 +322,7 @@
 
     /// Returns the number of contents that are turned away, since upstreams ended under them.
     pub fn turned_away(&self) -> usize {
-        self.serving.blame.turned_away()
+        self.serving.crash_attribution.turned_away()
     }
 
     /// Finishes everything in flight, then returns.
@@ -335,9 +335,9 @@
         self.peers.set_draining();
         self.loops.remove_own_record().await;
         let leave = Duration::from_secs_f64(shutdown.leave_s);
-        self.serving.alarm.sleep_until(started + leave).await;
+        self.serving.deadline_timer.sleep_until(started + leave).await;
         self.ingress.set_phase(Phase::Closing);
-        while self.ingress.open() > 0 && self.serving.now() < end {
+        while self.ingress.open_connections() > 0 && self.serving.now() < end {
             sleep(DRAIN_INTERVAL).await;
         }
         log::info(LogLine::event("stopped").with("in_flight", self.serving.in_flight.get()));
@@ -375,7 +375,7 @@
             }
         };
         self.retries.set_allowance(settings.retries.allowance());
-        self.serving.mechanisms.set(settings.decide);
+        self.serving.decide_settings.set(settings.decide);
         self.upstreams.set_cold_bounds(settings.cold);
         self.serving.rollouts.set_settings(settings.rollout);
         self.loops.evacuation_bound.set(settings.evacuation.within());
@@ -437,8 +437,8 @@
                 .filter(|(key, _)| self.upstreams.may_send(*key).is_ok())
                 .count(),
             in_flight: self.serving.in_flight.get(),
-            turned_away: self.serving.blame.turned_away(),
-            caller_connections: self.ingress.open(),
+            turned_away: self.serving.crash_attribution.turned_away(),
+            caller_connections: self.ingress.open_connections(),
             upstream_connections: self.upstreams.open_connections(),
             cold_upstreams: directory.iter().filter(|(_, u)| u.is_cold(self.serving.now())).count(),
             limited_upstreams: self.upstreams.limited(),
@@ -586,7 +586,7 @@
             GatewayBody::WorkDone(done) => self.stages.done(sender, done),
             GatewayBody::WorkCancel(ticket) => self.stages.cancel(sender, ticket.ticket),
             GatewayBody::Release(release) => self.stages.released(release),
-            GatewayBody::Ends(reports) => self.serving.blame.told(sender, reports),
+            GatewayBody::Ends(reports) => self.serving.crash_attribution.told(sender, reports),
             GatewayBody::TurnQuestion(question) => self.upstreams.turn_asked(sender, question),
             GatewayBody::TurnAnswer(answer) => self.upstreams.turn_answered(answer),
             GatewayBody::RolloutReport(report) => self.serving.rollouts.reported(sender, report),
@@ -666,7 +666,7 @@
     }
 
     fn joined(&self, peer: SocketAddr) {
-        self.serving.blame.joined(peer);
+        self.serving.crash_attribution.joined(peer);
     }
 
     fn unfollowed(&self, peer: SocketAddr) {
--- a/crates/fernring-gateway/src/serving/caller_body.rs
+++ b/crates/fernring-gateway/src/serving/caller_body.rs
@@ -38,12 +38,12 @@
     }
 
     /// Says when the time of the request is over.
-    pub fn until(self, ends_at: Duration) -> Self {
+    pub fn with_deadline(self, ends_at: Duration) -> Self {
         Self { ends_at: Some(ends_at), ..self }
     }
 
     /// Returns when the time of the request is over, if that was said.
-    pub fn ends_at(&self) -> Option<Duration> {
+    pub fn deadline(&self) -> Option<Duration> {
         self.ends_at
     }
 
--- a/crates/fernring-gateway/src/serving/context.rs
+++ b/crates/fernring-gateway/src/serving/context.rs
@@ -19,7 +19,7 @@
     /// The clock.
     pub clock: Rc<dyn Clock>,
     /// Waits for its points.
-    pub alarm: Rc<DeadlineTimer>,
+    pub deadline_timer: Rc<DeadlineTimer>,
     /// The platform's formats.
     pub wire: Rc<dyn Wire>,
     /// The configuration in force.
@@ -33,13 +33,13 @@
     /// How fast model engines read, as learned since the start.
     pub prefill_speeds: ReadingSpeeds,
     /// The mechanisms of the policy that are on.
-    pub mechanisms: Rc<Cell<DecideSettings>>,
+    pub decide_settings: Rc<Cell<DecideSettings>>,
     /// The retry budget.
     pub retries: Rc<Retries>,
     /// Versions that are rolled out.
     pub rollouts: Rc<Rollouts>,
     /// The upstreams that ended, and what ran there.
-    pub blame: Rc<Blame>,
+    pub crash_attribution: Rc<Blame>,
     /// Requests in flight.
     pub in_flight: Cell<isize>,
 }
--- a/crates/fernring-gateway/src/serving/exchange/admitting.rs
+++ b/crates/fernring-gateway/src/serving/exchange/admitting.rs
@@ -19,10 +19,10 @@
     pub(super) fn admit(&mut self) -> Result<(), Refusal> {
         let stages = self.route.stages.len();
         let is_plain = (0..stages).all(|stage| self.plan.count(stage) == 0);
-        if is_plain || !self.serving.mechanisms.get().admission {
+        if is_plain || !self.serving.decide_settings.get().admission {
             return Ok(());
         }
-        let need = self.need();
+        let need = self.admission_need();
         let verdict = decide(&need);
         let (name, forecast) = match verdict {
             Verdict::InTime(time) => ("in_time", Some(time)),
@@ -36,33 +36,33 @@
             .with_some("forecast_ms", forecast.map(|time| time.as_millis()))
             .with("objective_ms", need.objective_left.as_millis());
         log::info(line);
-        self.forecast = forecast;
+        self.forecast_time = forecast;
         if let Verdict::Refused(after) = verdict {
-            return Err(self.give_up_until(ResultCode::ExpiredInQueue, "overload", after));
+            return Err(self.refusal_with_forecast(ResultCode::ExpiredInQueue, "overload", after));
         }
         let backlogs = self.serving.stages.backlogs();
         for stage in (0..stages).filter(|stage| self.plan.count(*stage) > 0) {
             let (pieces, spec) = (self.plan.count(stage), self.plan.spec(stage));
-            if let Some(pool) = self.pool_of(&spec.service) {
+            if let Some(pool) = self.likely_pool(&spec.service) {
                 let promise = backlogs.promise(&pool, need.rank, pieces);
-                self.promises.insert(stage, promise);
+                self.reservations.insert(stage, promise);
             }
         }
         Ok(())
     }
 
     /// Returns the makers that a stage is likely to be asked of.
-    fn pool_of(&self, service: &Arc<str>) -> Option<MakerPool> {
+    fn likely_pool(&self, service: &Arc<str>) -> Option<MakerPool> {
         self.serving.stages.pool_for(service, None, &self.request.id, &self.residency)
     }
 
-    fn need(&self) -> Need {
+    fn admission_need(&self) -> Need {
         let held = self.serving.config.borrow().current();
         let now = self.serving.now();
         let stage_need = |stage: usize| {
             let spec = self.plan.spec(stage);
             let pieces = self.plan.count(stage);
-            let backlog = self.pool_of(&spec.service);
+            let backlog = self.likely_pool(&spec.service);
             let backlog = backlog.and_then(|pool| self.serving.stages.backlog(&pool));
             let service = held.as_ref().and_then(|held| held.config.services.get(&spec.service));
             let shape = service.and_then(|service| service.batch);
@@ -75,9 +75,9 @@
         Need {
             rank: rank(self.priority()),
             stages: (0..self.route.stages.len()).map(stage_need).collect(),
-            reading_time: self.reading_time(),
+            reading_time: self.prefill_time(),
             objective_left: self.objective_at.saturating_sub(now),
-            time_left: self.hold_until.saturating_sub(now),
+            time_left: self.patience_ends_at.saturating_sub(now),
         }
     }
 }
--- a/crates/fernring-gateway/src/serving/exchange/mod.rs
+++ b/crates/fernring-gateway/src/serving/exchange/mod.rs
@@ -50,12 +50,12 @@
     /// Its identity.
     pub id: Arc<str>,
     /// What it asks.
-    pub content: Fingerprint,
+    pub fingerprint: Fingerprint,
 }
 
 /// An answer whose head is good.
 #[derive(Debug)]
-pub struct Opened {
+pub struct OpenedResponse {
     /// Its head.
     pub head: Parts,
     /// Its body.
@@ -63,16 +63,16 @@
     /// The upstream.
     target: Target,
     load: LoadGuard,
-    _held: Held,
+    _attribution_guard: Held,
     /// Its part in comparing versions, if its service has an order.
     trial: Option<Trial>,
     /// What a model engine reads before its first event, until that has come.
-    reads: Option<Reads>,
+    prefill: Option<Prefill>,
 }
 
 /// A prompt that is being read.
 #[derive(Debug, Clone, Copy)]
-struct Reads {
+struct Prefill {
     tokens: f64,
     sent_at: Duration,
 }
@@ -108,7 +108,7 @@
 
 /// How a request ended.
 #[derive(Debug, Clone, Copy)]
-pub enum Ended<'a> {
+pub enum ExchangeEnd<'a> {
     /// With an upstream's whole answer, of this status.
     Answered {
         /// The status.
@@ -122,7 +122,7 @@
     CallerLeft,
 }
 
-impl Ended<'_> {
+impl ExchangeEnd<'_> {
     fn name(&self) -> &'static str {
         match self {
             Self::Answered { .. } => "answered",
@@ -162,30 +162,30 @@
     arrived_at: Duration,
     objective_at: Duration,
     /// When the caller leaves if nothing has come.
-    hold_until: Duration,
+    patience_ends_at: Duration,
     end_at: Duration,
     attempts: Attempts,
     tried: Vec<UpstreamKey>,
     /// Whether its first send goes to the version that is rolled out, once that is drawn.
-    takes_ordered: Cell<Option<bool>>,
+    is_drawn_for_rollout: Cell<Option<bool>>,
     plan: StagePlan,
     /// When the first event should come, after the arrival; `None` if that was not forecast.
-    forecast: Option<Duration>,
+    forecast_time: Option<Duration>,
     /// The stages that haven't begun and were promised, by index.
-    promises: HashMap<usize, Promise>,
+    reservations: HashMap<usize, Promise>,
     inputs: Vec<Arc<str>>,
     /// Model engine that the results are made for.
     home: Option<Target>,
     resume_after: Option<u64>,
     /// When bytes of the answer came first and last, and the longest pause between.
-    passed_on: Option<PassedOn>,
+    stream_times: Option<StreamTimes>,
     is_ended: bool,
     _in_flight: InFlight,
 }
 
 /// What of a stream was passed on, and when.
 #[derive(Debug, Clone, Copy)]
-struct PassedOn {
+struct StreamTimes {
     first_at: Duration,
     last_at: Duration,
     longest_pause: Duration,
@@ -193,9 +193,9 @@
 
 impl Drop for Exchange {
     fn drop(&mut self) {
-        self.release_all();
+        self.release_results();
         if !self.is_ended {
-            self.finished(Ended::CallerLeft);
+            self.record_end(ExchangeEnd::CallerLeft);
         }
     }
 }
@@ -219,16 +219,16 @@
             plan: StagePlan::new(&route.stages, &request.fields.piece_counts),
             resume_after: request.fields.last_event,
             objective_at: arrived_at + route.objective,
-            hold_until: arrived_at + waits.min(route.patience),
+            patience_ends_at: arrived_at + waits.min(route.patience),
             end_at: arrived_at + waits,
             _in_flight: InFlight::new(serving.clone()),
             tried: Vec::new(),
-            takes_ordered: Cell::default(),
-            forecast: None,
-            promises: HashMap::new(),
+            is_drawn_for_rollout: Cell::default(),
+            forecast_time: None,
+            reservations: HashMap::new(),
             inputs: Vec::new(),
             home: None,
-            passed_on: None,
+            stream_times: None,
             is_ended: false,
             serving,
             request,
@@ -247,7 +247,7 @@
 
     /// Returns what it asks.
     pub fn content(&self) -> Fingerprint {
-        self.request.content
+        self.request.fingerprint
     }
 
     /// Returns what may be repeated.
@@ -266,14 +266,14 @@
     }
 
     /// Waits for work for no longer than `patience` and the time left; `None` if it isn't done by then.
-    pub async fn wait_for<T>(
+    pub async fn wait_at_most<T>(
         &self,
         patience: Option<Duration>,
         work: impl Future<Output = T>,
     ) -> Option<T> {
         let patient_at = patience.map(|patience| self.serving.now() + patience);
         let at = patient_at.map_or(self.end_at, |at| at.min(self.end_at));
-        self.serving.alarm.complete_by(at, work).await
+        self.serving.deadline_timer.complete_by(at, work).await
     }
 
     /// Returns the number of the event that the stream goes on after.
@@ -288,18 +288,18 @@
 
     /// Takes in that bytes of the answer came: the prompt is read, and the results of the stages
     /// were fetched.
-    pub fn got_bytes(&mut self, opened: &mut Opened) {
+    pub fn record_bytes(&mut self, opened: &mut OpenedResponse) {
         if self.route.prefix_affinity {
             opened.load.reduce_to(GENERATION_LOAD_TOKENS);
         }
-        self.release_all();
-        opened.is_whole_so_far();
+        self.release_results();
+        opened.record_intact();
         let now = self.serving.now();
-        if let Some(reads) = opened.reads.take() {
+        if let Some(reads) = opened.prefill.take() {
             let took = now.saturating_sub(reads.sent_at);
             self.serving.prefill_speeds.read(&self.service, reads.tokens, took);
         }
-        let passed_on = self.passed_on.get_or_insert(PassedOn {
+        let passed_on = self.stream_times.get_or_insert(StreamTimes {
             first_at: now,
             last_at: now,
             longest_pause: Duration::ZERO,
@@ -314,39 +314,39 @@
     ///
     /// # Errors
     /// If no upstream goes on with it.
-    pub async fn reopen(&mut self, last_event: Option<u64>) -> Result<Opened, Refusal> {
+    pub async fn reopen(&mut self, last_event: Option<u64>) -> Result<OpenedResponse, Refusal> {
         self.resume_after = last_event;
         if !self.may_send() {
-            return Err(self.give_up(ResultCode::StageFailed, "no further send is allowed"));
+            return Err(self.refusal_for(ResultCode::StageFailed, "no further send is allowed"));
         }
         if self.plan.is_released() {
             self.plan = StagePlan::new(&self.route.stages, &self.request.fields.piece_counts);
-            self.hold_until = self.end_at;
-            self.make_admitted().await?;
+            self.patience_ends_at = self.end_at;
+            self.run_admitted_stages().await?;
         }
         self.open().await
     }
 
     /// Returns the final answer for a request that is given up: a promise that it has not run if
     /// that is so.
-    pub fn give_up(&self, code: ResultCode, detail: &str) -> Refusal {
-        self.give_up_until(code, detail, None)
+    pub fn refusal_for(&self, code: ResultCode, detail: &str) -> Refusal {
+        self.refusal_with_forecast(code, detail, None)
     }
 
     /// The same where it can be said when what waits now should be done.
-    fn give_up_until(
+    fn refusal_with_forecast(
         &self,
         code: ResultCode,
         detail: &str,
         drained_after: Option<Duration>,
     ) -> Refusal {
         let not_run = self.attempts.not_run();
-        let content = self.request.content;
-        if self.serving.blame.is_turned_away(content) {
+        let content = self.request.fingerprint;
+        if self.serving.crash_attribution.is_turned_away(content) {
             return match not_run {
-                Some(not_run) => self.serving.blame.refusal(not_run, content),
+                Some(not_run) => self.serving.crash_attribution.refusal(not_run, content),
                 None => {
-                    let reason = self.serving.blame.reason(content);
+                    let reason = self.serving.crash_attribution.reason(content);
                     Refusal::may_have_run(ResultCode::StageFailed, reason)
                 }
             };
@@ -363,20 +363,20 @@
     }
 
     /// Takes in the request's end: writes its line and counts it.
-    pub fn finished(&mut self, end: Ended<'_>) {
+    pub fn record_end(&mut self, end: ExchangeEnd<'_>) {
         self.is_ended = true;
-        if let Ended::Answered { status } = end
+        if let ExchangeEnd::Answered { status } = end
             && status.is_success()
         {
-            self.serving.blame.answered(self.request.content);
+            self.serving.crash_attribution.answered(self.request.fingerprint);
         }
         let took = self.serving.now().saturating_sub(self.arrived_at);
         let first_ms =
-            self.passed_on.map(|p| p.first_at.saturating_sub(self.arrived_at).as_millis());
+            self.stream_times.map(|p| p.first_at.saturating_sub(self.arrived_at).as_millis());
         measures::request_ended(&self.route.name, end.name(), took);
         let line = LogLine::event("request_ended")
             .with("request", &self.request.id)
-            .with("content", self.request.content)
+            .with("content", self.request.fingerprint)
             .with("pipeline", &self.route.name)
             .with_some("workspace", self.workspace.as_ref().map(|workspace| &workspace.name))
             .with("outcome", end.name())
@@ -384,32 +384,32 @@
             .with("sends", self.tried.len())
             .with("config", self.serving.config.borrow().version())
             .with("took_ms", took.as_millis())
-            .with_some("forecast_ms", self.forecast.map(|time| time.as_millis()))
+            .with_some("forecast_ms", self.forecast_time.map(|time| time.as_millis()))
             .with("left_ms", self.time_left().as_millis())
             .with_some("first_ms", first_ms)
-            .with_some("pause_ms", self.passed_on.map(|p| p.longest_pause.as_millis()))
+            .with_some("pause_ms", self.stream_times.map(|p| p.longest_pause.as_millis()))
             .with_some("detail", end.detail());
         match end {
-            Ended::Answered { .. } | Ended::CallerLeft => log::info(line),
-            Ended::Refused(_) | Ended::Broken(_) => log::warn(line),
+            ExchangeEnd::Answered { .. } | ExchangeEnd::CallerLeft => log::info(line),
+            ExchangeEnd::Refused(_) | ExchangeEnd::Broken(_) => log::warn(line),
         }
     }
 
-    fn release_all(&mut self) {
+    fn release_results(&mut self) {
         for (stage, handles) in self.plan.take_all() {
             self.serving.stages.release(&self.plan.spec(stage).service, handles, &self.residency);
         }
     }
 }
 
-impl Opened {
+impl OpenedResponse {
     /// Returns the upstream.
     pub fn key(&self) -> UpstreamKey {
         self.target.key
     }
 
     /// Takes in that what came of the answer is good.
-    pub fn is_whole_so_far(&self) {
+    pub fn record_intact(&self) {
         if let Some(trial) = self.trial.as_ref().filter(|_| !self.is_failure()) {
             trial.whole();
         }
--- a/crates/fernring-gateway/src/serving/exchange/sending.rs
+++ b/crates/fernring-gateway/src/serving/exchange/sending.rs
@@ -1,7 +1,7 @@
 //! Sending a request to an upstream: the choice, the send, and what its failure means.
 
 use {
-    super::{Exchange, GENERATION_LOAD_TOKENS, Opened, Reads},
+    super::{Exchange, GENERATION_LOAD_TOKENS, OpenedResponse, Prefill},
     crate::{
         attempts::SendEnd,
         connections::{BreakOff, SendFailure},
@@ -24,7 +24,7 @@
 const OFFERS_MAX: u32 = 12;
 /// Part of the time left to the objective that may go into reading prompts. The rest is for what
 /// this node doesn't know of: requests of other nodes since their last heartbeat.
-const READ_PART: f64 = 0.7;
+const PREFILL_SHARE: f64 = 0.7;
 /// The time that the reading speed is said for in log lines.
 const ONE_MS: Duration = Duration::from_millis(1);
 
@@ -36,12 +36,12 @@
 }
 
 /// A send that brought no answer to pass on.
-struct Unanswered {
+struct FailedSend {
     end: SendEnd,
     why: BreakOff,
 }
 
-impl Unanswered {
+impl FailedSend {
     fn without_break(end: SendEnd, reason: String) -> Self {
         Self { end, why: BreakOff { reason, how: None } }
     }
@@ -52,14 +52,14 @@
     ///
     /// # Errors
     /// If none came and it may not be sent again.
-    pub async fn open(&mut self) -> Result<Opened, Refusal> {
-        self.settle_doubt().await;
+    pub async fn open(&mut self) -> Result<OpenedResponse, Refusal> {
+        self.wait_for_quarantine_decision().await;
         self.serving.retries.count_requests(self.serving.now(), &self.service, 1);
         let mut reason = "no upstream is there".to_owned();
         for _ in 0..OFFERS_MAX {
             let left = self.time_left();
             if left.is_zero() {
-                return Err(self.give_up(ResultCode::WindowEnded, &reason));
+                return Err(self.refusal_for(ResultCode::WindowEnded, &reason));
             }
             if !self.may_send() {
                 break;
@@ -67,7 +67,7 @@
             let Some(Chosen { target, tokens }) = self.choose() else {
                 break;
             };
-            if self.attempts.next_is_extra() && !self.take_budget() {
+            if self.attempts.next_is_extra() && !self.spend_retry_budget() {
                 reason.push_str("; the retry budget is spent");
                 break;
             }
@@ -75,105 +75,105 @@
             let sent_at = self.serving.now();
             match self.send(&target, left).await {
                 Ok(mut opened) => {
-                    opened.reads = tokens.map(|tokens| Reads { tokens, sent_at });
+                    opened.prefill = tokens.map(|tokens| Prefill { tokens, sent_at });
                     measures::send_ended(&self.service, "answered");
                     return Ok(opened);
                 }
-                Err(Unanswered { end, why }) => {
-                    self.log_send(&target, end, &why.reason);
+                Err(FailedSend { end, why }) => {
+                    self.log_failed_send(&target, end, &why.reason);
                     self.attempts.ended(end);
-                    self.judge(&target, end);
-                    self.note_break(&target, &why);
+                    self.update_health(&target, end);
+                    self.record_break(&target, &why);
                     reason = why.reason;
                 }
             }
         }
         if self.time_left().is_zero() {
-            return Err(self.give_up(ResultCode::WindowEnded, &reason));
+            return Err(self.refusal_for(ResultCode::WindowEnded, &reason));
         }
-        Err(self.give_up_for_want(&reason))
+        Err(self.refusal_without_upstream(&reason))
     }
 
     /// Waits whether a request is turned away, if that is in doubt. Without it harmless requests were refused that had been in hand
     /// at the same three ends as a deadly one in a fleet's first second: 4 in 12 s of 60 requests a second.
-    pub(super) async fn settle_doubt(&self) {
-        let settled = self.serving.blame.until_settled(self.request.content);
+    pub(super) async fn wait_for_quarantine_decision(&self) {
+        let settled = self.serving.crash_attribution.until_settled(self.request.fingerprint);
         // Whether it is settled or the time is over, the caller looks again.
-        let _is_settled = self.wait_for(None, settled).await;
+        let _is_settled = self.wait_at_most(None, settled).await;
     }
 
     /// Takes in that a send brought a head but no whole answer.
-    pub fn send_broke(&mut self, opened: &Opened, why: &BreakOff) {
+    pub fn record_broken_send(&mut self, opened: &OpenedResponse, why: &BreakOff) {
         self.attempts.ended(SendEnd::Unknown);
         if let Some(trial) = &opened.trial {
             trial.failed();
         }
         self.serving.upstreams.failed(self.serving.now(), opened.key());
-        self.note_break(&opened.target, why);
+        self.record_break(&opened.target, why);
     }
 
-    fn note_break(&self, target: &Target, why: &BreakOff) {
+    fn record_break(&self, target: &Target, why: &BreakOff) {
         if let Some(how) = why.how {
-            self.serving.blame.broke(target, how, Some(self.request.content));
+            self.serving.crash_attribution.broke(target, how, Some(self.request.fingerprint));
         }
     }
 
     /// Takes in that an upstream began to answer with a failure of its own, which can't be passed on.
-    pub fn answered_with_failure_head(&mut self, opened: &Opened) {
-        self.answered_with_failure();
+    pub fn record_failure_head(&mut self, opened: &OpenedResponse) {
+        self.record_failure_response();
         self.serving.upstreams.failed(self.serving.now(), opened.key());
     }
 
     /// Takes in that an upstream answered, though with a failure of its own.
-    pub fn answered_with_failure(&mut self) {
+    pub fn record_failure_response(&mut self) {
         self.attempts.ended(SendEnd::Unknown);
     }
 
     /// Takes in that an upstream gave a whole answer.
-    pub fn succeeded(&self, key: UpstreamKey) {
+    pub fn record_success(&self, key: UpstreamKey) {
         self.serving.upstreams.succeeded(key);
     }
 
     /// Tells whether another upstream may be asked.
     pub fn may_send(&self) -> bool {
-        let is_turned_away = self.serving.blame.is_turned_away(self.request.content);
+        let is_turned_away = self.serving.crash_attribution.is_turned_away(self.request.fingerprint);
         self.attempts.may_send() && !is_turned_away && !self.time_left().is_zero()
     }
 
     /// Returns the final answer for a request that found no upstream.
-    fn give_up_for_want(&self, reason: &str) -> Refusal {
+    fn refusal_without_upstream(&self, reason: &str) -> Refusal {
         let upstreams = &self.serving.upstreams;
         if upstreams.is_evacuated(&self.service) {
-            return self.give_up(ResultCode::Evacuated, reason);
+            return self.refusal_for(ResultCode::Evacuated, reason);
         }
         if upstreams.is_outside(&self.service, &self.residency) {
-            return self.give_up(ResultCode::OutsideRegions, reason);
+            return self.refusal_for(ResultCode::OutsideRegions, reason);
         }
         match upstreams.limited_for(&self.service, self.rank()) {
-            Some(after) => self.give_up_until(ResultCode::Limited, reason, Some(after)),
-            None => self.give_up(ResultCode::NoUpstream, reason),
+            Some(after) => self.refusal_with_forecast(ResultCode::Limited, reason, Some(after)),
+            None => self.refusal_for(ResultCode::NoUpstream, reason),
         }
     }
 
-    fn take_budget(&self) -> bool {
+    fn spend_retry_budget(&self) -> bool {
         self.serving.retries.take(self.serving.now(), &self.service, 1)
     }
 
     /// Chooses the upstream for the next send.
     fn choose(&self) -> Option<Chosen> {
-        let (chosen, candidates) = self.choose_from()?;
+        let (chosen, candidates) = self.choose_among_candidates()?;
         self.log_choice("routed", &chosen.target, &candidates);
         Some(chosen)
     }
 
     /// Chooses the upstream near which results are to lie. Nothing is sent there yet.
     pub(super) fn choose_home(&self) -> Option<Target> {
-        let (chosen, candidates) = self.choose_from()?;
+        let (chosen, candidates) = self.choose_among_candidates()?;
         self.log_choice("home_chosen", &chosen.target, &candidates);
         Some(chosen.target)
     }
 
-    fn choose_from(&self) -> Option<(Chosen, Vec<Candidate>)> {
+    fn choose_among_candidates(&self) -> Option<(Chosen, Vec<Candidate>)> {
         let upstreams = &self.serving.upstreams;
         let is_silent = |domain: &str| self.serving.peers.is_silent(domain);
         let untried = |candidate: &Candidate| !self.tried.contains(&candidate.key);
@@ -186,7 +186,7 @@
             is_silent,
         );
         let candidates: Vec<_> = candidates.into_iter().filter(untried).collect();
-        let candidates = self.of_drawn_version(candidates);
+        let candidates = self.filter_by_version(candidates);
         let (key, tokens) = match self.prompt_need() {
             Some(need) => {
                 let choice = choose_model(&candidates, need)?;
@@ -200,7 +200,7 @@
 
     /// Leaves the candidates of the version that the request was drawn for, while one is rolled out: what is sent once more goes
     /// to the others.
-    fn of_drawn_version(&self, candidates: Vec<Candidate>) -> Vec<Candidate> {
+    fn filter_by_version(&self, candidates: Vec<Candidate>) -> Vec<Candidate> {
         let Some(admits) = self.serving.upstreams.admits(&self.service) else {
             return candidates;
         };
@@ -212,7 +212,7 @@
         let is_first = self.tried.is_empty();
         match admits {
             // The others missing is no reason to send more to a version that may be bad.
-            Admits::Share(_) if is_first && self.draws_ordered() => ordered,
+            Admits::Share(_) if is_first && self.draw_for_rollout() => ordered,
             Admits::Share(_) => others,
             Admits::DestinationFirst if !is_first && !others.is_empty() => others,
             _ => ordered,
@@ -220,10 +220,10 @@
     }
 
     /// Tells whether the request was drawn for the version that is rolled out.
-    fn draws_ordered(&self) -> bool {
-        self.takes_ordered.get().unwrap_or_else(|| {
+    fn draw_for_rollout(&self) -> bool {
+        self.is_drawn_for_rollout.get().unwrap_or_else(|| {
             let takes_ordered = self.serving.rollouts.takes_ordered(&self.service);
-            self.takes_ordered.set(Some(takes_ordered));
+            self.is_drawn_for_rollout.set(Some(takes_ordered));
             takes_ordered
         })
     }
@@ -236,7 +236,7 @@
             .with("request", &self.request.id)
             .with("pipeline", &self.route.name)
             .with_some("workspace", self.workspace.as_ref().map(|workspace| &workspace.name))
-            .with("content", self.request.content)
+            .with("content", self.request.fingerprint)
             .with("service", &self.service)
             .with("upstream", &target.instance)
             .with("record", target.record_at)
@@ -255,7 +255,7 @@
 
     /// What the request needs of a model engine; `None` if it goes to a plain service.
     fn prompt_need(&self) -> Option<PromptNeed> {
-        if !self.route.prefix_affinity || !self.serving.mechanisms.get().prefixes {
+        if !self.route.prefix_affinity || !self.serving.decide_settings.get().prefixes {
             return None;
         }
         let parts = &self.request.fields.prompt;
@@ -267,7 +267,7 @@
             prefix: shared.unwrap_or(own).id,
             own_tokens: f64::from(own.tokens),
             all_tokens: self.prompt_tokens(),
-            patience_tokens: speed.tokens_in(time_left.mul_f64(READ_PART)),
+            patience_tokens: speed.tokens_in(time_left.mul_f64(PREFILL_SHARE)),
             home: self.home.as_ref().map(|home| home.key),
         })
     }
@@ -285,7 +285,7 @@
         }
     }
 
-    async fn send(&self, target: &Target, left: Duration) -> Result<Opened, Unanswered> {
+    async fn send(&self, target: &Target, left: Duration) -> Result<OpenedResponse, FailedSend> {
         let load = self.serving.upstreams.load(target.key, self.weight());
         let sending = Sending {
             request: self.upstream_request(target, left),
@@ -293,11 +293,11 @@
             residency: self.residency.clone(),
             connections_max: self.serving.config.borrow().connections_max(&self.service),
         };
-        let held = self.serving.blame.hold(target, self.request.content);
+        let held = self.serving.crash_attribution.hold(target, self.request.fingerprint);
         let is_first = self.tried.len() <= 1;
         let (service, route) = (&self.service, &self.route.name);
         let trial = self.serving.rollouts.began(service, target, route, is_first);
-        let failed = |unanswered: Unanswered| {
+        let failed = |unanswered: FailedSend| {
             if let Some(trial) = trial.as_ref().filter(|_| unanswered.end == SendEnd::Unknown) {
                 trial.failed();
             }
@@ -306,40 +306,40 @@
         let sent_at = self.serving.now();
         let sent = self.serving.upstreams.send(target, sending);
         let sent = tokio::select! {
-            sent = self.wait_for(None, sent) => sent,
+            sent = self.wait_at_most(None, sent) => sent,
             // It hasn't begun to answer there: the upstream may be spared.
-            () = self.serving.blame.until_turned_away(self.request.content) => {
+            () = self.serving.crash_attribution.until_turned_away(self.request.fingerprint) => {
                 let why = "turned away meanwhile".to_owned();
-                return Err(Unanswered::without_break(SendEnd::Unknown, why));
+                return Err(FailedSend::without_break(SendEnd::Unknown, why));
             }
         };
         let answer = match sent {
             None => {
                 let why = BreakOff::silent("no answer in time");
-                return Err(failed(Unanswered { end: SendEnd::Unknown, why }));
+                return Err(failed(FailedSend { end: SendEnd::Unknown, why }));
             }
             Some(Err(SendFailure::NotSent(why) | SendFailure::NoListener(why))) => {
-                return Err(Unanswered::without_break(SendEnd::NotSent, why));
+                return Err(FailedSend::without_break(SendEnd::NotSent, why));
             }
             Some(Err(SendFailure::Barred(why))) => {
-                return Err(Unanswered::without_break(SendEnd::Barred, why.to_string()));
+                return Err(FailedSend::without_break(SendEnd::Barred, why.to_string()));
             }
             Some(Err(SendFailure::Broken(why))) => {
-                return Err(failed(Unanswered { end: SendEnd::Unknown, why }));
+                return Err(failed(FailedSend { end: SendEnd::Unknown, why }));
             }
             Some(Ok(answer)) => answer,
         };
-        let mut opened = Opened {
+        let mut opened = OpenedResponse {
             head: answer.head,
             body: answer.body,
             target: target.clone(),
             load,
-            _held: held,
+            _attribution_guard: held,
             trial: None,
-            reads: None,
+            prefill: None,
         };
         if let Some((end, why)) = self.check_head(&mut opened, sent_at) {
-            return Err(failed(Unanswered::without_break(end, why)));
+            return Err(failed(FailedSend::without_break(end, why)));
         }
         if let Some(trial) = trial.as_ref().filter(|_| opened.is_failure()) {
             trial.failed();
@@ -349,7 +349,7 @@
     }
 
     /// Finds what is wrong with the head of an answer to a request that left at `sent_at`.
-    fn check_head(&self, opened: &mut Opened, sent_at: Duration) -> Option<(SendEnd, String)> {
+    fn check_head(&self, opened: &mut OpenedResponse, sent_at: Duration) -> Option<(SendEnd, String)> {
         let status = opened.head.status;
         let fields = self.serving.wire.decode_answer(status, &opened.head.headers);
         if fields.wrong_instance {
@@ -388,7 +388,7 @@
         request
     }
 
-    fn judge(&self, target: &Target, end: SendEnd) {
+    fn update_health(&self, target: &Target, end: SendEnd) {
         let now = self.serving.now();
         match end {
             SendEnd::Refused => self.serving.upstreams.was_full(now, target.key),
@@ -397,7 +397,7 @@
             SendEnd::NotSent => self.serving.upstreams.was_unreachable(now, target.key),
             SendEnd::WrongInstance => {
                 self.serving.upstreams.failed(now, target.key);
-                self.serving.blame.replaced(target.key);
+                self.serving.crash_attribution.replaced(target.key);
             }
             SendEnd::Unknown => {
                 self.serving.upstreams.failed(now, target.key);
@@ -405,11 +405,11 @@
         }
     }
 
-    fn log_send(&self, target: &Target, end: SendEnd, why: &str) {
+    fn log_failed_send(&self, target: &Target, end: SendEnd, why: &str) {
         measures::send_ended(&self.service, end.name());
         let line = LogLine::event("send_failed")
             .with("request", &self.request.id)
-            .with("content", self.request.content)
+            .with("content", self.request.fingerprint)
             .with("upstream", &target.instance)
             .with("address", target.address)
             .with("end", end.name())
--- a/crates/fernring-gateway/src/serving/exchange/staging.rs
+++ b/crates/fernring-gateway/src/serving/exchange/staging.rs
@@ -15,36 +15,36 @@
 };
 
 /// Wait of a stage for its turn, as a part of a call without pieces.
-const TURN_PART: f64 = 0.5;
+const QUEUE_WAIT_SHARE: f64 = 0.5;
 /// What one piece makes or reads, in bytes, from which on it is placed by failure domain. What
 /// less costs between domains is not worth a wait for a maker there.
-const NEAR_BYTES_MIN: u64 = 200_000;
+const PLACED_BYTES_MIN: u64 = 200_000;
 /// Times that the stages of a request are made again because results were gone.
-const STAGE_ROUNDS_MAX: u32 = 2;
+const STAGE_RUNS_MAX: u32 = 2;
 
 impl Exchange {
     /// Has all stages made.
     ///
     /// # Errors
     /// If they could not be made in time; the request itself has not run.
-    pub async fn make_stages(&mut self) -> Result<(), Refusal> {
-        self.settle_doubt().await;
-        if self.serving.blame.is_turned_away(self.request.content) {
-            return Err(self.give_up(ResultCode::EndsUpstreams, ""));
+    pub async fn admit_and_run_stages(&mut self) -> Result<(), Refusal> {
+        self.wait_for_quarantine_decision().await;
+        if self.serving.crash_attribution.is_turned_away(self.request.fingerprint) {
+            return Err(self.refusal_for(ResultCode::EndsUpstreams, ""));
         }
         if let Some(service) = self.evacuated_service() {
             let detail = format!("service {service}");
-            return Err(self.give_up(ResultCode::Evacuated, &detail));
+            return Err(self.refusal_for(ResultCode::Evacuated, &detail));
         }
-        if let Some(service) = self.outside_service() {
+        if let Some(service) = self.service_outside_regions() {
             let detail = format!("service {service}");
-            return Err(self.give_up(ResultCode::OutsideRegions, &detail));
+            return Err(self.refusal_for(ResultCode::OutsideRegions, &detail));
         }
         if let Some(after) = self.serving.upstreams.limited_for(&self.service, self.rank()) {
-            return Err(self.give_up_until(ResultCode::Limited, "", Some(after)));
+            return Err(self.refusal_with_forecast(ResultCode::Limited, "", Some(after)));
         }
         self.admit()?;
-        self.make_admitted().await
+        self.run_admitted_stages().await
     }
 
     /// Returns the first service on the request's way whose upstreams are all evacuated, so that it is told at once.
@@ -53,7 +53,7 @@
     }
 
     /// Returns the first service on the request's way that has no upstreams in the regions where it may be served.
-    fn outside_service(&self) -> Option<Arc<str>> {
+    fn service_outside_regions(&self) -> Option<Arc<str>> {
         let upstreams = &self.serving.upstreams;
         self.services().find(|service| upstreams.is_outside(service, &self.residency)).cloned()
     }
@@ -65,41 +65,41 @@
         services.chain(std::iter::once(&self.service))
     }
 
-    pub(super) async fn make_admitted(&mut self) -> Result<(), Refusal> {
-        if self.serving.mechanisms.get().placing && self.plan.makes_any(NEAR_BYTES_MIN) {
+    pub(super) async fn run_admitted_stages(&mut self) -> Result<(), Refusal> {
+        if self.serving.decide_settings.get().placing && self.plan.makes_any(PLACED_BYTES_MIN) {
             self.home = self.choose_home();
         }
-        for _ in 0..STAGE_ROUNDS_MAX {
-            match self.run_stages().await {
+        for _ in 0..STAGE_RUNS_MAX {
+            match self.run_stages_once().await {
                 WorkEnd::Made(_) => {
                     self.inputs = self.plan.final_handles();
                     return Ok(());
                 }
                 WorkEnd::InputGone => {
-                    self.release_all();
+                    self.release_results();
                     let counts = &self.request.fields.piece_counts;
                     self.plan = StagePlan::new(&self.route.stages, counts);
                 }
                 WorkEnd::TurnedAway => {
-                    return Err(self.give_up(ResultCode::NoUpstream, "a stage failed"));
+                    return Err(self.refusal_for(ResultCode::NoUpstream, "a stage failed"));
                 }
-                WorkEnd::Late => return Err(self.give_up(ResultCode::ExpiredInQueue, "stage")),
+                WorkEnd::Late => return Err(self.refusal_for(ResultCode::ExpiredInQueue, "stage")),
                 WorkEnd::Failed | WorkEnd::OwnerLost | WorkEnd::NoMakers => {
                     let code = if self.evacuated_service().is_some() {
                         ResultCode::Evacuated
-                    } else if self.outside_service().is_some() {
+                    } else if self.service_outside_regions().is_some() {
                         ResultCode::OutsideRegions
                     } else {
                         ResultCode::NoUpstream
                     };
-                    return Err(self.give_up(code, "a stage failed"));
+                    return Err(self.refusal_for(code, "a stage failed"));
                 }
             }
         }
-        Err(self.give_up(ResultCode::NoUpstream, "results of stages were lost"))
+        Err(self.refusal_for(ResultCode::NoUpstream, "results of stages were lost"))
     }
 
-    async fn run_stages(&mut self) -> WorkEnd {
+    async fn run_stages_once(&mut self) -> WorkEnd {
         let serving = self.serving.clone();
         let lead = self.chain_lead();
         let mut running = FuturesUnordered::new();
@@ -108,7 +108,7 @@
                 let Some(work) = self.stage_work(stage) else {
                     return WorkEnd::NoMakers;
                 };
-                self.promises.remove(&stage);
+                self.reservations.remove(&stage);
                 let stages = &serving.stages;
                 running.push(async move { (stage, stages.make(work).await) });
             }
@@ -130,7 +130,7 @@
     /// not what the request waits for in the end. Requests of the lowest rank do without, and
     /// leave the room for results to the others meanwhile.
     fn chain_lead(&self) -> usize {
-        if !self.serving.mechanisms.get().made_late {
+        if !self.serving.decide_settings.get().made_late {
             return self.route.stages.len();
         }
         let held = self.serving.config.borrow().current();
@@ -147,7 +147,7 @@
             Some(handles) => PieceInput::Results(handles.into()),
             None => PieceInput::Key(key),
         };
-        let near = self.near(stage);
+        let near = self.consumer_domain(stage);
         let pool = self.serving.stages.pool_for(
             &spec.service,
             near.as_ref(),
@@ -157,15 +157,15 @@
         Some(Work {
             pool,
             request_id: self.request.id.clone(),
-            content: self.request.content,
+            content: self.request.fingerprint,
             stage: stage as u32,
             pieces: self.plan.count(stage),
             input,
             due_at: self.due_at(stage),
             near,
             deadline_at: self
-                .hold_until
-                .saturating_sub(self.time_after(stage) + self.reading_time()),
+                .patience_ends_at
+                .saturating_sub(self.time_after(stage) + self.prefill_time()),
             priority: self.priority(),
             result_bytes: spec.result_bytes,
             residency: self.residency.clone(),
@@ -175,7 +175,7 @@
 
     /// When a stage's results are due for the first event to be on time.
     fn due_at(&self, stage: usize) -> Duration {
-        self.objective_at.saturating_sub(self.time_after(stage) + self.reading_time())
+        self.objective_at.saturating_sub(self.time_after(stage) + self.prefill_time())
     }
 
     /// Time that the stages after one take.
@@ -187,29 +187,29 @@
                 return Duration::ZERO;
             };
             let pieces = pieces.min(shape.pieces_max as u32);
-            shape.call_time.mul_f64(1.0 + TURN_PART) + shape.piece_time * pieces
+            shape.call_time.mul_f64(1.0 + QUEUE_WAIT_SHARE) + shape.piece_time * pieces
         };
         self.plan.time_after(stage, &time_of)
     }
 
     /// Time that a model engine needs for the whole prompt.
-    pub(super) fn reading_time(&self) -> Duration {
+    pub(super) fn prefill_time(&self) -> Duration {
         self.serving.prefill_speeds.of(&self.service).time_for(self.prompt_tokens())
     }
 
     /// Failure domain in which a stage's pieces are best made: where its results are read if they
     /// are large, else where the results lie that each piece reads, if those are.
-    fn near(&self, stage: usize) -> Option<Arc<str>> {
-        if !self.serving.mechanisms.get().placing {
+    fn consumer_domain(&self, stage: usize) -> Option<Arc<str>> {
+        if !self.serving.decide_settings.get().placing {
             return None;
         }
         let spec = self.plan.spec(stage);
-        if spec.result_bytes >= NEAR_BYTES_MIN {
+        if spec.result_bytes >= PLACED_BYTES_MIN {
             return self.home.as_ref().map(|home| home.failure_domain.clone());
         }
         let inputs = self.plan.inputs_by_stage(stage);
         let bytes: u64 = inputs.iter().map(|(bytes, handles)| bytes * handles.len() as u64).sum();
-        if bytes < NEAR_BYTES_MIN {
+        if bytes < PLACED_BYTES_MIN {
             return None;
         }
         let largest = inputs.iter().max_by_key(|(bytes, handles)| bytes * handles.len() as u64);
--- a/crates/fernring-gateway/src/serving/ingress.rs
+++ b/crates/fernring-gateway/src/serving/ingress.rs
@@ -30,7 +30,7 @@
 const BUFFER_BYTES_MIN: usize = 8_192;
 /// How long a caller may go on reading when the time of its request is over. One that has stopped would keep its connection, and
 /// one to an upstream, for as long as it likes.
-const UNREAD_TIME: Duration = Duration::from_secs(5);
+const OVERTIME_MAX: Duration = Duration::from_secs(5);
 /// Pause after a failed accept, which mostly means that descriptors are short.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
@@ -47,21 +47,21 @@
 
 /// What a connection is doing.
 #[derive(Debug, Clone, Copy)]
-enum Doing {
+enum Activity {
     /// Nothing, since then.
     Idle(Duration),
     /// Reading a head, since its first byte.
-    Head(Duration),
+    ReadingHead(Duration),
     /// Carrying a request; its own limits hold.
-    Request,
+    ServingRequest,
     /// Sending an answer, which is given up then.
-    Answer(Duration),
+    SendingAnswer(Duration),
 }
 
 /// What the tasks of one connection share.
 #[derive(Debug)]
 pub struct ConnectionState {
-    doing: Cell<Doing>,
+    activity: Cell<Activity>,
     clock: Rc<dyn Clock>,
 }
 
@@ -70,18 +70,18 @@
         self.clock.now().monotonic
     }
 
-    fn started_head(&self) {
-        if let Doing::Idle(_) = self.doing.get() {
-            self.doing.set(Doing::Head(self.now()));
+    fn record_head_start(&self) {
+        if let Activity::Idle(_) = self.activity.get() {
+            self.activity.set(Activity::ReadingHead(self.now()));
         }
     }
 
     fn deadline(&self, limits: &CallerLimits) -> Option<Duration> {
-        match self.doing.get() {
-            Doing::Idle(since) => Some(since + limits.idle_timeout),
-            Doing::Head(since) => Some(since + limits.head_timeout),
-            Doing::Request => None,
-            Doing::Answer(until) => Some(until),
+        match self.activity.get() {
+            Activity::Idle(since) => Some(since + limits.idle_timeout),
+            Activity::ReadingHead(since) => Some(since + limits.head_timeout),
+            Activity::ServingRequest => None,
+            Activity::SendingAnswer(until) => Some(until),
         }
     }
 }
@@ -92,7 +92,7 @@
 
 impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.0.doing.set(Doing::Idle(self.0.now()));
+        self.0.activity.set(Activity::Idle(self.0.now()));
     }
 }
 
@@ -111,7 +111,7 @@
         let before = buffer.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(context, buffer);
         if buffer.filled().len() > before {
-            self.state.started_head();
+            self.state.record_head_start();
         }
         polled
     }
@@ -163,7 +163,7 @@
     }
 
     /// Returns the number of open connections.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.open.get()
     }
 
@@ -183,7 +183,7 @@
             match listener.accept().await {
                 Ok((stream, _)) => {
                     self.open.set(self.open.get() + 1);
-                    spawn_local(self.clone().carry(stream));
+                    spawn_local(self.clone().serve_connection(stream));
                 }
                 Err(error) => {
                     log::warn(LogLine::event("accept_failed").with("error", error));
@@ -193,19 +193,19 @@
         }
     }
 
-    async fn carry(self: Rc<Self>, stream: TcpStream) {
-        if let Err(error) = self.carry_requests(stream).await {
+    async fn serve_connection(self: Rc<Self>, stream: TcpStream) {
+        if let Err(error) = self.serve_requests(stream).await {
             log::info(LogLine::event("connection_broken").with("error", error));
         }
         self.open.set(self.open.get() - 1);
     }
 
-    async fn carry_requests(self: &Rc<Self>, stream: TcpStream) -> anyhow::Result<()> {
+    async fn serve_requests(self: &Rc<Self>, stream: TcpStream) -> anyhow::Result<()> {
         stream.set_nodelay(true)?;
         socket2::SockRef::from(&stream)
             .set_tcp_user_timeout(Some(crate::connections::UNACKNOWLEDGED_MAX))?;
-        let doing = Cell::new(Doing::Idle(self.serving.now()));
-        let state = Rc::new(ConnectionState { doing, clock: self.serving.clock.clone() });
+        let doing = Cell::new(Activity::Idle(self.serving.now()));
+        let state = Rc::new(ConnectionState { activity: doing, clock: self.serving.clock.clone() });
         let limits = self.limits();
         let buffer_bytes = limits.head_bytes_max.max(BUFFER_BYTES_MIN);
         let stream = TokioIo::new(WatchedStream { stream, state: state.clone() });
@@ -220,7 +220,7 @@
         });
         let mut is_closing = false;
         // Reset to what the connection is doing each time that it is looked at.
-        let alarm = &self.serving.alarm;
+        let alarm = &self.serving.deadline_timer;
         let mut timer_at = self.serving.now() + limits.idle_timeout;
         let mut timer = Box::pin(alarm.sleep_until(timer_at));
         poll_fn(|context| {
@@ -256,11 +256,11 @@
         request: Request<Incoming>,
         state: Rc<ConnectionState>,
     ) -> Result<Response<CallerBody>, Infallible> {
-        state.doing.set(Doing::Request);
+        state.activity.set(Activity::ServingRequest);
         let guard = RequestGuard(state.clone());
         let mut response = self.serving.clone().serve(request).await;
-        if let Some(ends_at) = response.body().ends_at() {
-            state.doing.set(Doing::Answer(ends_at + UNREAD_TIME));
+        if let Some(ends_at) = response.body().deadline() {
+            state.activity.set(Activity::SendingAnswer(ends_at + OVERTIME_MAX));
         }
         if self.phase() >= Phase::Leaving {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
--- a/crates/fernring-gateway/src/serving/relay.rs
+++ b/crates/fernring-gateway/src/serving/relay.rs
@@ -4,7 +4,7 @@
     crate::{
         connections::{AnswerBody, BreakOff},
         events::{EventSplitter, last_event_number},
-        exchange::{Ended, Exchange, Opened, StreamFailure},
+        exchange::{ExchangeEnd, Exchange, OpenedResponse, StreamFailure},
         log,
         model::Repeat,
     },
@@ -21,7 +21,7 @@
 /// A stream that is passed on.
 pub struct Relay {
     exchange: Exchange,
-    opened: Opened,
+    opened: OpenedResponse,
     splitter: EventSplitter,
     /// Number of the last whole event that was passed on.
     last_event: Option<u64>,
@@ -32,7 +32,7 @@
 
 impl Relay {
     /// Starts to pass on a stream whose head has come.
-    pub fn new(exchange: Exchange, opened: Opened) -> Self {
+    pub fn new(exchange: Exchange, opened: OpenedResponse) -> Self {
         let last_event = exchange.resume_after();
         let is_resumable = exchange.repeat() == Repeat::Resume && opened.status().is_success();
         let splitter = EventSplitter::default();
@@ -45,35 +45,35 @@
             return None;
         }
         loop {
-            let step = self.step().await;
+            let step = self.next_step().await;
             match step {
                 Ok(Some(bytes)) if bytes.is_empty() => {}
                 Ok(Some(bytes)) => return Some(Ok(bytes)),
                 Ok(None) => {
                     self.is_done = true;
-                    self.exchange.finished(Ended::Answered { status: self.opened.status() });
+                    self.exchange.record_end(ExchangeEnd::Answered { status: self.opened.status() });
                     let rest = self.splitter.finish();
                     return (!rest.is_empty()).then_some(Ok(rest));
                 }
                 Err(error) => {
                     self.is_done = true;
-                    self.exchange.finished(Ended::Broken(&error));
+                    self.exchange.record_end(ExchangeEnd::Broken(&error));
                     return Some(Err(error));
                 }
             }
         }
     }
 
-    async fn step(&mut self) -> Result<Option<Bytes>, StreamFailure> {
+    async fn next_step(&mut self) -> Result<Option<Bytes>, StreamFailure> {
         if self.exchange.time_left().is_zero() {
             return Err(StreamFailure::TimedOut);
         }
         let patience = self.is_resumable.then_some(SILENCE_MAX);
         let next = next_bytes(&mut self.opened.body);
-        match self.exchange.wait_for(patience, next).await {
+        match self.exchange.wait_at_most(patience, next).await {
             Some(Some(Ok(bytes))) => {
-                self.exchange.got_bytes(&mut self.opened);
-                Ok(Some(self.take(bytes)?))
+                self.exchange.record_bytes(&mut self.opened);
+                Ok(Some(self.complete_events(bytes)?))
             }
             Some(None) => Ok(None),
             Some(Some(Err(error))) => self.resume(error).await,
@@ -82,7 +82,7 @@
         }
     }
 
-    fn take(&mut self, bytes: Bytes) -> Result<Bytes, StreamFailure> {
+    fn complete_events(&mut self, bytes: Bytes) -> Result<Bytes, StreamFailure> {
         if !self.is_resumable {
             return Ok(bytes);
         }
@@ -101,7 +101,7 @@
         self.splitter.discard();
         // Closed before another upstream is asked, so that two never work on it.
         self.opened.body.close();
-        self.exchange.send_broke(&self.opened, &why);
+        self.exchange.record_broken_send(&self.opened, &why);
         if !self.is_resumable {
             return Err(StreamFailure::Broken(why.reason));
         }
@@ -112,7 +112,7 @@
                     return Ok(Some(Bytes::new()));
                 }
                 // A failure's body is no event: it must not reach the caller.
-                Ok(failed) => self.exchange.answered_with_failure_head(&failed),
+                Ok(failed) => self.exchange.record_failure_head(&failed),
                 Err(_) => return Err(StreamFailure::Broken(why.reason)),
             }
         }
--- a/crates/fernring-gateway/src/serving/serve.rs
+++ b/crates/fernring-gateway/src/serving/serve.rs
@@ -8,7 +8,7 @@
         connections::BreakOff,
         fingerprint::Fingerprint,
         context::ServingContext,
-        exchange::{CallerRequest, Ended, Exchange, InFlight, Opened},
+        exchange::{CallerRequest, ExchangeEnd, Exchange, InFlight, OpenedResponse},
         log, measures,
         model::{Route, Workspace, key_hash},
         refusal::{RETRY_AFTER_NOT_READY, Refusal},
@@ -33,7 +33,7 @@
 
 /// Longest whole answer of a plain route that is held until it is complete, in bytes. Larger ones
 /// end as failed: nothing of the kind is served today.
-const WHOLE_ANSWER_BYTES_MAX: usize = 8 << 20;
+const PLAIN_ANSWER_BYTES_MAX: usize = 8 << 20;
 /// How long the rest of a body that is too long is read, so that its sender sees the answer.
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(1);
 
@@ -66,7 +66,7 @@
             arrived_at,
         );
         drop(in_flight);
-        if streaming { self.stream(exchange).await } else { self.plain(exchange).await }
+        if streaming { self.serve_stream(exchange).await } else { self.serve_plain(exchange).await }
     }
 
     fn log_refusal(&self, id: Option<&str>, refusal: &Refusal) {
@@ -100,7 +100,7 @@
         };
         let end_at = arrived_at + route.wait(fields.remaining);
         let reading = read_body(body, held.config.limits.body_bytes_max);
-        let body = self.alarm.complete_by(end_at, reading).await;
+        let body = self.deadline_timer.complete_by(end_at, reading).await;
         let body = body.unwrap_or_else(|| Err(Refusal::slow_body()));
         let body = body.map_err(refuse)?;
         let path = head.uri.path_and_query().map(|path| path.as_str()).unwrap_or("/");
@@ -113,11 +113,11 @@
         let method = head.method;
         let caller = workspace.as_ref().map(|workspace| &*workspace.name);
         let content = Fingerprint::of(caller, path, &body);
-        let request = CallerRequest { method, uri, headers, body, fields, id: request_id, content };
+        let request = CallerRequest { method, uri, headers, body, fields, id: request_id, fingerprint: content };
         Ok(Accepted { route, workspace, request })
     }
 
-    async fn plain(&self, mut exchange: Exchange) -> Response<CallerBody> {
+    async fn serve_plain(&self, mut exchange: Exchange) -> Response<CallerBody> {
         let mut failure = None;
         loop {
             let opened = match exchange.open().await {
@@ -132,25 +132,25 @@
             let status = opened.status();
             let is_failure = opened.is_failure();
             let key = opened.key();
-            match self.collect(&mut exchange, opened).await {
+            match self.collect_answer(&mut exchange, opened).await {
                 Ok(answer) if is_failure && exchange.may_send() => {
-                    exchange.answered_with_failure();
+                    exchange.record_failure_response();
                     if !exchange.may_send() {
-                        exchange.finished(Ended::Answered { status });
+                        exchange.record_end(ExchangeEnd::Answered { status });
                         return answer;
                     }
                     failure = Some(answer);
                 }
                 Ok(answer) => {
-                    exchange.succeeded(key);
-                    exchange.finished(Ended::Answered { status });
+                    exchange.record_success(key);
+                    exchange.record_end(ExchangeEnd::Answered { status });
                     return answer;
                 }
                 Err(reason) => {
                     if exchange.may_send() {
                         continue;
                     }
-                    let refusal = exchange.give_up(ResultCode::StageFailed, &reason);
+                    let refusal = exchange.refusal_for(ResultCode::StageFailed, &reason);
                     return self.refuse(&mut exchange, &refusal);
                 }
             }
@@ -158,17 +158,17 @@
     }
 
     /// Reads a whole answer; the account of the send is settled if that fails.
-    async fn collect(
+    async fn collect_answer(
         &self,
         exchange: &mut Exchange,
-        mut opened: Opened,
+        mut opened: OpenedResponse,
     ) -> Result<Response<CallerBody>, String> {
-        let collecting = Limited::new(&mut opened.body, WHOLE_ANSWER_BYTES_MAX).collect();
-        let why = match self.alarm.complete_by(exchange.end_at(), collecting).await {
+        let collecting = Limited::new(&mut opened.body, PLAIN_ANSWER_BYTES_MAX).collect();
+        let why = match self.deadline_timer.complete_by(exchange.end_at(), collecting).await {
             Some(Ok(whole)) => {
-                opened.is_whole_so_far();
-                let body = CallerBody::full(Full::new(whole.to_bytes())).until(exchange.end_at());
-                return Ok(response(&opened, body, true));
+                opened.record_intact();
+                let body = CallerBody::full(Full::new(whole.to_bytes())).with_deadline(exchange.end_at());
+                return Ok(caller_response(&opened, body, true));
             }
             Some(Err(error)) => match error.downcast_ref::<hyper::Error>() {
                 Some(error) => error.into(),
@@ -176,12 +176,12 @@
             },
             None => BreakOff::silent("the answer was not whole in time"),
         };
-        exchange.send_broke(&opened, &why);
+        exchange.record_broken_send(&opened, &why);
         Err(why.reason)
     }
 
-    async fn stream(&self, mut exchange: Exchange) -> Response<CallerBody> {
-        let opened = match exchange.make_stages().await {
+    async fn serve_stream(&self, mut exchange: Exchange) -> Response<CallerBody> {
+        let opened = match exchange.admit_and_run_stages().await {
             Ok(()) => exchange.open().await,
             Err(refusal) => Err(refusal),
         };
@@ -189,9 +189,9 @@
             Ok(opened) => opened,
             Err(refusal) => return self.refuse(&mut exchange, &refusal),
         };
-        let head = response(&opened, CallerBody::full(Full::default()), false);
+        let head = caller_response(&opened, CallerBody::full(Full::default()), false);
         if opened.status() == StatusCode::OK {
-            exchange.succeeded(opened.key());
+            exchange.record_success(opened.key());
         }
         let end_at = exchange.end_at();
         let relay = Relay::new(exchange, opened);
@@ -199,11 +199,11 @@
             let item = relay.next().await?;
             Some((item, relay))
         });
-        head.map(|_| CallerBody::stream(events).until(end_at))
+        head.map(|_| CallerBody::stream(events).with_deadline(end_at))
     }
 
     fn refuse(&self, exchange: &mut Exchange, refusal: &Refusal) -> Response<CallerBody> {
-        exchange.finished(Ended::Refused(refusal));
+        exchange.record_end(ExchangeEnd::Refused(refusal));
         refusal.response(&*self.wire).map(CallerBody::full)
     }
 }
@@ -248,23 +248,23 @@
         return Ok(Bytes::new());
     }
     if body.size_hint().lower() > bytes_max as u64 {
-        return Err(too_long(body, bytes_max).await);
+        return Err(body_too_long(body, bytes_max).await);
     }
     match Limited::new(&mut body, bytes_max).collect().await {
         Ok(whole) => Ok(whole.to_bytes()),
-        Err(error) if error.is::<LengthLimitError>() => Err(too_long(body, bytes_max).await),
+        Err(error) if error.is::<LengthLimitError>() => Err(body_too_long(body, bytes_max).await),
         Err(error) => Err(Refusal::invalid_request(ResultCode::BadRequest, error.to_string())),
     }
 }
 
-async fn too_long(body: Incoming, bytes_max: usize) -> Refusal {
-    discard(body).await;
+async fn body_too_long(body: Incoming, bytes_max: usize) -> Refusal {
+    drain_body(body).await;
     Refusal::invalid_request(ResultCode::BodyTooLarge, format!("over {bytes_max} bytes"))
 }
 
 /// Reads on for a while, since closing a connection with unread bytes resets it and the answer
 /// would be lost.
-async fn discard(mut body: Incoming) {
+async fn drain_body(mut body: Incoming) {
     let reading = async { while let Some(Ok(_)) = body.frame().await {} };
     // Whether it ended or not, the answer is the same.
     drop(timeout(DISCARD_TIMEOUT, reading).await);
@@ -296,7 +296,7 @@
     }
 }
 
-fn response(opened: &Opened, body: CallerBody, is_whole: bool) -> Response<CallerBody> {
+fn caller_response(opened: &OpenedResponse, body: CallerBody, is_whole: bool) -> Response<CallerBody> {
     let mut response = Response::new(body);
     *response.status_mut() = opened.head.status;
     let mut headers = opened.head.headers.clone();
