--- a/crates/fernring-gateway/src/serving/context.rs
+++ b/crates/fernring-gateway/src/serving/context.rs
@@ -2,9 +2,9 @@
 
 use {
     crate::{
-        deadline_timer::DeadlineTimer, blame::Blame, config::ConfigState, peers::Peers, reading::ReadingSpeeds,
-        retries::Retries, rollout::shell::Rollouts, settings::DecideSettings, stages::Stages,
-        upstreams::Upstreams, wire::Wire,
+        blame::Blame, config::ConfigState, deadline_timer::DeadlineTimer, peers::Peers,
+        reading::ReadingSpeeds, retries::Retries, rollout::shell::Rollouts,
+        settings::DecideSettings, stages::Stages, upstreams::Upstreams, wire::Wire,
     },
     fernring_core::clock::Clock,
     std::{
--- a/crates/fernring-gateway/src/serving/exchange/sending.rs
+++ b/crates/fernring-gateway/src/serving/exchange/sending.rs
@@ -136,7 +136,8 @@
 
     /// Tells whether another upstream may be asked.
     pub fn may_send(&self) -> bool {
-        let is_turned_away = self.serving.crash_attribution.is_turned_away(self.request.fingerprint);
+        let is_turned_away =
+            self.serving.crash_attribution.is_turned_away(self.request.fingerprint);
         self.attempts.may_send() && !is_turned_away && !self.time_left().is_zero()
     }
 
@@ -247,7 +248,10 @@
             .with("is_avoided", chosen.is_some_and(|candidate| candidate.is_avoided))
             .with("is_cold", chosen.is_some_and(|candidate| candidate.is_cold))
             .with("is_home", is_home)
-            .with("reads_per_ms", self.serving.prefill_speeds.of(&self.service).tokens_in(ONE_MS).round())
+            .with(
+                "reads_per_ms",
+                self.serving.prefill_speeds.of(&self.service).tokens_in(ONE_MS).round(),
+            )
             .with("config", self.serving.config.borrow().version())
             .with("left_ms", self.time_left().as_millis());
         log::info(line);
@@ -349,7 +353,11 @@
     }
 
     /// Finds what is wrong with the head of an answer to a request that left at `sent_at`.
-    fn check_head(&self, opened: &mut OpenedResponse, sent_at: Duration) -> Option<(SendEnd, String)> {
+    fn check_head(
+        &self,
+        opened: &mut OpenedResponse,
+        sent_at: Duration,
+    ) -> Option<(SendEnd, String)> {
         let status = opened.head.status;
         let fields = self.serving.wire.decode_answer(status, &opened.head.headers);
         if fields.wrong_instance {
--- a/crates/fernring-gateway/src/serving/ingress.rs
+++ b/crates/fernring-gateway/src/serving/ingress.rs
@@ -2,7 +2,8 @@
 
 use {
     crate::{
-        caller_body::CallerBody, config::ConfigState, context::ServingContext, log, model::CallerLimits,
+        caller_body::CallerBody, config::ConfigState, context::ServingContext, log,
+        model::CallerLimits,
     },
     fernring_core::{clock::Clock, text::LogLine},
     http::{HeaderValue, Request, Response, header::CONNECTION},
--- a/crates/fernring-gateway/src/serving/mod.rs
+++ b/crates/fernring-gateway/src/serving/mod.rs
@@ -4,12 +4,12 @@
 //! account, has its stages made and sends it; [`relay`] passes a stream on. Each uses only those named after it, and the parts of
 //! the node that [`context`] holds.
 
-pub mod deadline_timer;
 pub mod caller_body;
-pub mod fingerprint;
 pub mod context;
+pub mod deadline_timer;
 pub mod events;
 pub mod exchange;
+pub mod fingerprint;
 pub mod ingress;
 pub mod refusal;
 pub mod relay;
--- a/crates/fernring-gateway/src/serving/refusal.rs
+++ b/crates/fernring-gateway/src/serving/refusal.rs
@@ -53,7 +53,13 @@
         detail: impl Into<String>,
     ) -> Self {
         let status = StatusCode::SERVICE_UNAVAILABLE;
-        Self { code, detail: detail.into(), status, retry_after: Some(after), closes_connection: false }
+        Self {
+            code,
+            detail: detail.into(),
+            status,
+            retry_after: Some(after),
+            closes_connection: false,
+        }
     }
 
     /// Turns away a request that has not run and that upstreams end under. There is no time to come back at: it would be
--- a/crates/fernring-gateway/src/serving/relay.rs
+++ b/crates/fernring-gateway/src/serving/relay.rs
@@ -4,7 +4,7 @@
     crate::{
         connections::{AnswerBody, BreakOff},
         events::{EventSplitter, last_event_number},
-        exchange::{ExchangeEnd, Exchange, OpenedResponse, StreamFailure},
+        exchange::{Exchange, ExchangeEnd, OpenedResponse, StreamFailure},
         log,
         model::Repeat,
     },
@@ -51,7 +51,8 @@
                 Ok(Some(bytes)) => return Some(Ok(bytes)),
                 Ok(None) => {
                     self.is_done = true;
-                    self.exchange.record_end(ExchangeEnd::Answered { status: self.opened.status() });
+                    self.exchange
+                        .record_end(ExchangeEnd::Answered { status: self.opened.status() });
                     let rest = self.splitter.finish();
                     return (!rest.is_empty()).then_some(Ok(rest));
                 }
--- a/crates/fernring-gateway/src/serving/serve.rs
+++ b/crates/fernring-gateway/src/serving/serve.rs
@@ -6,9 +6,9 @@
         caller_body::CallerBody,
         config::HeldConfig,
         connections::BreakOff,
-        fingerprint::Fingerprint,
         context::ServingContext,
-        exchange::{CallerRequest, ExchangeEnd, Exchange, InFlight, OpenedResponse},
+        exchange::{CallerRequest, Exchange, ExchangeEnd, InFlight, OpenedResponse},
+        fingerprint::Fingerprint,
         log, measures,
         model::{Route, Workspace, key_hash},
         refusal::{RETRY_AFTER_NOT_READY, Refusal},
@@ -113,7 +113,15 @@
         let method = head.method;
         let caller = workspace.as_ref().map(|workspace| &*workspace.name);
         let content = Fingerprint::of(caller, path, &body);
-        let request = CallerRequest { method, uri, headers, body, fields, id: request_id, fingerprint: content };
+        let request = CallerRequest {
+            method,
+            uri,
+            headers,
+            body,
+            fields,
+            id: request_id,
+            fingerprint: content,
+        };
         Ok(Accepted { route, workspace, request })
     }
 
@@ -167,7 +175,8 @@
         let why = match self.deadline_timer.complete_by(exchange.end_at(), collecting).await {
             Some(Ok(whole)) => {
                 opened.record_intact();
-                let body = CallerBody::full(Full::new(whole.to_bytes())).with_deadline(exchange.end_at());
+                let body =
+                    CallerBody::full(Full::new(whole.to_bytes())).with_deadline(exchange.end_at());
                 return Ok(caller_response(&opened, body, true));
             }
             Some(Err(error)) => match error.downcast_ref::<hyper::Error>() {
@@ -296,7 +305,11 @@
     }
 }
 
-fn caller_response(opened: &OpenedResponse, body: CallerBody, is_whole: bool) -> Response<CallerBody> {
+fn caller_response(
+    opened: &OpenedResponse,
+    body: CallerBody,
+    is_whole: bool,
+) -> Response<CallerBody> {
     let mut response = Response::new(body);
     *response.status_mut() = opened.head.status;
     let mut headers = opened.head.headers.clone();
--- a/crates/fernring-gateway/src/store/directory.rs
+++ b/crates/fernring-gateway/src/store/directory.rs
@@ -359,7 +359,9 @@
                 removal.started_ms = removal.started_ms.max(record.started_ms);
                 return self.remove_earlier_incarnation(&record);
             }
-            if is_earlier(record.started_ms, removal.started_ms) || removal.is_from_copy(at, &record) {
+            if is_earlier(record.started_ms, removal.started_ms)
+                || removal.is_from_copy(at, &record)
+            {
                 return Effect::None;
             }
         }
@@ -373,7 +375,8 @@
         let upstream = &mut self.upstreams[key];
         let known_ms = upstream.record.started_ms;
         if is_earlier(known_ms, record.started_ms) {
-            return self.replace_restarted(key, Upstream { record, at, removal_due: None, cold_until });
+            return self
+                .replace_restarted(key, Upstream { record, at, removal_due: None, cold_until });
         }
         if is_earlier(record.started_ms, known_ms) {
             return Effect::None;
--- a/crates/fernring-gateway/src/store/evacuations.rs
+++ b/crates/fernring-gateway/src/store/evacuations.rs
@@ -1,18 +1,17 @@
-//! Which failure domains operators have evacuated: nothing new is sent to the upstreams there. No I/O.
+//! Tracks which failure domains operators have evacuated: nothing new is sent to the upstreams there. No I/O.
 //!
-//! The load that this answers: a failure domain of a third of the upstreams is emptied while hundreds of nodes send
-//! there. An operator's word is a record of the topic that holds the configuration, and is known the same ways: whoever
-//! reads the store reads it, and each heartbeat holds all words that its sender knows, a few dozen bytes a domain, before
-//! it confirms how old that knowledge is. Of two words on a domain the one at the later position holds, whichever
-//! way it came.
+//! Handles the evacuation of a failure domain with a third of the upstreams while hundreds of nodes send to it. An operator's
+//! order is a record in the topic of the configuration and spreads in the same two ways: nodes that read the store read it, and
+//! each heartbeat carries all orders that its sender knows, a few dozen bytes per domain, ahead of the age that confirms them.
+//! Of two orders for a domain, the one at the later position applies, regardless of the way it came.
 //!
 //! ```
-//! use fernring_gateway::{evacuations::{Evacuations, Word}, position::Position};
+//! use fernring_gateway::{evacuations::{EvacuationOrder, Evacuations}, position::Position};
 //!
 //! let mut evacuations = Evacuations::default();
 //! let at = Position::new(0, 7);
-//! assert!(evacuations.learn("a".into(), Word { at, is_in_force: true }));
-//! assert!(evacuations.covers("a") && !evacuations.covers("b"));
+//! assert!(evacuations.apply("a".into(), EvacuationOrder { at, is_in_force: true }));
+//! assert!(evacuations.is_evacuated("a") && !evacuations.is_evacuated("b"));
 //! ```
 
 use {
@@ -20,42 +19,46 @@
     std::{collections::BTreeMap, sync::Arc},
 };
 
-/// Domains that words are kept of: far more than a deployment has. A word on a further one takes the place of the oldest
-/// that was taken back, so that a faulty operator's tool can't fill memory and heartbeats.
+/// Most domains with a known order, far more than a deployment has. An order for one more domain replaces the oldest withdrawn
+/// order, so that a faulty operator tool can't fill memory and heartbeats.
 const DOMAINS_MAX: usize = 256;
 
-/// The newest word on one failure domain.
+/// An operator's newest order for one failure domain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EvacuationOrder {
-    /// Where it lies in the store.
+    /// Position of its record in the store.
     pub at: Position,
-    /// Whether the domain is evacuated; if not, that was taken back.
+    /// Whether the domain is evacuated; if not, the evacuation was withdrawn.
     pub is_in_force: bool,
 }
 
-/// The words of operators on failure domains.
+/// The operators' orders for failure domains.
 #[derive(Debug, Clone, Default)]
 pub struct Evacuations {
     /// Invariant: at most [`DOMAINS_MAX`] entries, unless more are evacuated.
-    words: BTreeMap<Arc<str>, EvacuationOrder>,
+    orders: BTreeMap<Arc<str>, EvacuationOrder>,
 }
 
 impl Evacuations {
-    /// Takes in a word; tells whether a domain is evacuated or given back by it.
-    pub fn apply(&mut self, failure_domain: Arc<str>, word: EvacuationOrder) -> bool {
-        let before = self.words.get(&failure_domain).copied();
-        if before.is_some_and(|before| word.at <= before.at) {
+    /// Applies an order; returns whether it changes whether the domain is evacuated.
+    pub fn apply(&mut self, failure_domain: Arc<str>, order: EvacuationOrder) -> bool {
+        let before = self.orders.get(&failure_domain).copied();
+        if before.is_some_and(|before| order.at <= before.at) {
             return false;
         }
-        self.words.insert(failure_domain, word);
+        self.orders.insert(failure_domain, order);
         self.drop_oldest_withdrawn();
-        before.is_some_and(|before| before.is_in_force) != word.is_in_force
+        before.is_some_and(|before| before.is_in_force) != order.is_in_force
     }
 
-    /// Takes in that the store held the words `present` and no others up to `end`. One of the same era that is missing was
-    /// taken back; one of an earlier era may be missing from the copy that the store came back from, and holds until the
-    /// operator says something new. Returns the domains for which that changes something.
-    pub fn replace_all(&mut self, present: Vec<(Arc<str>, Position)>, end: Position) -> Vec<Arc<str>> {
+    /// Applies a full read: the store held the orders `present` and no others up to `end`. A known order of the same era that is
+    /// missing was withdrawn. One of an earlier era may only be missing from the backup that the store was restored from, and
+    /// applies until the operator gives a new order. Returns the domains that were evacuated or released by this.
+    pub fn replace_all(
+        &mut self,
+        present: Vec<(Arc<str>, Position)>,
+        end: Position,
+    ) -> Vec<Arc<str>> {
         let names: Vec<_> = present.iter().map(|(domain, _)| domain.clone()).collect();
         let mut changed = Vec::new();
         for (domain, at) in present {
@@ -63,44 +66,44 @@
                 changed.push(domain);
             }
         }
-        for (domain, word) in &mut self.words {
-            let is_of_era = word.at.era == end.era && word.at < end;
-            if word.is_in_force && is_of_era && !names.contains(domain) {
-                *word = EvacuationOrder { at: word.at.next(), is_in_force: false };
+        for (domain, order) in &mut self.orders {
+            let is_of_same_era = order.at.era == end.era && order.at < end;
+            if order.is_in_force && is_of_same_era && !names.contains(domain) {
+                *order = EvacuationOrder { at: order.at.next(), is_in_force: false };
                 changed.push(domain.clone());
             }
         }
         changed
     }
 
-    /// Tells whether a failure domain is evacuated.
+    /// Returns whether a failure domain is evacuated.
     pub fn is_evacuated(&self, failure_domain: &str) -> bool {
-        self.words.get(failure_domain).is_some_and(|word| word.is_in_force)
+        self.orders.get(failure_domain).is_some_and(|order| order.is_in_force)
     }
 
-    /// Returns the newest word on a failure domain.
+    /// Returns the newest order for a failure domain.
     pub fn order(&self, failure_domain: &str) -> Option<EvacuationOrder> {
-        self.words.get(failure_domain).copied()
+        self.orders.get(failure_domain).copied()
     }
 
     /// Returns the number of evacuated failure domains.
     pub fn evacuated_count(&self) -> usize {
-        self.words.values().filter(|word| word.is_in_force).count()
+        self.orders.values().filter(|order| order.is_in_force).count()
     }
 
-    /// Lists all words, to be passed on.
+    /// Lists all orders, to be passed on to peers.
     pub fn orders(&self) -> impl Iterator<Item = (&Arc<str>, &EvacuationOrder)> {
-        self.words.iter()
+        self.orders.iter()
     }
 
     fn drop_oldest_withdrawn(&mut self) {
-        if self.words.len() <= DOMAINS_MAX {
+        if self.orders.len() <= DOMAINS_MAX {
             return;
         }
-        let taken_back = self.words.iter().filter(|(_, word)| !word.is_in_force);
-        let oldest = taken_back.min_by_key(|(_, word)| word.at).map(|(domain, _)| domain.clone());
+        let withdrawn = self.orders.iter().filter(|(_, order)| !order.is_in_force);
+        let oldest = withdrawn.min_by_key(|(_, order)| order.at).map(|(domain, _)| domain.clone());
         if let Some(oldest) = oldest {
-            self.words.remove(&oldest);
+            self.orders.remove(&oldest);
         }
     }
 }
--- a/crates/fernring-gateway/src/store/freshness.rs
+++ b/crates/fernring-gateway/src/store/freshness.rs
@@ -1,10 +1,10 @@
-//! How well a node knows what a topic of the store holds, and whether it has to read it itself.
+//! Decides how fresh a node's copy of a topic of the store is, and whether the node has to read the store itself.
 //!
-//! One node of each failure domain reads; the others follow its heartbeats. The first of these readers asks
-//! often, and its answers confirm what all nodes know; the others ask seldom, so that a domain that is cut
-//! off has one. Only who has read the store says how long ago that was. Whoever has had no sign for a while that
-//! what it knows is the newest asks too, so a reader that is lost, or cut off from the store, costs a moment and
-//! never the configuration's bound.
+//! One node of each failure domain reads the store; the others rely on its heartbeats. The first of these readers reads often,
+//! and its answers confirm the state of all nodes. The others read seldom; they are there so that a domain behind a network
+//! partition has a reader. Only a node that has read the store itself reports how long ago that was. A node whose state hasn't
+//! been confirmed for a while reads too, so a reader that is lost or has no connection to the store causes a short delay and
+//! never exceeds the bound on the age of the configuration.
 //!
 //! ```
 //! use {
@@ -14,10 +14,10 @@
 //!
 //! let now = Duration::from_secs(10);
 //! let mut freshness = Freshness::new(0.0);
-//! assert!(freshness.shall_read(now, ReaderPart::None), "nothing is known yet");
-//! freshness.confirmed(now);
-//! assert!(!freshness.shall_read(now, ReaderPart::None));
-//! assert!(freshness.shall_read(now + STALE_AFTER, ReaderPart::None));
+//! assert!(freshness.should_read(now, ReaderPart::None), "nothing is known yet");
+//! freshness.record_confirmation(now);
+//! assert!(!freshness.should_read(now, ReaderPart::None));
+//! assert!(freshness.should_read(now + STALE_AFTER, ReaderPart::None));
 //! ```
 
 use {
@@ -25,26 +25,26 @@
     std::{ops::Range, time::Duration},
 };
 
-/// Wait of one read of the first reader for a record. Each answer confirms what all nodes know.
+/// How long one read of the first reader waits for a record. Each answer confirms the state of all nodes.
 const FIRST_READ_WAIT: Range<Duration> = Duration::from_millis(600)..Duration::from_millis(850);
-/// Wait of one read of another reader: as long as the calls to the store that it saves are worth it.
+/// How long one read of another reader waits for a record: longer, to save calls to the store.
 const READ_WAIT: Range<Duration> = Duration::from_millis(3_000)..Duration::from_millis(4_000);
-/// Age from which on a reader doesn't wait any more for the first one: the longest wait of that
-/// one, two heartbeats, and a little.
+/// Age from which on a reader no longer relies on the first one: the longest wait of the first reader, two heartbeats, and a
+/// margin.
 pub const DOUBT_AFTER: Duration = Duration::from_millis(1_150);
-/// Age from which on any node asks. With the reading it stays within the two seconds in which the
-/// users want a configuration in force, and leaves a reader time to ask and tell.
+/// Age from which on any node reads the store. Together with the read it stays within the two seconds in which users want a
+/// configuration in force, and it leaves a reader time to read and to send its heartbeat.
 pub const STALE_AFTER: Duration = Duration::from_millis(1_450);
-/// Over how much time nodes that become stale together spread their reads; the first that is
-/// answered tells the others.
+/// Period over which nodes that become stale together spread their reads; the first one that gets an answer confirms the state
+/// of the others.
 const STALE_SPREAD: Duration = Duration::from_millis(250);
-/// How long a node goes on reading that had to stand in for its reader.
+/// How long a node keeps reading after it had to stand in for its reader.
 const STAND_IN_TIME: Duration = Duration::from_secs(3);
 
-/// What is known of one topic.
+/// When one topic was last confirmed and read.
 #[derive(Debug, Clone)]
 pub struct Freshness {
-    /// By an own read, or by a peer that told of its own.
+    /// Last confirmation, by a read of this node or by a peer's report of its own read.
     confirmed_at: Option<Duration>,
     read_at: Option<Duration>,
     stand_in_until: Duration,
@@ -52,18 +52,24 @@
 }
 
 impl Freshness {
-    /// Starts with nothing known. `draw`, from 0 to 1, spreads the nodes.
+    /// Creates the state of a topic that was never read. `draw` is a random number from 0 to 1 that spreads the reads of many
+    /// nodes over time.
     pub fn new(draw: f64) -> Self {
         let patience = STALE_AFTER + STALE_SPREAD.mul_f64(draw.clamp(0.0, 1.0));
-        Self { confirmed_at: None, read_at: None, stand_in_until: Duration::ZERO, stale_after: patience }
+        Self {
+            confirmed_at: None,
+            read_at: None,
+            stand_in_until: Duration::ZERO,
+            stale_after: patience,
+        }
     }
 
-    /// Takes in that what is known here was the newest at some time.
+    /// Records that this node's state of the topic was the newest at `at`.
     pub fn record_confirmation(&mut self, at: Duration) {
         self.confirmed_at = self.confirmed_at.max(Some(at));
     }
 
-    /// Takes in that the store answered a read of this node.
+    /// Records that the store answered a read of this node.
     pub fn record_read(&mut self, now: Duration, part: ReaderPart) {
         if part == ReaderPart::None && self.confirmed_at.is_some() && self.is_stale(now) {
             self.stand_in_until = now + STAND_IN_TIME;
@@ -72,31 +78,31 @@
         self.record_confirmation(now);
     }
 
-    /// Returns the age that peers are told: the time since this node itself read the store last. What it has
-    /// heard isn't told on: each hop leaves out the time on the way, so that among many nodes ages grow
-    /// hardly at all (with 78 of them and 1 to 8 ms on the way, doubt came after 6.6 s in place of 1.7 s).
+    /// Returns the age that heartbeats report: the time since this node itself last read the store. Ages received from peers
+    /// aren't passed on: each hop leaves out its transit time, so among many nodes ages would hardly grow (with 78 nodes and 1 to
+    /// 8 ms of transit, nodes began to doubt their state after 6.6 s instead of 1.7 s).
     pub fn reported_age(&self, now: Duration) -> Option<Duration> {
         self.read_at.map(|at| now.saturating_sub(at))
     }
 
-    /// Returns the time since what is known was last the newest for sure; `None` if nothing is known.
+    /// Returns the time since the last confirmation; `None` if there was none.
     pub fn age(&self, now: Duration) -> Option<Duration> {
         self.confirmed_at.map(|at| now.saturating_sub(at))
     }
 
-    /// Tells whether what is known may be out of date.
+    /// Returns whether this node's state may be out of date, so that the node has to read the store.
     pub fn is_stale(&self, now: Duration) -> bool {
         self.age(now).is_none_or(|age| age >= self.stale_after)
     }
 
-    /// Returns the time until a reader is in doubt.
+    /// Returns the time until [`Freshness::needs_confirmation`] holds.
     pub fn time_until_doubt(&self, now: Duration) -> Duration {
         self.age(now).map_or(Duration::ZERO, |age| DOUBT_AFTER.saturating_sub(age))
     }
 
-    /// Returns how long a read waits for a record, of what was drawn from [`read_wait`]. The first reader has to say
-    /// again that nothing is new before others doubt it: after a pause in which records gathered, a whole wait ended
-    /// when what all nodes knew was 1.45 s old, and each of them read by itself for three seconds.
+    /// Returns how long a read waits for a record, given a wait drawn from [`read_wait`]. The first reader shortens it, so that
+    /// its next confirmation comes before the others doubt their state: when a full wait followed a pause to coalesce records,
+    /// the state of all nodes was 1.45 s old at its end, and each of them read the store itself for three seconds.
     pub fn read_wait_of(&self, now: Duration, part: ReaderPart, drawn: Duration) -> Duration {
         match part {
             ReaderPart::First => drawn.min(self.time_until_doubt(now)),
@@ -104,23 +110,23 @@
         }
     }
 
-    /// Tells whether a reader doesn't wait any longer for others to confirm what is known.
+    /// Returns whether a reader no longer waits for others to confirm its state and reads at once.
     pub fn needs_confirmation(&self, now: Duration) -> bool {
         self.age(now).is_none_or(|age| age >= DOUBT_AFTER)
     }
 
-    /// Tells whether this node reads the store now.
+    /// Returns whether this node should read the store now.
     pub fn should_read(&self, now: Duration, part: ReaderPart) -> bool {
         part != ReaderPart::None || now < self.stand_in_until || self.is_stale(now)
     }
 }
 
-/// Returns how long a read waits for a record.
+/// Returns the range from which the wait of a read for a record is drawn.
 pub fn read_wait(part: ReaderPart) -> Range<Duration> {
     match part {
-        // Who stands in for the readers confirms what others know, as the first reader does.
+        // A node that stands in for the readers confirms the state of others, as the first reader does.
         ReaderPart::First | ReaderPart::None => FIRST_READ_WAIT,
-        // Nobody but this node depends on what a lone one hears.
+        // No other node depends on the answers that a lone node gets.
         ReaderPart::OfDomain | ReaderPart::Alone => READ_WAIT,
     }
 }
--- a/crates/fernring-gateway/src/store/full_read.rs
+++ b/crates/fernring-gateway/src/store/full_read.rs
@@ -1,14 +1,14 @@
-//! The newest records of a topic, page by page. No I/O.
+//! Reads the newest records of a topic page by page. No I/O.
 //!
-//! A page that fails is asked for again and those before it are kept: if all were read anew, a store that answers nine calls in ten
-//! would hardly ever have twenty pages read in a row, and what it does answer would be thrown away.
+//! Only the page that failed is requested again. Starting over at each failure would rarely finish: a store that answers nine
+//! calls in ten would hardly ever return twenty pages in a row.
 
 use {
     crate::wire::{NewestPage, Page, StoreError},
     std::sync::Arc,
 };
 
-/// The pages that were read so far.
+/// Collects the pages of a full read of a topic.
 #[derive(Debug, Clone, Default)]
 pub struct FullRead {
     pages: Option<Page>,
@@ -16,25 +16,25 @@
 }
 
 impl FullRead {
-    /// Tells whether a page was read.
+    /// Returns whether at least one page was read.
     pub fn has_started(&self) -> bool {
         self.pages.is_some()
     }
 
-    /// Returns the key after which the next page begins; `None` for the first.
+    /// Returns the key after which the next page starts; `None` for the first page.
     pub fn page_token(&self) -> Option<&str> {
         self.next.as_deref()
     }
 
-    /// Returns the pages so far.
+    /// Returns the records of the pages read so far, merged into one page.
     pub fn pages(&self) -> Option<&Page> {
         self.pages.as_ref()
     }
 
-    /// Takes in the next page; returns all records if it was the last.
+    /// Adds the next page; returns all records if it was the last one.
     ///
     /// # Errors
-    /// If the store came back from a copy between two pages ([`StoreError::Expired`]).
+    /// If the store was restored from a backup between two pages ([`StoreError::Expired`]).
     pub fn add_page(&mut self, newest: NewestPage) -> Result<Option<Page>, StoreError> {
         let NewestPage { page, next } = newest;
         let pages = match self.pages.take() {
@@ -45,7 +45,7 @@
             }
             Some(mut before) => {
                 before.records.extend(page.records);
-                // Pages are no snapshot: what came after the first page was asked for is read again.
+                // The pages are no snapshot: records written after the first page was requested are read again later.
                 before.end = before.end.min(page.end);
                 before.took += page.took;
                 before
--- a/crates/fernring-gateway/src/store/records.rs
+++ b/crates/fernring-gateway/src/store/records.rs
@@ -85,7 +85,9 @@
 }
 
 /// Encodes an operator's word on a failure domain for a peer.
-pub(crate) fn encode_evacuation((failure_domain, word): (&Arc<str>, &EvacuationOrder)) -> EvacuationWord {
+pub(crate) fn encode_evacuation(
+    (failure_domain, word): (&Arc<str>, &EvacuationOrder),
+) -> EvacuationWord {
     EvacuationWord {
         failure_domain: failure_domain.to_string(),
         is_in_force: word.is_in_force,
--- a/crates/fernring-gateway/src/store/store_loops/mod.rs
+++ b/crates/fernring-gateway/src/store/store_loops/mod.rs
@@ -6,27 +6,27 @@
 //! read or passed on, `joining` keeps this node's own records.
 
 mod node_records;
-mod upstream_records;
 mod operator_records;
+mod upstream_records;
 
 pub use upstream_records::PeerRecords;
 
 use {
     crate::{
-        deadline_timer::DeadlineTimer,
         blame::Blame,
+        bootstrap::Bootstrap,
         config::ConfigState,
-        tailing::Tailing,
+        deadline_timer::DeadlineTimer,
         freshness::read_wait,
+        full_read::FullRead,
         log, measures,
         members::ReaderPart,
         owner::Owner,
         peers::Peers,
         position::Position,
         rollout::shell::Rollouts,
-        bootstrap::Bootstrap,
+        tailing::Tailing,
         upstreams::Upstreams,
-        full_read::FullRead,
         wire::{Page, Store, StoreError, Topic, Wire},
     },
     fernring_core::{clock::Clock, text::LogLine},
@@ -152,7 +152,9 @@
             }
             // What peers have told is known up to a position, too. Once the store has answered, its answers say where to read on.
             let told = self.position_from_peers(what).filter(|_| !has_read);
-            if (reading.has_started() || told.is_some()) && !self.should_read_on(what, &mut starting) {
+            if (reading.has_started() || told.is_some())
+                && !self.should_read_on(what, &mut starting)
+            {
                 sleep(BOOTSTRAP_CHECK_INTERVAL).await;
                 continue;
             }
@@ -208,7 +210,8 @@
                     self.record_failure(topic, &error);
                     sleep(jitter(pause)).await;
                     let is_reader = part != ReaderPart::None;
-                    let pause_max = if is_reader { RETRY_PAUSE_MAX } else { self.stand_in_retry_pause_max() };
+                    let pause_max =
+                        if is_reader { RETRY_PAUSE_MAX } else { self.stand_in_retry_pause_max() };
                     pause = (pause * 2).min(pause_max);
                 }
             }
@@ -242,7 +245,7 @@
         let following = self.following(what).borrow();
         let link = following.link_bytes_per_s();
         let starting = starting.get_or_insert_with(|| Bootstrap::new(now, link, rand::random()));
-        starting.shall_read_on(now, following.lag().peer_ahead_at())
+        starting.should_read_on(now, following.lag().peer_ahead_at())
     }
 
     /// Returns the position to read on from that peers have told, if this node has never read by itself.
@@ -289,7 +292,8 @@
         loop {
             let sure_for = self.following(what).borrow().freshness().time_until_doubt(self.now());
             sleep(sure_for.max(OVERDUE_CHECK_MIN)).await;
-            let is_in_doubt = self.following(what).borrow().freshness().needs_confirmation(self.now());
+            let is_in_doubt =
+                self.following(what).borrow().freshness().needs_confirmation(self.now());
             let has_time = wait.is_zero() || self.reader_part() == ReaderPart::Alone;
             if is_in_doubt && !has_time && !self.store.receives(what.topic()) {
                 return;
@@ -336,7 +340,12 @@
     }
 
     /// Takes in what a peer says of its knowledge; tells whether it is to be asked for it.
-    pub fn handle_peer_mark(&self, what: TailedTopic, mark: Position, age: Option<Duration>) -> bool {
+    pub fn handle_peer_mark(
+        &self,
+        what: TailedTopic,
+        mark: Position,
+        age: Option<Duration>,
+    ) -> bool {
         let (now, own) = (self.now(), self.own_mark(what));
         let shall_ask = self.following(what).borrow_mut().handle_peer_mark(now, own, mark, age);
         if mark == own
--- a/crates/fernring-gateway/src/store/store_loops/node_records.rs
+++ b/crates/fernring-gateway/src/store/store_loops/node_records.rs
@@ -1,7 +1,7 @@
 //! This node's own records in the store: written at the start, again after the store came back from a copy, removed at the end.
 
 use {
-    super::{RETRY_PAUSE_MIN, RETRY_PAUSE_MAX, PEER_DISCOVERY_TIME, StoreLoops, jitter},
+    super::{PEER_DISCOVERY_TIME, RETRY_PAUSE_MAX, RETRY_PAUSE_MIN, StoreLoops, jitter},
     crate::{
         log,
         members::ReaderPart,
@@ -105,7 +105,8 @@
     /// be lost, and it writes it again.
     pub fn handle_era(self: &Rc<Self>, era: u64) {
         self.store.note_era(era);
-        let Some(before) = self.registered_era.get().filter(|before| *before < self.store.era()) else {
+        let Some(before) = self.registered_era.get().filter(|before| *before < self.store.era())
+        else {
             return;
         };
         self.registered_era.set(Some(self.store.era()));
--- a/crates/fernring-gateway/src/store/store_loops/operator_records.rs
+++ b/crates/fernring-gateway/src/store/store_loops/operator_records.rs
@@ -1,7 +1,7 @@
 //! What operators write: configurations, words on failure domains, and versions to roll out.
 
 use {
-    super::{TailedTopic, StoreLoops},
+    super::{StoreLoops, TailedTopic},
     crate::{
         directory::Upstream,
         evacuations::EvacuationOrder,
@@ -104,8 +104,8 @@
         let line = line.with("source", source).with("bytes", record.len());
         let line = line.with("packed_bytes", packed_bytes);
         let behind_ms = behind.since.map(|since| (self.now() - since).as_millis());
-        let line = line.with_some("behind_ms", behind_ms).with("asked", behind.asked);
-        log::info(line.with("put_off", behind.put_off));
+        let line = line.with_some("behind_ms", behind_ms).with("asked", behind.requests);
+        log::info(line.with("put_off", behind.deferred));
         self.log_unknown_regions();
     }
 
--- a/crates/fernring-gateway/src/store/store_loops/upstream_records.rs
+++ b/crates/fernring-gateway/src/store/store_loops/upstream_records.rs
@@ -1,7 +1,7 @@
 //! What upstreams write of themselves.
 
 use {
-    super::{TailedTopic, StoreLoops},
+    super::{StoreLoops, TailedTopic},
     crate::{
         directory::{Change, Effect, Entry},
         log, measures,
@@ -45,7 +45,8 @@
 
     /// Takes in the first of the pages of a topic that isn't known, so that requests are served before the others have come.
     pub(super) fn apply_preview(&self, what: TailedTopic, page: &Page) {
-        if what != TailedTopic::Upstreams || self.upstreams.directory().end() > Position::default() {
+        if what != TailedTopic::Upstreams || self.upstreams.directory().end() > Position::default()
+        {
             return;
         }
         let decoded = page.records.iter().map(|record| self.decode(record, page.position(record)));
--- a/crates/fernring-gateway/src/store/tailing.rs
+++ b/crates/fernring-gateway/src/store/tailing.rs
@@ -1,20 +1,20 @@
-//! How a node keeps up with a topic of the store through its peers: whom it asks, and when, for what they know
-//! and it doesn't; what it passes on when it is asked; and what it tells of how fresh its knowledge is.
+//! Decides how a node keeps up with a topic of the store through its peers: when it requests newer records from a peer, whether
+//! it answers such requests, and which age its heartbeats report.
 //!
-//! Load it answers: a configuration of hundreds of kilobytes that a few readers have and scores of nodes want at
-//! once. Inputs: the marks and ages of heartbeats, a fifth of a second old; questions of peers; own reads.
+//! Handles a new configuration of hundreds of kilobytes that a few readers have and scores of nodes need at once. Inputs: the
+//! marks and ages in heartbeats, a fifth of a second old; requests of peers; the node's own reads.
 //!
 //! ```
 //! use {
-//!     fernring_gateway::tailing::{Following, Reply},
+//!     fernring_gateway::tailing::{Reply, Tailing},
 //!     std::time::Duration,
 //! };
 //!
 //! let now = Duration::from_secs(10);
-//! let mut following = Following::new(0.0);
-//! assert!(following.heard(now, 3, 4, None), "the peer knows more");
-//! assert!(!following.heard(now, 3, 4, None), "one question at a time");
-//! assert_eq!(following.asked(now, 1_000), Reply::Record);
+//! let mut tailing = Tailing::new(0.0);
+//! assert!(tailing.handle_peer_mark(now, 3, 4, None), "the peer is ahead");
+//! assert!(!tailing.handle_peer_mark(now, 3, 4, None), "one request at a time");
+//! assert_eq!(tailing.handle_request(now, 1_000), Reply::Record);
 //! ```
 
 use {
@@ -22,70 +22,71 @@
     std::time::Duration,
 };
 
-/// Smallest link that is in use, in bytes a second: 10 Mbit/s. A node whose own link isn't known counts on it,
-/// and so does one that waits for a record over a link that it doesn't know.
+/// Speed of the slowest link in use, in bytes per second: 10 Mbit/s. Assumed for a node's own link if it isn't configured, and
+/// for the unknown link of a peer that sends a record.
 pub const MIN_LINK_BYTES_PER_S: f64 = 10e6 / 8.0;
-/// Part of a node's link that records for peers may take; the rest is for requests.
+/// Share of a node's link that records for peers may use; the rest is for requests.
 const LINK_SHARE: f64 = 0.5;
-/// Time on the link that may be promised ahead. Small records go out many at a time, large ones one by one.
+/// Longest queue of records to send, as time on the link. Small records are sent many at a time, large ones one by one.
 const SEND_QUEUE_TIME_MAX: Duration = Duration::from_millis(100);
-/// Wait for an answer before another peer is asked, besides the time that a record like the last one takes over
-/// the smallest link at [`LINK_PART`]: the way there and back to a node that has much to do.
+/// Wait for an answer before another peer is asked, for the round trip to a busy node. The time that a record of the last size
+/// takes over the slowest link at [`LINK_SHARE`] is added.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
-/// Longest pause after a peer has put the question off. What keeps askers from asking the same peers at the same
-/// moments again; short beside the time that a record takes.
+/// Longest pause after a peer deferred a request. It is random, so that nodes don't ask the same peers at the same moments
+/// again, and short compared with the transfer of a record.
 const DEFERRED_PAUSE_MAX: Duration = Duration::from_millis(60);
 
-/// Time in which a node that has heard of something newer leaves the store to the readers: by its end 90 in 100 of 86 nodes
-/// have 530 KB from their peers and have heard that this is the newest. Without it 42 of them read the store in vain.
+/// Time in which a node that knows that a peer is ahead doesn't read the store itself: at its end 90 in 100 of 86 nodes have
+/// 530 KB from their peers and the confirmation that this is the newest record. Without it 42 of them read the store needlessly.
 const PEER_DELIVERY_TIME: Duration = Duration::from_millis(600);
 
-/// What a node says to a peer that asks for a record.
+/// Answer to a peer that requests a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reply {
-    /// Here it is.
+    /// The record is sent.
     Record,
-    /// Too much was sent just now.
+    /// The send queue is full; the peer asks another node.
     Deferred,
 }
 
-/// How long a node has known that it is behind, and what it did about it.
+/// Since when a node has known that a peer is ahead, and the requests that it has sent since.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Lag {
-    /// When it first heard of something newer.
+    /// When a peer first reported a newer mark.
     pub since: Option<Duration>,
-    /// Questions to peers since.
-    pub asked: u32,
-    /// How many of them were put off.
-    pub put_off: u32,
-    /// When the last of these was.
+    /// Requests to peers since then.
+    pub requests: u32,
+    /// Number of these requests that peers deferred.
+    pub deferred: u32,
+    /// When a peer last deferred one.
     pub deferred_at: Option<Duration>,
 }
 
 impl Lag {
-    /// Returns when a peer last showed that it knows more: when it was first heard of, or when it put a question off.
+    /// Returns when a peer was last known to be ahead: when it first reported a newer mark, or when it deferred a request.
     pub fn peer_ahead_at(&self) -> Option<Duration> {
         self.deferred_at.max(self.since)
     }
 }
 
-/// What a node knows of one topic, and from whom.
+/// The state of one topic on a node that keeps up with it through its peers.
 #[derive(Debug, Clone)]
 pub struct Tailing {
     freshness: Freshness,
     next_request_at: Duration,
     link_bytes_per_s: f64,
-    /// Up to when the node's part of the link is taken by what it sends to peers.
+    /// Until when records for peers occupy their share of the node's link.
     link_busy_until: Duration,
     /// Size of the last record, in bytes.
     record_bytes: usize,
-    behind: Lag,
-    /// Up to when peers have time to pass on what this node has heard of.
+    lag: Lag,
+    /// Until when the node waits for a peer to deliver the newer record.
     peers_deliver_until: Duration,
 }
 
 impl Tailing {
-    /// Starts with nothing known. `draw`, from 0 to 1, spreads the nodes.
+    /// Creates the state of a topic of which nothing is known. `draw` is a random number from 0 to 1 that spreads the reads of
+    /// many nodes over time.
     pub fn new(draw: f64) -> Self {
         Self {
             freshness: Freshness::new(draw),
@@ -93,67 +94,67 @@
             link_bytes_per_s: MIN_LINK_BYTES_PER_S,
             link_busy_until: Duration::ZERO,
             record_bytes: 0,
-            behind: Lag::default(),
+            lag: Lag::default(),
             peers_deliver_until: Duration::ZERO,
         }
     }
 
-    /// Sets what the node's own link carries, in bytes a second.
+    /// Sets the speed of the node's own link, in bytes per second.
     pub fn set_link(&mut self, bytes_per_s: f64) {
         self.link_bytes_per_s = bytes_per_s;
     }
 
-    /// Says how large the next record is, as far as is known.
+    /// Sets the expected size of the next record, in bytes.
     pub fn expect_bytes(&mut self, bytes: usize) {
         self.record_bytes = bytes;
     }
 
-    /// Returns what the node's own link carries, in bytes a second.
+    /// Returns the speed of the node's own link, in bytes per second.
     pub fn link_bytes_per_s(&self) -> f64 {
         self.link_bytes_per_s
     }
 
-    /// Returns how well the topic is known.
+    /// Returns the freshness of the topic.
     pub fn freshness(&self) -> &Freshness {
         &self.freshness
     }
 
-    /// Tells whether this node reads the store now.
+    /// Returns whether this node should read the store now.
     pub fn should_read(&self, now: Duration, part: ReaderPart) -> bool {
-        let is_served = now < self.peers_deliver_until && part == ReaderPart::None;
+        let peers_deliver = now < self.peers_deliver_until && part == ReaderPart::None;
         let is_starting = self.freshness.age(now).is_none();
-        (is_starting || !is_served) && self.freshness.should_read(now, part)
+        (is_starting || !peers_deliver) && self.freshness.should_read(now, part)
     }
 
-    /// Returns how long the node has been behind.
+    /// Returns the node's lag behind its peers.
     pub fn lag(&self) -> Lag {
-        self.behind
+        self.lag
     }
 
-    /// Takes in that the store answered a read of this node.
+    /// Records that the store answered a read of this node.
     pub fn record_read(&mut self, now: Duration, part: ReaderPart) {
         self.freshness.record_read(now, part);
     }
 
-    /// Takes in that what is known here was the newest at some time, by what a peer says.
+    /// Records that, according to a peer, this node's state of the topic was the newest at `at`.
     pub fn record_confirmation(&mut self, at: Duration) {
         self.freshness.record_confirmation(at);
     }
 
-    /// Takes in that something newer is known now, a record of so many bytes.
+    /// Records that the node has received a newer record of this size.
     pub fn record_caught_up(&mut self, bytes: usize) {
-        self.behind = Lag::default();
+        self.lag = Lag::default();
         self.record_bytes = bytes;
         self.next_request_at = Duration::ZERO;
     }
 
-    /// Returns the age that peers are told.
+    /// Returns the age that heartbeats report to peers.
     pub fn reported_age(&self, now: Duration) -> Option<Duration> {
         self.freshness.reported_age(now)
     }
 
-    /// Takes in how far a peer knows the topic (`mark`) and the age that it tells, with how far this node
-    /// knows it (`own`); tells whether the peer is to be asked for what is new.
+    /// Handles the mark up to which a peer knows the topic and the age that it reports; `own` is this node's mark. Returns
+    /// whether to request the newer records from the peer.
     pub fn handle_peer_mark<M: Copy + Ord>(
         &mut self,
         now: Duration,
@@ -169,39 +170,41 @@
         if mark <= own {
             return false;
         }
-        if self.behind.since.is_none() {
-            self.behind.since = Some(now);
+        if self.lag.since.is_none() {
+            self.lag.since = Some(now);
             self.peers_deliver_until = now + PEER_DELIVERY_TIME;
         }
         if now < self.next_request_at {
             return false;
         }
-        self.next_request_at = now + ANSWER_TIMEOUT + link_time(self.record_bytes, MIN_LINK_BYTES_PER_S);
-        self.behind.asked += 1;
+        self.next_request_at =
+            now + ANSWER_TIMEOUT + link_time(self.record_bytes, MIN_LINK_BYTES_PER_S);
+        self.lag.requests += 1;
         true
     }
 
-    /// Takes in that a peer put the question off: the next one that knows more is asked. `draw`, from 0 to 1,
-    /// spreads the nodes.
+    /// Handles a peer's deferral of a request: the next peer that is ahead is asked. `draw` is a random number from 0 to 1 that
+    /// spreads the requests of many nodes.
     pub fn handle_deferral(&mut self, now: Duration, draw: f64) {
-        self.behind.put_off += 1;
-        self.behind.deferred_at = Some(now);
+        self.lag.deferred += 1;
+        self.lag.deferred_at = Some(now);
         self.next_request_at = now + DEFERRED_PAUSE_MAX.mul_f64(draw.clamp(0.0, 1.0));
     }
 
-    /// Takes in a peer's question for a record of so many bytes, and returns what it is told. Whoever gets
-    /// none is told so at once and asks elsewhere: with questions dropped in silence, all nodes waited on one
-    /// holder, and 271 KB took 4.3 s to 78 nodes.
+    /// Handles a peer's request for a record of this size and returns the answer. A deferral is answered at once, so that the
+    /// peer asks another node: when requests were dropped silently, all nodes waited for one holder, and 271 KB took 4.3 s to
+    /// reach 78 nodes.
     pub fn handle_request(&mut self, now: Duration, bytes: usize) -> Reply {
         if self.link_busy_until > now + SEND_QUEUE_TIME_MAX {
             return Reply::Deferred;
         }
-        self.link_busy_until = self.link_busy_until.max(now) + link_time(bytes, self.link_bytes_per_s);
+        self.link_busy_until =
+            self.link_busy_until.max(now) + link_time(bytes, self.link_bytes_per_s);
         Reply::Record
     }
 }
 
-/// Returns the time that a record takes over a link that it may have a part of.
+/// Returns the time that a record takes over its share of a link.
 fn link_time(bytes: usize, link_bytes_per_s: f64) -> Duration {
     Duration::from_secs_f64(bytes as f64 / (link_bytes_per_s * LINK_SHARE))
 }
--- a/crates/fernring-gateway/tests/testsuite/bootstrap.rs
+++ b/crates/fernring-gateway/tests/testsuite/bootstrap.rs
@@ -7,11 +7,11 @@
 
 use {
     fernring_gateway::{
-        tailing::{Tailing, Reply},
-        members::{HEARTBEAT_INTERVAL, ReaderPart},
-        position::Position,
         bootstrap::Bootstrap,
         full_read::FullRead,
+        members::{HEARTBEAT_INTERVAL, ReaderPart},
+        position::Position,
+        tailing::{Reply, Tailing},
         wire::{KeyedRecord, NewestPage, Page, StoreError},
     },
     rand::{RngExt, SeedableRng, rngs::StdRng},
@@ -158,7 +158,7 @@
             let draw = self.random.random();
             let (now, link) = (self.now, node.link);
             let starting = node.starting.get_or_insert_with(|| Bootstrap::new(now, link, draw));
-            if !starting.shall_read_on(now, node.following.lag().peer_ahead_at()) {
+            if !starting.should_read_on(now, node.following.lag().peer_ahead_at()) {
                 return self.after(CHECK, Event::Reads { node: index });
             }
         }
@@ -285,17 +285,17 @@
     let link = SMALL_BYTES_PER_S;
     for draw in [0.0, 0.5, 1.0] {
         let starting = Bootstrap::new(Duration::ZERO, link, draw);
-        assert!(starting.shall_read_on(Duration::from_secs(6), None), "{draw}");
+        assert!(starting.should_read_on(Duration::from_secs(6), None), "{draw}");
         // One that hears of a peer waits for that; a peer that doesn't pass it on is not waited for longer.
         let heard_at = Some(Duration::from_millis(5_500));
-        assert!(!starting.shall_read_on(Duration::from_secs(6), heard_at));
-        assert!(starting.shall_read_on(Duration::from_millis(7_500), heard_at));
+        assert!(!starting.should_read_on(Duration::from_secs(6), heard_at));
+        assert!(starting.should_read_on(Duration::from_millis(7_500), heard_at));
         // Nor is one that puts it off again and again.
         let now = Duration::from_secs(10);
-        assert!(starting.shall_read_on(now, Some(now)));
+        assert!(starting.should_read_on(now, Some(now)));
     }
     let large = Bootstrap::new(Duration::ZERO, LARGE_BYTES_PER_S, 1.0);
-    assert!(large.shall_read_on(Duration::from_millis(1_100), None), "it can serve many others");
+    assert!(large.should_read_on(Duration::from_millis(1_100), None), "it can serve many others");
 }
 
 fn page(keys: &[&str], end: u64, era: u64) -> Page {
--- a/crates/fernring-gateway/tests/testsuite/directory.rs
+++ b/crates/fernring-gateway/tests/testsuite/directory.rs
@@ -254,7 +254,9 @@
     // Also while removals may be lapses: what lies there is no lapse.
     directory.record_store_outage(NOW);
     assert!(matches!(directory.apply(NOW, unusable("i", 3)), Effect::Gone(_)));
-    assert!(directory.is_known_unusable("i", 3.into()) && !directory.is_known_unusable("i", 2.into()));
+    assert!(
+        directory.is_known_unusable("i", 3.into()) && !directory.is_known_unusable("i", 2.into())
+    );
     assert_eq!(instances(&directory), ["other"]);
     assert_eq!(directory.apply(NOW, ready("i", 2)), Effect::None, "an older one changes nothing");
     assert!(matches!(directory.apply(NOW, ready("i", 4)), Effect::Appeared(_)));
@@ -368,7 +370,8 @@
 }
 
 fn states(directory: &Directory) -> Vec<(String, bool)> {
-    let state = |upstream: &Upstream| (upstream.record.instance.to_string(), upstream.accepts_work());
+    let state =
+        |upstream: &Upstream| (upstream.record.instance.to_string(), upstream.accepts_work());
     let mut states: Vec<_> = directory.iter().map(|(_, upstream)| state(upstream)).collect();
     states.sort();
     states
--- a/crates/fernring-gateway/tests/testsuite/evacuations.rs
+++ b/crates/fernring-gateway/tests/testsuite/evacuations.rs
@@ -1,7 +1,7 @@
 //! Which failure domains are evacuated.
 
 use fernring_gateway::{
-    evacuations::{Evacuations, EvacuationOrder},
+    evacuations::{EvacuationOrder, Evacuations},
     position::Position,
 };
 
@@ -20,7 +20,11 @@
             for word in order {
                 evacuations.apply("a".into(), word);
             }
-            assert_eq!(evacuations.is_evacuated("a"), words[newest].is_in_force, "{newest} {first}");
+            assert_eq!(
+                evacuations.is_evacuated("a"),
+                words[newest].is_in_force,
+                "{newest} {first}"
+            );
         }
     }
 }
@@ -41,9 +45,14 @@
     let mut evacuations = Evacuations::default();
     evacuations.apply("a".into(), word(3, true));
     evacuations.apply("b".into(), word(4, true));
-    let changed = evacuations.replace_all(vec![("c".into(), Position::new(0, 6))], Position::new(0, 7));
+    let changed =
+        evacuations.replace_all(vec![("c".into(), Position::new(0, 6))], Position::new(0, 7));
     assert_eq!(changed.len(), 3);
-    assert!(evacuations.is_evacuated("c") && !evacuations.is_evacuated("a") && !evacuations.is_evacuated("b"));
+    assert!(
+        evacuations.is_evacuated("c")
+            && !evacuations.is_evacuated("a")
+            && !evacuations.is_evacuated("b")
+    );
     // A peer that hasn't read that yet changes nothing.
     assert!(!evacuations.apply("a".into(), word(3, true)));
 }
--- a/crates/fernring-gateway/tests/testsuite/tailing.rs
+++ b/crates/fernring-gateway/tests/testsuite/tailing.rs
@@ -2,7 +2,7 @@
 
 use {
     super::fleet::{Fleet, NODES, StoreFor},
-    fernring_gateway::{tailing::Tailing, freshness::STALE_AFTER},
+    fernring_gateway::{freshness::STALE_AFTER, tailing::Tailing},
     std::time::Duration,
 };
 
