--- a/crates/fernring-gateway/src/store/directory.rs
+++ b/crates/fernring-gateway/src/store/directory.rs
@@ -1,14 +1,14 @@
-//! The upstreams, as their own records in the platform's store describe them.
+//! The upstreams, as described by their own records in the platform's store.
 //!
-//! Records are numbered by the store; for one upstream the latest position wins, whichever way
-//! it came. A store that comes back from a copy holds what was some seconds ago: there the start and what the upstream
-//! counts say which of two records is the newer, and who was leaving or had gone stays so. A removal that may be a lapse
-//! during an outage of the store takes effect only after
-//! [`RETURN_GRACE`].
+//! The store assigns an offset to each record. Of two records of one upstream, the one at the later position applies, no matter
+//! whether it came from the store or a peer. A store that was restored from a backup holds the state of some seconds ago: across
+//! eras the start time and the upstream's own sequence number decide which record is newer, and an upstream that was draining or
+//! had been removed stays so. A removal that may be a lapse, because the upstream couldn't renew its record during an outage of
+//! the store, takes effect only after [`RETURN_GRACE`].
 //!
-//! A process may start again under the instance that it had. The latest start wins over any number: it ends the
-//! upstream of before and begins a new one with a new key, so that nothing that is kept by key outlives a start. A
-//! record that can't be read takes the upstream that its key named out of use, without the doubt of a lapse.
+//! A process may restart under the same instance name. The latest start time takes precedence over any position: it ends the
+//! previous incarnation and adds a new upstream with a new key, so that no state kept by key outlives an incarnation. A record
+//! that can't be decoded removes the upstream that its key names at once, since it is no lapse.
 
 use {
     super::index::Index,
@@ -25,11 +25,11 @@
     },
 };
 
-/// How long after the store's return a removed record may come back. The platform
-/// promises about two seconds; a little is added for the reading.
+/// Time after the end of a store outage in which a removed record may be written again. The platform promises about two seconds;
+/// the rest is a margin for reading it.
 pub const RETURN_GRACE: Duration = Duration::from_millis(2_300);
 
-/// Removals that are remembered for peers: about one day's at the long-run size, some 300 KB.
+/// Most removals that are remembered for peers: about one day's removals at the long-run size, some 300 KB.
 const REMOVALS_MAX: usize = 4_096;
 
 /// What the store holds under an instance.
@@ -37,62 +37,63 @@
 pub enum Entry {
     /// The upstream's own record.
     Present(UpstreamRecord),
-    /// Nothing any more.
+    /// Nothing: the record was removed.
     Removed,
-    /// Something that is no record of an upstream, of another writer. It names no upstream.
+    /// A record that can't be decoded as an upstream's, from another writer.
     Unusable,
 }
 
-/// An entry with its number in the store.
+/// An entry with its key and position in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Change {
-    /// Its key: an upstream's instance.
+    /// Key of the entry: an upstream's instance.
     pub instance: Arc<str>,
-    /// Position in the store.
+    /// Position of the entry in the store.
     pub at: Position,
-    /// What the store holds there.
+    /// What the store holds at that position.
     pub entry: Entry,
 }
 
-/// What a change did, for the log.
+/// The effect of a change on the known upstreams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
     /// A new upstream.
     Appeared(UpstreamKey),
-    /// It is leaving.
+    /// The upstream is draining.
     Draining(UpstreamKey),
-    /// It gets no new work until it is back or gone.
+    /// The upstream's record was removed, possibly by a lapse: it gets no new work until its record is back or the removal takes
+    /// effect.
     Lapsed(UpstreamKey),
-    /// It is back.
+    /// The record of a lapsed upstream is back.
     Returned(UpstreamKey),
-    /// It is gone, and its key with it.
+    /// The upstream was removed, and its key is invalid.
     Gone(UpstreamKey),
-    /// Its process has started again: what was known of it is over, and what it had in hand is lost.
+    /// The upstream's process has restarted: the state of the previous incarnation is obsolete, and its requests in flight are lost.
     Restarted {
-        /// Key of the upstream of before, which is gone.
+        /// Key of the previous incarnation, now invalid.
         old: UpstreamKey,
-        /// Key of the new one.
+        /// Key of the new incarnation.
         new: UpstreamKey,
     },
-    /// Nothing that matters here.
+    /// No effect that matters to other modules.
     None,
 }
 
 /// One upstream.
 #[derive(Debug, Clone)]
 pub struct Upstream {
-    /// What it says of itself.
+    /// The upstream's own record.
     pub record: UpstreamRecord,
     /// Position of that record in the store.
     pub at: Position,
-    /// When a removal takes effect that may be a lapse.
+    /// When a removal that may be a lapse takes effect; `None` if the record wasn't removed.
     removal_due: Option<Duration>,
-    /// Until when it is cold, as its record says.
+    /// Until when the upstream is cold, according to its record.
     cold_until: Duration,
 }
 
 impl Upstream {
-    /// Tells whether it is to get new work.
+    /// Returns whether the upstream accepts new work: it is not draining.
     pub fn accepts_work(&self) -> bool {
         self.record.state == UpstreamState::Ready
     }
@@ -109,13 +110,13 @@
         }
     }
 
-    /// Tells whether it is cold, as its record says.
+    /// Returns whether the upstream is cold, according to its record.
     pub fn is_cold(&self, now: Duration) -> bool {
         now < self.cold_until
     }
 
-    /// Tells whether a record of the same start, at a position, is newer than the known one. Positions of two eras of the
-    /// store say nothing of that: the copy that it came back from holds what was, so what the upstream counts does.
+    /// Returns whether a record of the same incarnation, at a position, is newer than the known one. Positions of different eras
+    /// of the store can't be compared for this, since a backup holds old records; the upstream's sequence number decides then.
     fn is_older_than(&self, at: Position, record: &UpstreamRecord) -> bool {
         if self.at.era == at.era {
             return self.at <= at;
@@ -124,8 +125,8 @@
         known < (record.sequence, record.state == UpstreamState::Draining, at)
     }
 
-    /// Keeps what is known, since a record says no more; but an upstream that leaves in a later era of the store does leave,
-    /// whatever it counts.
+    /// Ignores a record that isn't newer, except that an upstream that drains in a later era of the store drains regardless of its
+    /// sequence number.
     fn apply_late_drain(
         &mut self,
         key: UpstreamKey,
@@ -140,66 +141,66 @@
         Effect::Draining(key)
     }
 
-    /// Tells whether its record has lapsed, so that others go first.
+    /// Returns whether the upstream's record may have lapsed, so that other upstreams are preferred.
     pub fn has_lapsed(&self) -> bool {
         self.removal_due.is_some()
     }
 }
 
-/// The end of an upstream.
+/// The removal of an upstream's record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Removal {
-    /// Its position in the store.
+    /// Position of the removal in the store.
     at: Position,
-    /// The latest start that is known of the instance, so that an earlier one doesn't come back.
+    /// Latest known start time of the instance, so that an earlier incarnation doesn't reappear.
     started_ms: Option<u64>,
-    /// How often that start had written its record, as far as is known, so that a copy of the store doesn't bring it back.
+    /// Last known sequence number of that incarnation's record, so that a restored backup doesn't bring it back.
     sequence: Option<u64>,
-    /// Whether the store holds something there that can't be read.
+    /// Whether the store holds a record there that can't be decoded.
     is_unusable: bool,
 }
 
 impl Removal {
-    /// Tells whether a record says no more than was known when it was removed, in an earlier era of the store: the copy that
-    /// the store came back from holds it, and the upstream is gone all the same.
+    /// Returns whether a record is one that was already known when it was removed in an earlier era of the store: it comes from
+    /// the backup that the store was restored from, and the upstream stays removed.
     fn is_from_copy(&mut self, at: Position, record: &UpstreamRecord) -> bool {
         if self.at.era == at.era || is_earlier(self.started_ms, record.started_ms) {
             return false;
         }
-        // Where nothing was known, what it counts now is where it has to go on from.
+        // Without a known sequence number, the one of this record is the bound that later records have to exceed.
         let known = *self.sequence.get_or_insert(record.sequence);
         record.sequence <= known
     }
 }
 
-/// All upstreams that a node knows.
+/// All upstreams known to a node.
 #[derive(Debug, Default)]
 pub struct Directory {
     upstreams: SlotMap<UpstreamKey, Upstream>,
-    /// Invariant: one entry for each upstream, by its instance.
+    /// Invariant: holds one entry for each upstream, by its instance.
     by_instance: HashMap<Arc<str>, UpstreamKey>,
-    /// Invariant: holds each upstream with the record that it has.
+    /// Invariant: holds each upstream under its current record.
     index: Index,
-    /// Holds each upstream whose removal may be a lapse, and others.
+    /// Holds each upstream whose removal may be a lapse; may also hold keys whose lapse is over.
     lapsed: HashSet<UpstreamKey>,
-    /// The newest removal of each instance that was removed once, also if it is back, so that an older record
-    /// from a peer doesn't bring back what was before.
+    /// The newest removal of each instance that was ever removed, also if it is back, so that an older record from a peer doesn't
+    /// restore the state before the removal.
     removed: HashMap<Arc<str>, Removal>,
-    /// Up to when removals may be lapses.
+    /// Until when removals may be lapses.
     lapses_until: Duration,
-    /// Number from which on every change is known here; what was removed before may not be.
+    /// Position from which on every change is known; earlier removals may be missing.
     floor: Position,
-    /// Number that the next record gets.
+    /// Position after the last known record.
     end: Position,
 }
 
 impl Directory {
-    /// Returns an upstream.
+    /// Returns the upstream with this key.
     pub fn get(&self, key: UpstreamKey) -> Option<&Upstream> {
         self.upstreams.get(key)
     }
 
-    /// Returns the position up to which records were taken in.
+    /// Returns the position up to which records are known.
     pub fn end(&self) -> Position {
         self.end
     }
@@ -214,7 +215,7 @@
         self.upstreams.len()
     }
 
-    /// Tells whether there are none.
+    /// Returns whether there are no upstreams.
     pub fn is_empty(&self) -> bool {
         self.upstreams.is_empty()
     }
@@ -237,18 +238,18 @@
         keys.filter_map(|key| Some((*key, self.upstreams.get(*key)?)))
     }
 
-    /// Lists the upstreams whose starts have a short hash.
+    /// Lists the upstreams whose incarnations have this short hash.
     pub fn by_incarnation(&self, run_hash: u32) -> &[UpstreamKey] {
         self.index.of_run(run_hash)
     }
 
     /// Finds the upstream of a service at an address.
     pub fn at(&self, service: &str, address: SocketAddr) -> Option<UpstreamKey> {
-        let mut there = self.at_address(address);
-        there.find(|(_, upstream)| &*upstream.record.service == service).map(|(key, _)| key)
+        let mut at_address = self.at_address(address);
+        at_address.find(|(_, upstream)| &*upstream.record.service == service).map(|(key, _)| key)
     }
 
-    /// Says that the store did not answer until now: removals may be lapses for a while.
+    /// Records that the store has just come back from an outage: removals may be lapses for [`RETURN_GRACE`].
     pub fn record_store_outage(&mut self, now: Duration) {
         self.lapses_until = now + RETURN_GRACE;
     }
@@ -258,17 +259,17 @@
         self.lapses_until.saturating_sub(now)
     }
 
-    /// Says that removals may be lapses for some time, as a peer has found.
+    /// Records that removals may be lapses for `time`, as reported by a peer.
     pub fn extend_lapse_window(&mut self, now: Duration, time: Duration) {
         self.lapses_until = self.lapses_until.max(now + time);
     }
 
-    /// Says that everything before a number was taken in.
+    /// Records that all changes before `end` are known.
     pub fn advance(&mut self, end: Position) {
         self.end = self.end.max(end);
     }
 
-    /// Lists what changed since a position, removals included; `None` if that isn't known here.
+    /// Lists the changes since a position, including removals; `None` if not all of them are known.
     pub fn changes_since(&self, now: Duration, since: Position) -> Option<Vec<Change>> {
         if since < self.floor || since.era != self.end.era {
             return None;
@@ -289,14 +290,14 @@
         Some(present.chain(removed).collect())
     }
 
-    /// Lists all upstreams as changes, without those whose records have lapsed: who doesn't know
-    /// these yet learns of them when they are back.
+    /// Lists all upstreams as changes, except those whose records may have lapsed: a peer that doesn't know these receives them
+    /// when their records are back.
     pub fn all_changes(&self, now: Duration) -> Vec<Change> {
         let present = self.upstreams.values().filter(|upstream| !upstream.has_lapsed());
         present.map(|upstream| upstream.change(now)).collect()
     }
 
-    /// Takes in a change.
+    /// Applies a change.
     pub fn apply(&mut self, now: Duration, change: Change) -> Effect {
         self.end = self.end.max(change.at.next());
         match change.entry {
@@ -306,14 +307,14 @@
         }
     }
 
-    /// Tells whether it is known that an entry, by its number, can't be read.
+    /// Returns whether the entry at this position is already known to be unusable.
     pub fn is_known_unusable(&self, instance: &str, at: Position) -> bool {
         let removal = self.removed.get(instance);
         removal.is_some_and(|removal| removal.is_unusable && removal.at == at)
     }
 
-    /// Takes in some of the store's records before all are known: what is missing isn't known to be removed, and where to read
-    /// on isn't known.
+    /// Applies some of the store's records before the full read is complete: upstreams that are missing among them are kept, and
+    /// the position to read on from doesn't change.
     pub fn preview(&mut self, now: Duration, records: Vec<Change>) -> Vec<Effect> {
         let end = self.end;
         let effects = records.into_iter().map(|change| self.apply(now, change)).collect();
@@ -321,8 +322,9 @@
         effects
     }
 
-    /// Takes in all records of the store at once; what is missing among them was removed. In a later era of the store than was
-    /// known, it may only be missing from the copy that the store came back from, and is written again if it lives.
+    /// Applies a full read of the store's records; upstreams that are missing among them were removed. In a later era of the store
+    /// than the known one, they may only be missing from the backup that the store was restored from; these write their records
+    /// again if they are alive.
     pub fn replace(&mut self, now: Duration, records: Vec<Change>, end: Position) -> Vec<Effect> {
         if end.era > self.end.era {
             self.record_store_outage(now);
@@ -341,7 +343,7 @@
         effects
     }
 
-    /// Ends the doubtful time of those that did not come back.
+    /// Removes the lapsed upstreams whose records didn't come back in time.
     pub fn expire(&mut self, now: Duration) -> Vec<Effect> {
         let upstreams = &self.upstreams;
         let removal_due = |key: &UpstreamKey| upstreams.get(*key).and_then(|u| u.removal_due);
@@ -352,8 +354,8 @@
     }
 
     fn insert(&mut self, now: Duration, at: Position, record: UpstreamRecord) -> Effect {
-        let said = record.cold_for.map(|cold_for| now + cold_for);
-        let cold_until = said.unwrap_or_default();
+        let reported = record.cold_for.map(|cold_for| now + cold_for);
+        let cold_until = reported.unwrap_or_default();
         if let Some(removal) = self.removed.get_mut(&record.instance) {
             if removal.at > at {
                 removal.started_ms = removal.started_ms.max(record.started_ms);
@@ -385,28 +387,28 @@
             return upstream.apply_late_drain(key, at, &record);
         }
         let was_ready = upstream.accepts_work();
-        let was_held = upstream.removal_due.take().is_some();
+        let had_lapsed = upstream.removal_due.take().is_some();
         upstream.at = at;
-        upstream.cold_until = said.unwrap_or(upstream.cold_until);
+        upstream.cold_until = reported.unwrap_or(upstream.cold_until);
         self.index.remove(key, &upstream.record);
         upstream.record = UpstreamRecord { started_ms: record.started_ms.or(known_ms), ..record };
         self.index.add(key, &upstream.record);
         match (was_ready, upstream.accepts_work()) {
             (true, false) => Effect::Draining(key),
-            (_, true) if was_held => Effect::Returned(key),
+            (_, true) if had_lapsed => Effect::Returned(key),
             _ => Effect::None,
         }
     }
 
-    /// Ends an upstream that started earlier than another run of its instance that is over already, too.
-    fn remove_earlier_incarnation(&mut self, over: &UpstreamRecord) -> Effect {
-        let key = self.by_instance.get(&over.instance).copied();
+    /// Removes the upstream of an instance if it started earlier than another incarnation that has already ended.
+    fn remove_earlier_incarnation(&mut self, ended: &UpstreamRecord) -> Effect {
+        let key = self.by_instance.get(&ended.instance).copied();
         let earlier =
-            key.filter(|key| is_earlier(self.upstreams[*key].record.started_ms, over.started_ms));
+            key.filter(|key| is_earlier(self.upstreams[*key].record.started_ms, ended.started_ms));
         earlier.map_or(Effect::None, |key| self.remove_upstream(key))
     }
 
-    /// Ends an upstream whose process has started again, and begins the new one.
+    /// Replaces an upstream whose process has restarted by its new incarnation.
     fn replace_restarted(&mut self, old: UpstreamKey, upstream: Upstream) -> Effect {
         self.detach(old);
         let instance = upstream.record.instance.clone();
@@ -427,7 +429,7 @@
         self.remove_upstream(key)
     }
 
-    /// Takes an upstream out of use whose entry can't be read.
+    /// Removes an upstream whose entry can't be decoded.
     fn remove_unusable(&mut self, instance: &Arc<str>, at: Position) -> Effect {
         match self.record_removal(instance, at, true) {
             Some(key) => self.remove_upstream(key),
@@ -435,7 +437,7 @@
         }
     }
 
-    /// Remembers a removal unless a newer record is known; returns the upstream that it ends, if there is one.
+    /// Remembers a removal unless a newer one is known; returns the upstream that it removes, if there is one.
     fn record_removal(
         &mut self,
         instance: &Arc<str>,
@@ -448,28 +450,27 @@
             return None;
         }
         let upstream = key.map(|key| &self.upstreams[key]);
-        let of_upstream = upstream.and_then(|upstream| upstream.record.started_ms);
-        let is_over = upstream.is_some_and(|upstream| upstream.at <= at);
-        let started_ms = of_upstream.max(before.and_then(|removal| removal.started_ms));
-        let counted = upstream.map(|upstream| upstream.record.sequence);
-        let sequence = counted.or(before.and_then(|removal| removal.sequence));
+        let known_started_ms = upstream.and_then(|upstream| upstream.record.started_ms);
+        let is_removed = upstream.is_some_and(|upstream| upstream.at <= at);
+        let started_ms = known_started_ms.max(before.and_then(|removal| removal.started_ms));
+        let known_sequence = upstream.map(|upstream| upstream.record.sequence);
+        let sequence = known_sequence.or(before.and_then(|removal| removal.sequence));
         let removal = Removal { at, started_ms, sequence, is_unusable };
         self.removed.insert(instance.clone(), removal);
         self.prune_removals();
-        key.filter(|_| is_over)
+        key.filter(|_| is_removed)
     }
 
-    /// Forgets the older half of the removals when there are too many; who asks for changes from
-    /// before gets all records.
+    /// Forgets the older half of the removals when there are too many. A peer that asks for earlier changes then gets all records.
     fn prune_removals(&mut self) {
         if self.removed.len() <= REMOVALS_MAX {
             return;
         }
-        let mut places: Vec<_> = self.removed.values().map(|removal| removal.at).collect();
-        let (_, middle, _) = places.select_nth_unstable(REMOVALS_MAX / 2);
-        let middle = *middle;
-        self.removed.retain(|_, removal| removal.at >= middle);
-        self.floor = self.floor.max(middle);
+        let mut positions: Vec<_> = self.removed.values().map(|removal| removal.at).collect();
+        let (_, median, _) = positions.select_nth_unstable(REMOVALS_MAX / 2);
+        let median = *median;
+        self.removed.retain(|_, removal| removal.at >= median);
+        self.floor = self.floor.max(median);
     }
 
     fn add(&mut self, upstream: Upstream) -> UpstreamKey {
@@ -494,7 +495,7 @@
     }
 }
 
-/// Tells whether one start is earlier than another. A start that isn't known is neither earlier nor later.
+/// Returns whether one start time is earlier than another. An unknown start time is neither earlier nor later.
 fn is_earlier(one_ms: Option<u64>, other_ms: Option<u64>) -> bool {
     one_ms.zip(other_ms).is_some_and(|(one_ms, other_ms)| one_ms < other_ms)
 }
--- a/crates/fernring-gateway/src/store/index.rs
+++ b/crates/fernring-gateway/src/store/index.rs
@@ -1,11 +1,11 @@
-//! Ways to find upstreams without looking through all of them. No I/O.
+//! Finds upstreams by a field of their records without a scan over all upstreams. No I/O.
 
 use {
     crate::model::{UpstreamKey, UpstreamRecord},
     std::{collections::HashMap, hash::Hash, net::SocketAddr, sync::Arc},
 };
 
-/// The upstreams by what their records say.
+/// The keys of the upstreams by service, address and incarnation.
 #[derive(Debug, Default)]
 pub(super) struct Index {
     by_service: HashMap<Arc<str>, Vec<UpstreamKey>>,
@@ -14,7 +14,7 @@
 }
 
 impl Index {
-    /// Adds an upstream with this record.
+    /// Adds an upstream under the fields of this record.
     pub(super) fn add(&mut self, key: UpstreamKey, record: &UpstreamRecord) {
         self.by_service.entry(record.service.clone()).or_default().push(key);
         self.by_address.entry(record.address).or_default().push(key);
@@ -38,17 +38,17 @@
         self.by_address.get(&address).map_or(&[], Vec::as_slice)
     }
 
-    /// Lists the upstreams whose starts have a short hash.
-    pub(super) fn of_run(&self, run_hash: u32) -> &[UpstreamKey] {
-        self.by_incarnation.get(&run_hash).map_or(&[], Vec::as_slice)
+    /// Lists the upstreams whose incarnations have this short hash.
+    pub(super) fn of_run(&self, incarnation_hash: u32) -> &[UpstreamKey] {
+        self.by_incarnation.get(&incarnation_hash).map_or(&[], Vec::as_slice)
     }
 }
 
-fn remove<K: Hash + Eq>(map: &mut HashMap<K, Vec<UpstreamKey>>, place: &K, key: UpstreamKey) {
-    if let Some(keys) = map.get_mut(place) {
+fn remove<K: Hash + Eq>(map: &mut HashMap<K, Vec<UpstreamKey>>, value: &K, key: UpstreamKey) {
+    if let Some(keys) = map.get_mut(value) {
         keys.retain(|other| *other != key);
         if keys.is_empty() {
-            map.remove(place);
+            map.remove(value);
         }
     }
 }
--- a/crates/fernring-gateway/src/store/position.rs
+++ b/crates/fernring-gateway/src/store/position.rs
@@ -1,32 +1,31 @@
-//! Where a record lies in the platform's store: which life of the store, and its number there.
+//! The position of a record in the platform's store: the era of the store and an offset.
 //!
-//! A store that came back from a copy gives numbers out again that it had given out before, to other records, and what
-//! those held is gone. So each number belongs to an era, and of two positions that of the later era is the later one,
-//! whatever the numbers say.
+//! A store that was restored from a backup assigns offsets again that it had assigned to other records before, and those records
+//! are lost. Therefore each offset belongs to an era, and positions compare by era first.
 
-/// The position of a record in a topic of the store, or the one that the next record gets.
+/// The position of a record in a topic of the store, or the position that the next record gets.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Position {
-    /// How often the store had come back from a copy. Compared first.
+    /// How many times the store had been restored from a backup. Compared first.
     pub era: u64,
-    /// Its number in the topic.
+    /// The record's offset in the topic.
     pub offset: u64,
 }
 
 impl Position {
-    /// Returns a position.
+    /// Creates a position.
     pub fn new(era: u64, offset: u64) -> Self {
         Self { era, offset }
     }
 
-    /// Returns the position after this one.
+    /// Returns the next position of the same era.
     pub fn next(self) -> Self {
         Self { offset: self.offset + 1, ..self }
     }
 }
 
 impl From<u64> for Position {
-    /// Returns a position in a store that has never come back from a copy.
+    /// Returns a position in a store that was never restored from a backup.
     fn from(offset: u64) -> Self {
         Self { era: 0, offset }
     }
--- a/crates/fernring-gateway/src/store/records.rs
+++ b/crates/fernring-gateway/src/store/records.rs
@@ -1,4 +1,5 @@
-//! Changes of upstreams' records, words on failure domains, and what is said of roll-outs, as nodes pass them on to each other.
+//! Encodes and decodes what nodes pass on to each other: changes of upstreams' records, operators' orders for failure domains and
+//! roll-outs, and counts of roll-outs.
 
 use {
     crate::{
@@ -8,7 +9,7 @@
         position::Position,
         rollout::{
             counts::{Answers, Counts, RouteAnswers, TIME_CLASSES},
-            orders::{Order, Standing, Word as OrderWord},
+            orders::{Order, Standing, Word as RolloutState},
         },
     },
     fernring_core::clock::saturating_ms,
@@ -19,7 +20,7 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Encodes a change for a peer.
+/// Encodes a change of an upstream's record for a peer.
 pub(crate) fn encode_change(change: &Change) -> DirectoryRecord {
     let instance = change.instance.to_string();
     let Position { era, offset } = change.at;
@@ -57,7 +58,7 @@
     }
 }
 
-/// Decodes a change of a peer; `None` if its address can't be read.
+/// Decodes a change of an upstream's record from a peer; `None` if the address is malformed.
 pub(crate) fn decode_change(record: DirectoryRecord) -> Option<Change> {
     let instance: Arc<str> = record.instance.into();
     let at = Position::new(record.era, record.offset);
@@ -84,7 +85,7 @@
     Some(Change { instance, at, entry: Entry::Present(upstream) })
 }
 
-/// Encodes an operator's word on a failure domain for a peer.
+/// Encodes an operator's order for a failure domain for a peer.
 pub(crate) fn encode_evacuation(
     (failure_domain, word): (&Arc<str>, &EvacuationOrder),
 ) -> EvacuationWord {
@@ -96,21 +97,21 @@
     }
 }
 
-/// Decodes a word that a peer passes on, and on which failure domain.
+/// Decodes an operator's order from a peer; returns the failure domain with it.
 pub(crate) fn decode_evacuation(word: &EvacuationWord) -> (Arc<str>, EvacuationOrder) {
     let at = Position::new(word.era, word.offset);
     (word.failure_domain.as_str().into(), EvacuationOrder { at, is_in_force: word.is_in_force })
 }
 
-/// Encodes what is known of a service's order for a peer.
+/// Encodes the roll-out order of a service and its progress for a peer.
 pub(crate) fn encode_rollout_order(
     now: Duration,
     service: &str,
-    word: &OrderWord,
+    word: &RolloutState,
     is_withdrawn: bool,
 ) -> RolloutWord {
     let age_ms = |at: Duration| saturating_ms(now.saturating_sub(at)) as u32;
-    let told = RolloutWord {
+    let report = RolloutWord {
         service: service.to_owned(),
         destination: word.order.destination.to_string(),
         offset: word.at.offset,
@@ -121,7 +122,7 @@
         ..RolloutWord::default()
     };
     let with =
-        |standing: RolloutStanding| RolloutWord { standing: standing.into(), ..told.clone() };
+        |standing: RolloutStanding| RolloutWord { standing: standing.into(), ..report.clone() };
     match word.standing {
         Standing::Unknown => with(RolloutStanding::Unknown),
         Standing::Completed => with(RolloutStanding::Completed),
@@ -135,8 +136,8 @@
     }
 }
 
-/// Decodes what a peer says of a service's order.
-pub(crate) fn decode_rollout_order(now: Duration, word: &RolloutWord) -> (Arc<str>, OrderWord) {
+/// Decodes the roll-out order of a service and its progress from a peer; returns the service with it.
+pub(crate) fn decode_rollout_order(now: Duration, word: &RolloutWord) -> (Arc<str>, RolloutState) {
     let ago = |ms: u32| now.saturating_sub(Duration::from_millis(ms.into()));
     let standing = match word.standing() {
         RolloutStanding::Unknown => Standing::Unknown,
@@ -154,10 +155,10 @@
     };
     let at = Position::new(word.era, word.offset);
     let deadline_at = now + Duration::from_millis(word.left_ms);
-    (word.service.as_str().into(), OrderWord { order, at, deadline_at, standing })
+    (word.service.as_str().into(), RolloutState { order, at, deadline_at, standing })
 }
 
-/// Encodes what a node counts of an order. Its own run is left to be named.
+/// Encodes a node's counts of a roll-out. The caller sets the node's incarnation.
 pub(crate) fn encode_rollout_report(
     service: &str,
     at: Position,
@@ -186,7 +187,7 @@
     }
 }
 
-/// Decodes what a node counts of an order.
+/// Decodes a node's counts of a roll-out.
 pub(crate) fn decode_rollout_counts(report: RolloutReport) -> Counts {
     let answers = |answers: VersionAnswers| {
         let time = |class: usize| answers.times.get(class).copied().unwrap_or(0);
--- a/crates/fernring-gateway/src/store/store_loops/node_records.rs
+++ b/crates/fernring-gateway/src/store/store_loops/node_records.rs
@@ -1,4 +1,5 @@
-//! This node's own records in the store: written at the start, again after the store came back from a copy, removed at the end.
+//! This node's own record in the store: written at the start, written again after the store was restored from a backup, and
+//! removed at shutdown.
 
 use {
     super::{PEER_DISCOVERY_TIME, RETRY_PAUSE_MAX, RETRY_PAUSE_MIN, StoreLoops, jitter},
@@ -13,31 +14,31 @@
     tokio::{task::spawn_local, time::sleep},
 };
 
-/// Over how much time nodes spread what they write again to a store that came back from a copy: hundreds of them find out
-/// within a second.
+/// Period over which nodes spread the rewrite of their records after the store was restored from a backup: hundreds of nodes
+/// notice it within a second.
 const REWRITE_SPREAD: Duration = Duration::from_secs(1);
-/// Time in which the store takes in one record, with room for others. What more nodes write together is refused.
+/// Time that the store needs for one record, with capacity left for other writers. It refuses writes that come faster.
 const WRITE_TIME: Duration = Duration::from_millis(8);
-/// Nodes that may write at the same moment.
+/// Most nodes that may write at the same moment.
 const WRITERS_MAX: usize = 50;
-/// Tries to remove this node's own record when it shuts down.
+/// Attempts to remove this node's own record at shutdown.
 const REMOVE_TRIES: u32 = 2;
 
-/// Draws when one of so many nodes writes its record.
+/// Draws the pause after which one of this many nodes writes its record.
 fn write_pause(nodes: usize) -> Duration {
     (WRITE_TIME * nodes as u32).mul_f64(rand::rng().random_range(0.0..1.0))
 }
 
 impl StoreLoops {
-    /// Reads the nodes' records and writes this node's own.
+    /// Reads the records of the nodes and writes this node's own.
     pub async fn join(self: Rc<Self>) {
         let mut pause = RETRY_PAUSE_MIN;
         loop {
             match self.store.newest(Topic::Nodes, None).await {
                 Ok(newest) => {
-                    let recorded = self.apply_nodes(&newest.page);
-                    if recorded > WRITERS_MAX {
-                        sleep(write_pause(recorded)).await;
+                    let node_count = self.apply_nodes(&newest.page);
+                    if node_count > WRITERS_MAX {
+                        sleep(write_pause(node_count)).await;
                     }
                     self.write_own_records().await;
                     if let Some(next) = newest.next {
@@ -52,19 +53,19 @@
         }
     }
 
-    /// Takes in records of nodes; returns how many nodes they name.
+    /// Applies records of nodes; returns how many nodes they name.
     fn apply_nodes(&self, page: &Page) -> usize {
         self.crash_attribution.learn(&page.records);
         let addresses = page.records.iter().filter(|record| record.value.is_some());
         let addresses: Vec<_> = addresses.filter_map(|record| record.key.parse().ok()).collect();
-        let recorded = addresses.len();
-        self.upstreams.nodes_recorded(recorded);
+        let node_count = addresses.len();
+        self.upstreams.nodes_recorded(node_count);
         self.peers.suggest(addresses);
-        recorded
+        node_count
     }
 
-    /// Reads the records after a first page of them, if this node reads for others or hears nobody. Everybody else is told by
-    /// peers.
+    /// Reads the records after the first page, if this node is a reader or has no reachable peer. All other nodes receive them
+    /// from peers.
     async fn read_other_nodes(&self, mut after: Arc<str>) {
         sleep(PEER_DISCOVERY_TIME).await;
         while self.peers.reader_part() != ReaderPart::None {
@@ -84,13 +85,13 @@
         }
     }
 
-    /// Writes this node's record, until the store has it.
+    /// Writes this node's record; retries until the store has it.
     pub(super) async fn write_own_records(&self) {
-        let me = self.peers.address().to_string();
+        let own_address = self.peers.address().to_string();
         loop {
             let era = self.store.era();
-            match self.store.write(Topic::Nodes, &me, Some(b"1")).await {
-                // In a later era it may be lost again.
+            match self.store.write(Topic::Nodes, &own_address, Some(b"1")).await {
+                // If the era has changed meanwhile, the record may be lost again.
                 Ok(()) if self.store.era() == era => return self.registered_era.set(Some(era)),
                 Ok(()) => {}
                 Err(error) => {
@@ -101,8 +102,8 @@
         }
     }
 
-    /// Takes in the era of the store that an answer or a peer names. In a later one than was known, what this node wrote may
-    /// be lost, and it writes it again.
+    /// Handles the era of the store named by an answer of the store or by a peer. In a later era than the known one, this node's
+    /// record may be lost, so it is written again.
     pub fn handle_era(self: &Rc<Self>, era: u64) {
         self.store.note_era(era);
         let Some(before) = self.registered_era.get().filter(|before| *before < self.store.era())
@@ -122,9 +123,9 @@
 
     /// Removes this node's own record.
     pub async fn remove_own_record(&self) {
-        let me = self.peers.address().to_string();
+        let own_address = self.peers.address().to_string();
         for _ in 0..REMOVE_TRIES {
-            match self.store.write(Topic::Nodes, &me, None).await {
+            match self.store.write(Topic::Nodes, &own_address, None).await {
                 Ok(()) => return,
                 Err(error) => self.record_failure(Topic::Nodes, &error),
             }
--- a/crates/fernring-gateway/src/store/store_loops/upstream_records.rs
+++ b/crates/fernring-gateway/src/store/store_loops/upstream_records.rs
@@ -1,4 +1,4 @@
-//! What upstreams write of themselves.
+//! Applies the records that upstreams write about themselves.
 
 use {
     super::{StoreLoops, TailedTopic},
@@ -12,13 +12,12 @@
     std::time::Duration,
 };
 
-/// Changes that come together and have a line each; more are said in one: ten thousand lines at the start of each node would
-/// have others left out.
+/// Most simultaneous changes that are logged with a line each; more are summed up in one line. Ten thousand lines at the start of
+/// each node would cause other lines to be dropped.
 const LOGGED_CHANGES_MAX: usize = 50;
 
-/// Size of all records where they are more than a page, as far as a node can know that has read one: ten thousand of some forty bytes,
-/// packed.
-/// One that asks another peer before they can have come gets them twice.
+/// Assumed size of all records, packed, after the first page of several was read: ten thousand records of some forty bytes. With
+/// too low a value a node would ask a second peer before the first one's answer can have arrived, and get the records twice.
 const ALL_RECORDS_BYTES: usize = 400 << 10;
 
 /// Records of upstreams that a peer passes on.
@@ -28,11 +27,11 @@
     pub end: Position,
     /// The records.
     pub changes: Vec<Change>,
-    /// Whether these are all; if not, those since the number that was asked for.
+    /// Whether these are all records; if not, they are the changes since the requested position.
     pub is_full: bool,
     /// Time for which removals may still be lapses.
     pub lapses_for: Duration,
-    /// Time since they were the newest for sure.
+    /// Time since the peer's state was last confirmed.
     pub age: Option<Duration>,
 }
 
@@ -43,7 +42,7 @@
         self.apply_upstreams(changes, page.end_position(), is_whole);
     }
 
-    /// Takes in the first of the pages of a topic that isn't known, so that requests are served before the others have come.
+    /// Applies the first page of a full read, so that requests are served before the other pages have come.
     pub(super) fn apply_preview(&self, what: TailedTopic, page: &Page) {
         if what != TailedTopic::Upstreams || self.upstreams.directory().end() > Position::default()
         {
@@ -55,7 +54,7 @@
         self.upstreams_changed(&effects);
     }
 
-    /// Decodes a record; one that can't be read takes the upstream that its key named out of use.
+    /// Decodes a record. One that is malformed removes the upstream that its key names.
     pub(super) fn decode(&self, record: &KeyedRecord, at: Position) -> Change {
         let instance = record.key.clone();
         let error = match self.wire.decode_upstream(record) {
@@ -66,7 +65,7 @@
             }
             Err(error) => error,
         };
-        // Whole readings bring it again and again; it is said once.
+        // Each full read returns the record again; it is logged once.
         if !self.upstreams.directory().is_known_unusable(&record.key, at) {
             measures::record_refused(Topic::Upstreams.name());
             let line = LogLine::event("upstream_refused").with("instance", &record.key);
@@ -75,7 +74,7 @@
         Change { instance, at, entry: Entry::Unusable }
     }
 
-    /// Takes in records of upstreams that a peer passes on.
+    /// Handles records of upstreams from a peer.
     pub fn handle_peer_upstreams(&self, records: PeerRecords) {
         if records.end <= self.upstreams.directory().end() {
             return;
@@ -87,7 +86,7 @@
         }
     }
 
-    /// Puts changes of upstreams in force, or all records, which reach up to `end`.
+    /// Applies changes of upstreams up to `end`, or all records.
     pub(super) fn apply_upstreams(&self, changes: Vec<Change>, end: Position, is_whole: bool) {
         let (now, known) = (self.now(), self.upstreams.directory().end());
         let effects = match is_whole {
@@ -96,7 +95,7 @@
         };
         self.upstreams.advance(end);
         if end > known {
-            // Only changes are passed on, so what a peer sends is small.
+            // Peers send only changes, so the expected size is small.
             self.following(TailedTopic::Upstreams).borrow_mut().record_caught_up(0);
         }
         self.upstreams_changed(&effects);
@@ -139,7 +138,7 @@
     }
 }
 
-/// Says that an upstream's record holds no time for how long it is cold; what was known of that stays so.
+/// Logs that an upstream's record holds no cold time; the known one stays in force.
 fn report_missing_cold_time(change: &Change) {
     if let Entry::Present(record) = &change.entry
         && record.cold_for.is_none()
