--- a/crates/fernring-gateway/src/node.rs
+++ b/crates/fernring-gateway/src/node.rs
@@ -260,7 +260,7 @@
     fn apply_link(&self) {
         let link = self.settings.borrow().node.link_bytes_per_s();
         for what in [TailedTopic::Config, TailedTopic::Upstreams] {
-            self.loops.following(what).borrow_mut().set_link(link);
+            self.loops.tailing(what).borrow_mut().set_link(link);
         }
         self.peers.set_link(self.settings.borrow().node.link_mbps.round() as u32);
     }
@@ -519,7 +519,7 @@
 
     /// Answers a peer's question with a record, or puts it off.
     fn pass_on(&self, peer: SocketAddr, what: TailedTopic, bytes: usize, record: GatewayBody) {
-        let reply = self.loops.following(what).borrow_mut().handle_request(self.serving.now(), bytes);
+        let reply = self.loops.tailing(what).borrow_mut().handle_request(self.serving.now(), bytes);
         match (reply, what) {
             (Reply::Record, _) => self.peers.send_record(peer, record),
             (Reply::Deferred, TailedTopic::Config) => {
@@ -532,7 +532,7 @@
     }
 
     fn put_off(&self, what: TailedTopic) {
-        let mut following = self.loops.following(what).borrow_mut();
+        let mut following = self.loops.tailing(what).borrow_mut();
         following.handle_deferral(self.serving.now(), rand::random());
     }
 
@@ -557,7 +557,7 @@
     }
 
     fn age_ms(&self, what: TailedTopic) -> Option<u32> {
-        let age = self.loops.following(what).borrow().reported_age(self.serving.now())?;
+        let age = self.loops.tailing(what).borrow().reported_age(self.serving.now())?;
         Some(u32::try_from(age.as_millis()).unwrap_or(u32::MAX))
     }
 }
--- a/crates/fernring-gateway/src/store/directory.rs
+++ b/crates/fernring-gateway/src/store/directory.rs
@@ -163,7 +163,7 @@
 impl Removal {
     /// Returns whether a record is one that was already known when it was removed in an earlier era of the store: it comes from
     /// the backup that the store was restored from, and the upstream stays removed.
-    fn is_from_copy(&mut self, at: Position, record: &UpstreamRecord) -> bool {
+    fn is_from_backup(&mut self, at: Position, record: &UpstreamRecord) -> bool {
         if self.at.era == at.era || is_earlier(self.started_ms, record.started_ms) {
             return false;
         }
@@ -239,8 +239,8 @@
     }
 
     /// Lists the upstreams whose incarnations have this short hash.
-    pub fn by_incarnation(&self, run_hash: u32) -> &[UpstreamKey] {
-        self.index.of_run(run_hash)
+    pub fn by_incarnation(&self, incarnation_hash: u32) -> &[UpstreamKey] {
+        self.index.with_incarnation(incarnation_hash)
     }
 
     /// Finds the upstream of a service at an address.
@@ -362,7 +362,7 @@
                 return self.remove_earlier_incarnation(&record);
             }
             if is_earlier(record.started_ms, removal.started_ms)
-                || removal.is_from_copy(at, &record)
+                || removal.is_from_backup(at, &record)
             {
                 return Effect::None;
             }
--- a/crates/fernring-gateway/src/store/index.rs
+++ b/crates/fernring-gateway/src/store/index.rs
@@ -39,7 +39,7 @@
     }
 
     /// Lists the upstreams whose incarnations have this short hash.
-    pub(super) fn of_run(&self, incarnation_hash: u32) -> &[UpstreamKey] {
+    pub(super) fn with_incarnation(&self, incarnation_hash: u32) -> &[UpstreamKey] {
         self.by_incarnation.get(&incarnation_hash).map_or(&[], Vec::as_slice)
     }
 }
--- a/crates/fernring-gateway/src/store/store_loops/mod.rs
+++ b/crates/fernring-gateway/src/store/store_loops/mod.rs
@@ -1,9 +1,8 @@
-//! Keeping up with the platform's store: the configuration, the upstreams, the nodes.
+//! Keeps up with the topics of the platform's store: the configuration, the upstreams, the nodes.
 //!
-//! Each topic is read whole once, then followed by one call at a time that waits for the next
-//! record: by one node of each failure domain, whose peers follow it (see [`crate::freshness`]). `operators` and `listing` take in
-//! what is
-//! read or passed on, `joining` keeps this node's own records.
+//! Each topic is read in full once. After that, one node of each failure domain reads the changes, with one call at a time that
+//! waits for the next record, and its peers rely on that node (see [`crate::freshness`]). `operator_records` and
+//! `upstream_records` apply what is read or passed on by peers; `node_records` maintains this node's own record.
 
 mod node_records;
 mod operator_records;
@@ -39,34 +38,33 @@
     tokio::time::sleep,
 };
 
-/// Pause after a failed call, at first; doubled up to [`PAUSE_MAX`].
+/// First pause after a failed call; doubled up to [`RETRY_PAUSE_MAX`].
 const RETRY_PAUSE_MIN: Duration = Duration::from_millis(250);
-/// Longest pause of a reader after a failed call: the return of a store that was out is known
-/// within a second.
+/// Longest pause of a reader after a failed call: the end of a store outage is noticed within a second.
 const RETRY_PAUSE_MAX: Duration = Duration::from_millis(700);
-/// Longest pause of any other node, which asks only because it hears nothing new.
+/// Longest pause of any other node, which reads only because its state isn't confirmed.
 const STAND_IN_RETRY_PAUSE_MAX: Duration = Duration::from_secs(2);
-/// Pause between two questions of all such nodes together.
+/// Pause between two reads of all such nodes together.
 const STAND_IN_RETRY_PAUSE_PER_NODE: Duration = Duration::from_millis(10);
-/// How often a starting node looks whether it has to read on by itself.
+/// How often a starting node checks whether it has to read the remaining pages itself.
 const BOOTSTRAP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// How often a node that doesn't read looks whether it has to.
+/// How often a node that doesn't read the store checks whether it has to.
 const READER_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Shortest pause between two looks whether a read has lasted too long.
+/// Shortest pause between two checks whether a read is overdue.
 const OVERDUE_CHECK_MIN: Duration = Duration::from_millis(20);
-/// Time after the start in which a node doesn't know its peers yet, so that it takes nobody's part.
+/// Time after the start in which a node doesn't know its peers yet, so that it doesn't act as a reader for others.
 const PEER_DISCOVERY_TIME: Duration = Duration::from_secs(1);
-/// Pause between two reads of the upstreams' records, so that the heartbeats of all of them don't
-/// cost a call each. Well below the time after which a leaving upstream may get no new work.
+/// Pause between two reads of the upstreams' records, so that the heartbeats of many upstreams are read with one call. Well below
+/// the time after which a draining upstream may get no new work.
 const COALESCE_PAUSE: Duration = Duration::from_millis(600);
-/// How often the upstreams whose records lapsed are looked through.
+/// How often lapsed upstreams are checked for expiry.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The loops that follow the store.
+/// The background loops that keep up with the store.
 pub struct StoreLoops {
     /// The clock.
     pub clock: Rc<dyn Clock>,
-    /// Wakes those who wait for its points.
+    /// The timer for waits until a deadline.
     pub deadline_timer: Rc<DeadlineTimer>,
     /// The platform's formats.
     pub wire: Rc<dyn Wire>,
@@ -76,34 +74,34 @@
     pub config: Rc<RefCell<ConfigState>>,
     /// The upstreams.
     pub upstreams: Rc<Upstreams>,
-    /// The owner of stages, who wants to know of changes among upstreams.
+    /// The owner of stages; it is notified of changes of upstreams.
     pub owner: Rc<Owner>,
-    /// What is to be known of upstreams that ended.
+    /// The attribution of upstreams' crashes to requests.
     pub crash_attribution: Rc<Blame>,
     /// Versions that operators order to be rolled out.
     pub rollouts: Rc<Rollouts>,
     /// The other nodes.
     pub peers: Rc<Peers>,
-    /// How well the configuration and the upstreams' records are known, in the order of [`TailedTopic`].
+    /// The state of the configuration's topic and of the upstreams' topic, in the order of [`TailedTopic`].
     pub tailing: [RefCell<Tailing>; 2],
     /// When the node started.
     pub started_at: Duration,
-    /// Whether the last call on the upstreams' records was answered.
+    /// Whether the store answered the last read of the upstreams' records.
     pub store_answers: Cell<bool>,
-    /// Longest time for which operators' words may go unconfirmed: the bound of an evacuation.
+    /// Longest time for which operators' orders may be unconfirmed: the bound of an evacuation.
     pub evacuation_bound: Cell<Duration>,
-    /// Whether that time was over at the last look.
+    /// Whether that bound was exceeded at the last check.
     pub has_unconfirmed_orders: Cell<bool>,
-    /// Era of the store in which this node's own records were written last, once they were.
+    /// Era of the store in which this node's own record was last written; `None` before the first write.
     pub registered_era: Cell<Option<u64>>,
 }
 
 /// The topics that nodes pass on to each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TailedTopic {
-    /// The configuration; it is marked by its version.
+    /// The configuration; its mark is the version.
     Config,
-    /// The upstreams' records, marked by the number up to which they are known.
+    /// The upstreams' records; their mark is the position up to which they are known.
     Upstreams,
 }
 
@@ -117,64 +115,64 @@
 }
 
 impl StoreLoops {
-    /// Follows the configuration.
+    /// Keeps up with the operators' records: the configuration, evacuations and roll-outs.
     pub async fn tail_config(self: Rc<Self>) {
-        self.tail(TailedTopic::Config, Duration::ZERO, |page, is_whole| {
-            self.apply_operator_page(page, is_whole);
+        self.tail(TailedTopic::Config, Duration::ZERO, |page, is_full| {
+            self.apply_operator_page(page, is_full);
         })
         .await;
     }
 
-    /// Follows the upstreams' records.
+    /// Keeps up with the upstreams' records.
     pub async fn tail_upstreams(self: Rc<Self>) {
-        self.tail(TailedTopic::Upstreams, COALESCE_PAUSE, |page, is_whole| {
-            self.apply_upstream_page(page, is_whole);
+        self.tail(TailedTopic::Upstreams, COALESCE_PAUSE, |page, is_full| {
+            self.apply_upstream_page(page, is_full);
         })
         .await;
     }
 
-    /// Reads a topic whole, then follows it whenever this node has to.
-    async fn tail(self: &Rc<Self>, what: TailedTopic, gather: Duration, take: impl Fn(Page, bool)) {
-        let topic = what.topic();
+    /// Reads a topic in full, then reads its changes whenever this node has to.
+    async fn tail(self: &Rc<Self>, tailed: TailedTopic, coalesce: Duration, apply: impl Fn(Page, bool)) {
+        let topic = tailed.topic();
         let mut from: Option<Position> = None;
-        let mut reading = FullRead::default();
-        let mut starting = None;
+        let mut full_read = FullRead::default();
+        let mut bootstrap = None;
         let mut pause = RETRY_PAUSE_MIN;
         let mut has_failed = false;
         let mut has_read = false;
         loop {
             let part = self.reader_part();
-            if !self.following(what).borrow().should_read(self.now(), part) {
+            if !self.tailing(tailed).borrow().should_read(self.now(), part) {
                 (pause, has_failed) = (RETRY_PAUSE_MIN, false);
-                reading = FullRead::default();
+                full_read = FullRead::default();
                 sleep(READER_CHECK_INTERVAL).await;
                 continue;
             }
-            // What peers have told is known up to a position, too. Once the store has answered, its answers say where to read on.
-            let told = self.position_from_peers(what).filter(|_| !has_read);
-            if (reading.has_started() || told.is_some())
-                && !self.should_read_on(what, &mut starting)
+            // Records from peers are known up to a position, too. Once the store has answered, its answers determine the position.
+            let peer_position = self.position_from_peers(tailed).filter(|_| !has_read);
+            if (full_read.has_started() || peer_position.is_some())
+                && !self.should_read_on(tailed, &mut bootstrap)
             {
                 sleep(BOOTSTRAP_CHECK_INTERVAL).await;
                 continue;
             }
-            // What was read in an earlier era of the store says nothing of this one: it is read anew.
-            from = from.map(|from| self.resume_position(what, from)).or(told);
+            // Positions of an earlier era of the store are invalid in this one: the topic is read in full again.
+            from = from.map(|from| self.resume_position(tailed, from)).or(peer_position);
             from = from.filter(|from| from.era == self.store.era());
-            if !reading.has_started() {
-                self.log_stand_in(what, part);
+            if !full_read.has_started() {
+                self.log_stand_in(tailed, part);
             }
             let answer = match from {
-                None => match self.read_page(what, &mut reading).await {
+                None => match self.read_page(tailed, &mut full_read).await {
                     Ok(None) => continue,
                     Ok(Some(page)) => Ok(page),
                     Err(error) => Err(error),
                 },
                 Some(from) => {
-                    let wait = self.read_wait(what, part, has_failed);
+                    let wait = self.read_wait(tailed, part, has_failed);
                     tokio::select! {
                         answer = self.store.read(topic, from.offset, wait) => answer,
-                        () = self.until_overdue(what, wait) => continue,
+                        () = self.until_overdue(tailed, wait) => continue,
                     }
                 }
             };
@@ -183,23 +181,23 @@
             match answer {
                 Ok(page) => {
                     pause = RETRY_PAUSE_MIN;
-                    let is_whole = from.is_none();
+                    let is_full = from.is_none();
                     let has_records = !page.records.is_empty();
-                    // An end below what was read means that the store has lost its history; in a later era, what follows the
-                    // number that was read up to isn't what followed it then.
+                    // An end before the position that was read up to means that the store has lost its history. In a later era
+                    // other records follow that offset.
                     let end = page.end_position();
-                    let went_back = from.is_some_and(|from| end < from || end.era != from.era);
-                    from = (!went_back).then_some(end);
-                    self.record_answer(what);
+                    let has_regressed = from.is_some_and(|from| end < from || end.era != from.era);
+                    from = (!has_regressed).then_some(end);
+                    self.record_answer(tailed);
                     report_unreadable(topic, &page);
                     let read_at = self.now().saturating_sub(page.took);
                     self.handle_era(page.era);
-                    if !went_back {
-                        take(page, is_whole);
-                        self.following(what).borrow_mut().record_read(read_at, part);
+                    if !has_regressed {
+                        apply(page, is_full);
+                        self.tailing(tailed).borrow_mut().record_read(read_at, part);
                     }
-                    if has_records && !gather.is_zero() {
-                        sleep(gather).await;
+                    if has_records && !coalesce.is_zero() {
+                        sleep(coalesce).await;
                     }
                 }
                 Err(StoreError::Expired) => {
@@ -218,53 +216,53 @@
         }
     }
 
-    /// Reads the next page of a topic that isn't known; returns all records if it was the last.
+    /// Reads the next page of a full read; returns all records if it was the last one.
     async fn read_page(
         &self,
-        what: TailedTopic,
-        reading: &mut FullRead,
+        tailed: TailedTopic,
+        full_read: &mut FullRead,
     ) -> Result<Option<Page>, StoreError> {
-        let is_first = !reading.has_started();
-        let page = self.store.newest(what.topic(), reading.page_token()).await?;
-        let whole = reading.add_page(page)?;
-        if whole.is_none() {
-            measures::store_called(what.topic().name(), "answered");
-            if let Some(first) = reading.pages().filter(|_| is_first) {
-                self.apply_preview(what, first);
+        let is_first = !full_read.has_started();
+        let page = self.store.newest(tailed.topic(), full_read.page_token()).await?;
+        let all_records = full_read.add_page(page)?;
+        if all_records.is_none() {
+            measures::store_called(tailed.topic().name(), "answered");
+            if let Some(first) = full_read.pages().filter(|_| is_first) {
+                self.apply_preview(tailed, first);
             }
         }
-        Ok(whole)
+        Ok(all_records)
     }
 
-    /// Tells whether this node reads on in a topic of which it knows something, or waits for peers that know all of it.
-    fn should_read_on(&self, what: TailedTopic, starting: &mut Option<Bootstrap>) -> bool {
-        if self.age(what).is_some() {
+    /// Returns whether this node reads the rest of a partly known topic itself; otherwise it waits for peers that know all of it.
+    fn should_read_on(&self, tailed: TailedTopic, bootstrap: &mut Option<Bootstrap>) -> bool {
+        if self.age(tailed).is_some() {
             return true;
         }
         let now = self.now();
-        let following = self.following(what).borrow();
-        let link = following.link_bytes_per_s();
-        let starting = starting.get_or_insert_with(|| Bootstrap::new(now, link, rand::random()));
-        starting.should_read_on(now, following.lag().peer_ahead_at())
+        let tailing = self.tailing(tailed).borrow();
+        let link = tailing.link_bytes_per_s();
+        let bootstrap = bootstrap.get_or_insert_with(|| Bootstrap::new(now, link, rand::random()));
+        bootstrap.should_read_on(now, tailing.lag().peer_ahead_at())
     }
 
-    /// Returns the position to read on from that peers have told, if this node has never read by itself.
-    fn position_from_peers(&self, what: TailedTopic) -> Option<Position> {
+    /// Returns the position up to which peers have sent records; used while this node hasn't read the store itself.
+    fn position_from_peers(&self, tailed: TailedTopic) -> Option<Position> {
         let end = self.upstreams.directory().end();
-        (what == TailedTopic::Upstreams && end > Position::default()).then_some(end)
+        (tailed == TailedTopic::Upstreams && end > Position::default()).then_some(end)
     }
 
-    /// Returns the longest pause of a node that asks the store only because it hears nothing new. All that do so together ask as
-    /// often in a large fleet as in a small one.
+    /// Returns the longest pause of a node that reads the store only because its state isn't confirmed. Together, such nodes read
+    /// as often in a large fleet as in a small one.
     fn stand_in_retry_pause_max(&self) -> Duration {
         STAND_IN_RETRY_PAUSE_MAX.max(STAND_IN_RETRY_PAUSE_PER_NODE * self.peers.nodes() as u32)
     }
 
-    /// Returns the position to read on from: peers may have told more than this node has read.
-    fn resume_position(&self, what: TailedTopic, from: Position) -> Position {
-        match what {
-            // Without it a node that has long followed peers would read all versions since.
-            // Not in another era, of which this node has to read the operators' words on failure domains, too.
+    /// Returns the position to read on from: peers may have sent more than this node has read.
+    fn resume_position(&self, tailed: TailedTopic, from: Position) -> Position {
+        match tailed {
+            // Without this, a node that has long relied on peers would read all versions written since its last read.
+            // In another era it has to read all operators' orders for failure domains, too.
             TailedTopic::Config if self.config.borrow().end().era == from.era => {
                 self.config.borrow().end().max(from)
             }
@@ -273,35 +271,35 @@
         }
     }
 
-    /// Returns how long the next read waits for a record. After a failure the question is whether
-    /// the store is back, and after silence what it holds; these have no time.
-    fn read_wait(&self, what: TailedTopic, part: ReaderPart, has_failed: bool) -> Duration {
-        let following = self.following(what).borrow();
-        let is_in_doubt = following.freshness().needs_confirmation(self.now());
-        if has_failed || (is_in_doubt && part != ReaderPart::Alone) {
+    /// Returns how long the next read waits for a record. A read that checks whether the store is back after a failure, or
+    /// refreshes an unconfirmed state, doesn't wait.
+    fn read_wait(&self, tailed: TailedTopic, part: ReaderPart, has_failed: bool) -> Duration {
+        let tailing = self.tailing(tailed).borrow();
+        let is_unconfirmed = tailing.freshness().needs_confirmation(self.now());
+        if has_failed || (is_unconfirmed && part != ReaderPart::Alone) {
             return Duration::ZERO;
         }
         let drawn = rand::rng().random_range(read_wait(part));
-        following.freshness().read_wait_of(self.now(), part, drawn)
+        tailing.freshness().read_wait_of(self.now(), part, drawn)
     }
 
-    /// Waits until a read that was to wait for `wait` has lasted too long: nothing has confirmed
-    /// for a while what is known, though others could. The read of a lone node ends by itself, and
-    /// so does one whose answer is coming: a large one may take longer than that.
-    async fn until_overdue(&self, what: TailedTopic, wait: Duration) {
+    /// Completes when a read that waits for `wait` is overdue: this node's state has been unconfirmed for a while, though peers
+    /// could confirm it. Never completes for the read of a lone node or while an answer is being received, since a large answer
+    /// may take longer; these reads end by themselves.
+    async fn until_overdue(&self, tailed: TailedTopic, wait: Duration) {
         loop {
-            let sure_for = self.following(what).borrow().freshness().time_until_doubt(self.now());
-            sleep(sure_for.max(OVERDUE_CHECK_MIN)).await;
-            let is_in_doubt =
-                self.following(what).borrow().freshness().needs_confirmation(self.now());
-            let has_time = wait.is_zero() || self.reader_part() == ReaderPart::Alone;
-            if is_in_doubt && !has_time && !self.store.receives(what.topic()) {
+            let confirmed_for = self.tailing(tailed).borrow().freshness().time_until_doubt(self.now());
+            sleep(confirmed_for.max(OVERDUE_CHECK_MIN)).await;
+            let is_unconfirmed =
+                self.tailing(tailed).borrow().freshness().needs_confirmation(self.now());
+            let may_wait = wait.is_zero() || self.reader_part() == ReaderPart::Alone;
+            if is_unconfirmed && !may_wait && !self.store.receives(tailed.topic()) {
                 return;
             }
         }
     }
 
-    /// Returns this node's part in reading the store for others.
+    /// Returns this node's role in reading the store for others.
     fn reader_part(&self) -> ReaderPart {
         match self.now() >= self.started_at + PEER_DISCOVERY_TIME {
             true => self.peers.reader_part(),
@@ -309,72 +307,72 @@
         }
     }
 
-    /// Returns how well a topic is known.
-    pub fn following(&self, what: TailedTopic) -> &RefCell<Tailing> {
-        &self.tailing[what as usize]
+    /// Returns the state of a topic.
+    pub fn tailing(&self, tailed: TailedTopic) -> &RefCell<Tailing> {
+        &self.tailing[tailed as usize]
     }
 
-    /// Returns the time since what is known was the newest for sure.
-    pub fn age(&self, what: TailedTopic) -> Option<Duration> {
-        self.following(what).borrow().freshness().age(self.now())
+    /// Returns the time since this node's state of a topic was last confirmed.
+    pub fn age(&self, tailed: TailedTopic) -> Option<Duration> {
+        self.tailing(tailed).borrow().freshness().age(self.now())
     }
 
-    /// Says that this node reads a topic, if it does so in place of the readers.
-    fn log_stand_in(&self, what: TailedTopic, part: ReaderPart) {
+    /// Logs that this node reads a topic in place of the readers; does nothing if it is a reader.
+    fn log_stand_in(&self, tailed: TailedTopic, part: ReaderPart) {
         if part != ReaderPart::None {
             return;
         }
-        let behind = self.following(what).borrow().lag();
-        let behind_ms = behind.since.map(|since| (self.now() - since).as_millis());
-        let line = LogLine::event("store_stand_in").with("topic", what.topic().name());
-        let line = line.with_some("age_ms", self.age(what).map(|age| age.as_millis()));
+        let lag = self.tailing(tailed).borrow().lag();
+        let behind_ms = lag.since.map(|since| (self.now() - since).as_millis());
+        let line = LogLine::event("store_stand_in").with("topic", tailed.topic().name());
+        let line = line.with_some("age_ms", self.age(tailed).map(|age| age.as_millis()));
         log::info(line.with_some("behind_ms", behind_ms));
     }
 
-    /// Returns the mark of what is known.
-    fn own_mark(&self, what: TailedTopic) -> Position {
-        match what {
+    /// Returns this node's mark of a topic.
+    fn own_mark(&self, tailed: TailedTopic) -> Position {
+        match tailed {
             TailedTopic::Config => self.config.borrow().version().into(),
             TailedTopic::Upstreams => self.upstreams.directory().end(),
         }
     }
 
-    /// Takes in what a peer says of its knowledge; tells whether it is to be asked for it.
+    /// Handles the mark and age that a peer reports for a topic; returns whether to request newer records from it.
     pub fn handle_peer_mark(
         &self,
-        what: TailedTopic,
+        tailed: TailedTopic,
         mark: Position,
         age: Option<Duration>,
     ) -> bool {
-        let (now, own) = (self.now(), self.own_mark(what));
-        let shall_ask = self.following(what).borrow_mut().handle_peer_mark(now, own, mark, age);
+        let (now, own) = (self.now(), self.own_mark(tailed));
+        let should_request = self.tailing(tailed).borrow_mut().handle_peer_mark(now, own, mark, age);
         if mark == own
             && let Some(age) = age
         {
-            self.record_peer_read(what, now.saturating_sub(age));
+            self.record_peer_read(tailed, now.saturating_sub(age));
         }
-        shall_ask
+        should_request
     }
 
-    /// Takes in that a peer read the store `age` ago, which then had nothing newer than is known here.
-    fn confirm_from_peer(&self, what: TailedTopic, age: Duration) {
+    /// Records that a peer read the store `age` ago and found nothing newer than this node's state.
+    fn confirm_from_peer(&self, tailed: TailedTopic, age: Duration) {
         let at = self.now().saturating_sub(age);
-        self.following(what).borrow_mut().record_confirmation(at);
-        self.record_peer_read(what, at);
+        self.tailing(tailed).borrow_mut().record_confirmation(at);
+        self.record_peer_read(tailed, at);
     }
 
-    /// Takes in that a peer was answered by the store at some time. Whether records may have lapsed, it says itself.
-    fn record_peer_read(&self, what: TailedTopic, at: Duration) {
-        let is_stale = self.following(what).borrow().freshness().is_stale(self.now());
-        if what == TailedTopic::Upstreams && !is_stale {
+    /// Records that the store answered a peer at `at`. The peer itself reports whether records may have lapsed.
+    fn record_peer_read(&self, tailed: TailedTopic, at: Duration) {
+        let is_stale = self.tailing(tailed).borrow().freshness().is_stale(self.now());
+        if tailed == TailedTopic::Upstreams && !is_stale {
             self.store_answers.set(true);
             self.upstreams.records_read(at);
         }
     }
 
-    fn record_answer(&self, what: TailedTopic) {
-        measures::store_called(what.topic().name(), "answered");
-        if what == TailedTopic::Config {
+    fn record_answer(&self, tailed: TailedTopic) {
+        measures::store_called(tailed.topic().name(), "answered");
+        if tailed == TailedTopic::Config {
             return;
         }
         self.upstreams.records_read(self.now());
@@ -393,7 +391,7 @@
         }
     }
 
-    /// Lets lapsed upstreams go, for as long as the process runs.
+    /// Removes lapsed upstreams periodically, for as long as the process runs.
     pub async fn expire(self: Rc<Self>) {
         loop {
             sleep(EXPIRY_INTERVAL).await;
@@ -405,17 +403,17 @@
         }
     }
 
-    /// Says that operators' words have gone unconfirmed for longer than an evacuation may take, and when that is over: until
-    /// then this node may send into a domain that was evacuated.
+    /// Logs when operators' orders have been unconfirmed for longer than an evacuation may take, and when that is over: meanwhile
+    /// this node may send to a domain that was evacuated.
     fn check_order_confirmation(&self) {
         let Some(age) = self.age(TailedTopic::Config) else {
             return;
         };
-        let is_unheard = age > self.evacuation_bound.get();
-        if self.has_unconfirmed_orders.replace(is_unheard) == is_unheard {
+        let is_unconfirmed = age > self.evacuation_bound.get();
+        if self.has_unconfirmed_orders.replace(is_unconfirmed) == is_unconfirmed {
             return;
         }
-        let line = LogLine::event("operators_unheard").with("is_unheard", is_unheard);
+        let line = LogLine::event("operators_unheard").with("is_unheard", is_unconfirmed);
         let line = line.with("age_ms", age.as_millis());
         log::warn(line.with("bound_ms", self.evacuation_bound.get().as_millis()));
     }
@@ -425,12 +423,12 @@
     }
 }
 
-/// Spreads a pause, so that nodes which failed together don't ask again together.
+/// Randomizes a pause, so that nodes whose calls failed together don't retry together.
 fn jitter(pause: Duration) -> Duration {
     pause.mul_f64(rand::rng().random_range(0.5..1.5))
 }
 
-/// Says that a page held records without a readable key. Only a read of changes brings them, so each is said once.
+/// Logs that a page held records without a readable key. Only a read of changes returns them, so each is logged once.
 fn report_unreadable(topic: Topic, page: &Page) {
     if page.unreadable > 0 {
         measures::record_refused(topic.name());
--- a/crates/fernring-gateway/src/store/store_loops/operator_records.rs
+++ b/crates/fernring-gateway/src/store/store_loops/operator_records.rs
@@ -1,4 +1,4 @@
-//! What operators write: configurations, words on failure domains, and versions to roll out.
+//! Applies the records that operators write: configurations, orders for failure domains, and versions to roll out.
 
 use {
     super::{StoreLoops, TailedTopic},
@@ -16,10 +16,10 @@
 };
 
 impl StoreLoops {
-    /// Takes in the operators' records. Words on failure domains come first: a configuration takes time to decode.
-    pub(super) fn apply_operator_page(&self, page: Page, is_whole: bool) {
+    /// Applies a page of operators' records. Orders for failure domains come first, since a configuration takes time to decode.
+    pub(super) fn apply_operator_page(&self, page: Page, is_full: bool) {
         let mut configs = Vec::new();
-        let mut words = Vec::new();
+        let mut orders = Vec::new();
         let mut rollouts = Vec::new();
         for record in &page.records {
             let at = page.position(record);
@@ -30,24 +30,24 @@
             match self.wire.decode_evacuation(record) {
                 None => configs.push((record, at)),
                 Some(EvacuationRecord { failure_domain, is_in_force: Ok(is_in_force) }) => {
-                    words.push((failure_domain, EvacuationOrder { at, is_in_force }));
+                    orders.push((failure_domain, EvacuationOrder { at, is_in_force }));
                 }
                 Some(EvacuationRecord { failure_domain, is_in_force: Err(error) }) => {
                     log_evacuation_refused(&failure_domain, at, &error);
-                    // What was in force before it stays so, also if all words are read anew.
+                    // The previous order stays in force, also after a full read.
                     let known = self.upstreams.evacuations().borrow().order(&failure_domain);
-                    words.extend(known.map(|word| (failure_domain, word)));
+                    orders.extend(known.map(|order| (failure_domain, order)));
                 }
             }
         }
-        if is_whole {
-            self.replace_evacuations(words, page.end_position());
+        if is_full {
+            self.replace_evacuations(orders, page.end_position());
         } else {
-            for (failure_domain, word) in words {
-                self.apply_evacuation(failure_domain, word, "store");
+            for (failure_domain, order) in orders {
+                self.apply_evacuation(failure_domain, order, "store");
             }
         }
-        self.rollouts.take_records(rollouts, is_whole, page.end_position());
+        self.rollouts.take_records(rollouts, is_full, page.end_position());
         for (record, at) in configs {
             if let Some(value) = &record.value {
                 self.apply_config(value, pack(value), at.next(), "store");
@@ -55,30 +55,30 @@
         }
     }
 
-    fn replace_evacuations(&self, words: Vec<(Arc<str>, EvacuationOrder)>, end: Position) {
-        let present = words.into_iter().filter(|(_, word)| word.is_in_force);
-        let present = present.map(|(failure_domain, word)| (failure_domain, word.at)).collect();
+    fn replace_evacuations(&self, orders: Vec<(Arc<str>, EvacuationOrder)>, end: Position) {
+        let present = orders.into_iter().filter(|(_, order)| order.is_in_force);
+        let present = present.map(|(failure_domain, order)| (failure_domain, order.at)).collect();
         let changed = self.upstreams.evacuations().borrow_mut().replace_all(present, end);
         for failure_domain in changed {
             self.log_evacuation_change(&failure_domain, "store", end);
         }
     }
 
-    /// Takes in an operator's word on a failure domain, from anywhere.
-    pub fn apply_evacuation(&self, failure_domain: Arc<str>, word: EvacuationOrder, source: &str) {
+    /// Applies an operator's order for a failure domain, from the store or a peer (`source`).
+    pub fn apply_evacuation(&self, failure_domain: Arc<str>, order: EvacuationOrder, source: &str) {
         let mut evacuations = self.upstreams.evacuations().borrow_mut();
-        let has_changed = evacuations.apply(failure_domain.clone(), word);
+        let has_changed = evacuations.apply(failure_domain.clone(), order);
         drop(evacuations);
         if has_changed {
-            self.log_evacuation_change(&failure_domain, source, word.at);
+            self.log_evacuation_change(&failure_domain, source, order.at);
         }
     }
 
     fn log_evacuation_change(&self, failure_domain: &Arc<str>, source: &str, at: Position) {
         let is_in_force = self.upstreams.evacuations().borrow().is_evacuated(failure_domain);
         let directory = self.upstreams.directory();
-        let there = |upstream: &&Upstream| upstream.record.failure_domain == *failure_domain;
-        let upstreams = directory.iter().map(|(_, upstream)| upstream).filter(there).count();
+        let is_in_domain = |upstream: &&Upstream| upstream.record.failure_domain == *failure_domain;
+        let upstreams = directory.iter().map(|(_, upstream)| upstream).filter(is_in_domain).count();
         drop(directory);
         let line = LogLine::event("evacuation_taken").with("failure_domain", failure_domain);
         let line = line.with("is_in_force", is_in_force).with("source", source).with("record", at);
@@ -86,7 +86,7 @@
         self.owner.pump_all();
     }
 
-    /// Takes in a configuration from anywhere: its record, the same packed, and the store's number after it.
+    /// Applies a configuration from the store or a peer (`source`): its record, the same record packed, and the position after it.
     fn apply_config(&self, record: &[u8], packed: Bytes, end: Position, source: &str) {
         let config = match self.wire.decode_config(record) {
             Ok(config) => config,
@@ -97,39 +97,39 @@
         if !self.config.borrow_mut().offer(config, packed, end) {
             return;
         }
-        let mut following = self.following(TailedTopic::Config).borrow_mut();
-        let behind = following.lag();
-        following.record_caught_up(packed_bytes);
+        let mut tailing = self.tailing(TailedTopic::Config).borrow_mut();
+        let lag = tailing.lag();
+        tailing.record_caught_up(packed_bytes);
         let line = LogLine::event("config_taken").with("from", from).with("to", to);
         let line = line.with("source", source).with("bytes", record.len());
         let line = line.with("packed_bytes", packed_bytes);
-        let behind_ms = behind.since.map(|since| (self.now() - since).as_millis());
-        let line = line.with_some("behind_ms", behind_ms).with("asked", behind.requests);
-        log::info(line.with("put_off", behind.deferred));
+        let behind_ms = lag.since.map(|since| (self.now() - since).as_millis());
+        let line = line.with_some("behind_ms", behind_ms).with("asked", lag.requests);
+        log::info(line.with("put_off", lag.deferred));
         self.log_unknown_regions();
     }
 
-    /// Says which regions the configuration in force names that no failure domain belongs to: what is restricted to them
-    /// alone is refused.
+    /// Logs the regions that the configuration in force names but no failure domain belongs to: requests that are restricted to
+    /// only these are refused.
     fn log_unknown_regions(&self) {
-        let Some(held) = self.config.borrow().current() else {
+        let Some(current) = self.config.borrow().current() else {
             return;
         };
         let regions = self.upstreams.regions();
-        let named = held.config.regions();
-        let unknown: Vec<&str> = named
+        let configured = current.config.regions();
+        let unknown: Vec<&str> = configured
             .into_iter()
             .map(|region| &**region)
             .filter(|name| !regions.contains(name))
             .collect();
         if !unknown.is_empty() {
-            let line = LogLine::event("regions_unknown").with("config", held.config.version);
+            let line = LogLine::event("regions_unknown").with("config", current.config.version);
             log::warn(line.with("regions", unknown.join(",")));
         }
     }
 
-    /// Takes in a packed configuration that a peer passes on, with the store's number after it. It confirms nothing:
-    /// if it can't be read, what is known here may well be out of date.
+    /// Handles a packed configuration from a peer, with the position after it. It doesn't confirm this node's state: if it is
+    /// malformed, the configuration in force may be out of date.
     pub fn handle_peer_config(&self, packed: Bytes, end: Position) {
         match unpack(&packed) {
             Ok(record) => self.apply_config(&record, packed, end, "peer"),
@@ -138,7 +138,7 @@
     }
 }
 
-/// Says that an operator's word can't be read.
+/// Logs that an operator's order is malformed.
 fn log_evacuation_refused(failure_domain: &str, at: Position, error: &Malformed) {
     measures::record_refused(Topic::Config.name());
     let line = LogLine::event("evacuation_refused").with("failure_domain", failure_domain);
--- a/crates/fernring-gateway/src/store/store_loops/upstream_records.rs
+++ b/crates/fernring-gateway/src/store/store_loops/upstream_records.rs
@@ -36,21 +36,21 @@
 }
 
 impl StoreLoops {
-    pub(super) fn apply_upstream_page(&self, page: Page, is_whole: bool) {
+    pub(super) fn apply_upstream_page(&self, page: Page, is_full: bool) {
         let decoded = page.records.iter().map(|record| self.decode(record, page.position(record)));
         let changes: Vec<_> = decoded.collect();
-        self.apply_upstreams(changes, page.end_position(), is_whole);
+        self.apply_upstreams(changes, page.end_position(), is_full);
     }
 
     /// Applies the first page of a full read, so that requests are served before the other pages have come.
-    pub(super) fn apply_preview(&self, what: TailedTopic, page: &Page) {
-        if what != TailedTopic::Upstreams || self.upstreams.directory().end() > Position::default()
+    pub(super) fn apply_preview(&self, tailed: TailedTopic, page: &Page) {
+        if tailed != TailedTopic::Upstreams || self.upstreams.directory().end() > Position::default()
         {
             return;
         }
         let decoded = page.records.iter().map(|record| self.decode(record, page.position(record)));
         let effects = self.upstreams.preview(self.now(), decoded.collect());
-        self.following(what).borrow_mut().expect_bytes(ALL_RECORDS_BYTES);
+        self.tailing(tailed).borrow_mut().expect_bytes(ALL_RECORDS_BYTES);
         self.upstreams_changed(&effects);
     }
 
@@ -87,16 +87,16 @@
     }
 
     /// Applies changes of upstreams up to `end`, or all records.
-    pub(super) fn apply_upstreams(&self, changes: Vec<Change>, end: Position, is_whole: bool) {
+    pub(super) fn apply_upstreams(&self, changes: Vec<Change>, end: Position, is_full: bool) {
         let (now, known) = (self.now(), self.upstreams.directory().end());
-        let effects = match is_whole {
+        let effects = match is_full {
             true => self.upstreams.replace(now, changes, end),
             false => self.upstreams.apply(now, changes),
         };
         self.upstreams.advance(end);
         if end > known {
             // Peers send only changes, so the expected size is small.
-            self.following(TailedTopic::Upstreams).borrow_mut().record_caught_up(0);
+            self.tailing(TailedTopic::Upstreams).borrow_mut().record_caught_up(0);
         }
         self.upstreams_changed(&effects);
     }
