--- a/crates/fernring-gateway/src/serving/caller_body.rs
+++ b/crates/fernring-gateway/src/serving/caller_body.rs
@@ -14,40 +14,40 @@
     },
 };
 
-enum Kind {
-    Whole(Full<Bytes>),
+enum BodyKind {
+    Full(Full<Bytes>),
     Stream(Pin<Box<dyn Stream<Item = Result<Bytes, StreamFailure>>>>),
 }
 
-/// The body of an answer to a caller.
+/// The body of an answer to a caller, complete or streamed.
 pub struct CallerBody {
-    kind: Kind,
+    kind: BodyKind,
     guard: Option<Box<dyn Any>>,
-    ends_at: Option<Duration>,
+    deadline: Option<Duration>,
 }
 
 impl CallerBody {
-    /// Returns a body that is there as a whole.
+    /// Creates a complete body.
     pub fn full(body: Full<Bytes>) -> Self {
-        Self { kind: Kind::Whole(body), guard: None, ends_at: None }
+        Self { kind: BodyKind::Full(body), guard: None, deadline: None }
     }
 
-    /// Returns a body that comes bit by bit.
-    pub fn stream(events: impl Stream<Item = Result<Bytes, StreamFailure>> + 'static) -> Self {
-        Self { kind: Kind::Stream(Box::pin(events)), guard: None, ends_at: None }
+    /// Creates a body that is streamed.
+    pub fn stream(chunks: impl Stream<Item = Result<Bytes, StreamFailure>> + 'static) -> Self {
+        Self { kind: BodyKind::Stream(Box::pin(chunks)), guard: None, deadline: None }
     }
 
-    /// Says when the time of the request is over.
-    pub fn with_deadline(self, ends_at: Duration) -> Self {
-        Self { ends_at: Some(ends_at), ..self }
+    /// Sets the deadline of the request.
+    pub fn with_deadline(self, deadline: Duration) -> Self {
+        Self { deadline: Some(deadline), ..self }
     }
 
-    /// Returns when the time of the request is over, if that was said.
+    /// Returns the deadline of the request, if it was set.
     pub fn deadline(&self) -> Option<Duration> {
-        self.ends_at
+        self.deadline
     }
 
-    /// Holds a guard for as long as the body is sent.
+    /// Keeps a guard alive until the body is sent or dropped.
     pub fn attach_guard(&mut self, guard: impl Any) {
         self.guard = Some(Box::new(guard));
     }
@@ -62,24 +62,24 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, StreamFailure>>> {
         match &mut self.kind {
-            Kind::Whole(body) => Pin::new(body).poll_frame(context).map_err(|never| match never {}),
-            Kind::Stream(events) => {
-                events.as_mut().poll_next(context).map(|item| Some(item?.map(Frame::data)))
+            BodyKind::Full(body) => Pin::new(body).poll_frame(context).map_err(|never| match never {}),
+            BodyKind::Stream(chunks) => {
+                chunks.as_mut().poll_next(context).map(|item| Some(item?.map(Frame::data)))
             }
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match &self.kind {
-            Kind::Whole(body) => body.is_end_stream(),
-            Kind::Stream(_) => false,
+            BodyKind::Full(body) => body.is_end_stream(),
+            BodyKind::Stream(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.kind {
-            Kind::Whole(body) => body.size_hint(),
-            Kind::Stream(_) => SizeHint::default(),
+            BodyKind::Full(body) => body.size_hint(),
+            BodyKind::Stream(_) => SizeHint::default(),
         }
     }
 }
--- a/crates/fernring-gateway/src/serving/context.rs
+++ b/crates/fernring-gateway/src/serving/context.rs
@@ -1,4 +1,4 @@
-//! The parts of a node that requests use on their way.
+//! The parts of a node that serving a request needs.
 
 use {
     crate::{
@@ -14,11 +14,11 @@
     },
 };
 
-/// What serves requests; shared by all connections of a node.
+/// The parts of a node that serve requests; shared by all of its connections.
 pub struct ServingContext {
     /// The clock.
     pub clock: Rc<dyn Clock>,
-    /// Waits for its points.
+    /// The timer for waits until a deadline.
     pub deadline_timer: Rc<DeadlineTimer>,
     /// The platform's formats.
     pub wire: Rc<dyn Wire>,
@@ -28,19 +28,19 @@
     pub upstreams: Rc<Upstreams>,
     /// The other nodes.
     pub peers: Rc<Peers>,
-    /// The stages.
+    /// The client of the stages' owners.
     pub stages: Rc<Stages>,
-    /// How fast model engines read, as learned since the start.
+    /// The prefill speeds of model engines, measured since the start.
     pub prefill_speeds: ReadingSpeeds,
-    /// The mechanisms of the policy that are on.
+    /// The mechanisms of the policy that are enabled.
     pub decide_settings: Rc<Cell<DecideSettings>>,
     /// The retry budget.
     pub retries: Rc<Retries>,
-    /// Versions that are rolled out.
+    /// The versions that are being rolled out.
     pub rollouts: Rc<Rollouts>,
-    /// The upstreams that ended, and what ran there.
+    /// The attribution of upstreams' crashes to requests.
     pub crash_attribution: Rc<Blame>,
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub in_flight: Cell<isize>,
 }
 
@@ -51,12 +51,12 @@
 }
 
 impl ServingContext {
-    /// Returns the steady time.
+    /// Returns the current monotonic time.
     pub fn now(&self) -> Duration {
         self.clock.now().monotonic
     }
 
-    /// Adds to the number of requests in flight.
+    /// Changes the number of requests in flight by `change`.
     pub fn adjust_in_flight(&self, change: isize) {
         self.in_flight.set(self.in_flight.get() + change);
     }
--- a/crates/fernring-gateway/src/serving/deadline_timer.rs
+++ b/crates/fernring-gateway/src/serving/deadline_timer.rs
@@ -1,9 +1,9 @@
-//! Waiting for points of the clock that counts what a VM was suspended.
+//! Waits until a deadline on the clock that includes the time for which the VM was suspended.
 //!
-//! The runtime's timers run on the steady clock, which stands still meanwhile: a wait of ten seconds that begins before a suspension
-//! of eight ends eight late. A wait for a deadline is therefore asked again when the clock is found to have jumped. Waits of two
-//! seconds at most that are repeated anyway (pauses of loops, of a connection or of a call to the store) stay on the timers: on
-//! waking they last no longer than they were meant to.
+//! The runtime's timers run on the steady clock, which stops during a suspension: a wait of ten seconds that starts before a
+//! suspension of eight seconds ends eight seconds late. Therefore each wait for a deadline is restarted when the clock has jumped.
+//! Waits of at most two seconds that are repeated anyway (pauses of loops, of a connection or of a call to the store) use the
+//! runtime's timers: after a suspension they last no longer than intended.
 
 use {
     crate::log,
@@ -15,57 +15,58 @@
     },
 };
 
-/// How much the clock may run ahead of the timers between two looks: more than their readings differ by.
+/// Smallest lead of the clock over the timers between two checks that counts as a suspension; larger than the difference between
+/// their readings.
 const SUSPENSION_MIN: Duration = Duration::from_millis(50);
 
-/// What wakes those who wait for a deadline.
+/// Wakes tasks at their deadlines, also after a suspension of the VM.
 pub struct DeadlineTimer {
     clock: Rc<dyn Clock>,
-    /// Readings of the clock and of the timers' clock at the same moment.
+    /// Readings of the clock and of the timers' clock at the last check.
     last_check: Cell<(Duration, Instant)>,
     resumed: Notify,
 }
 
 impl DeadlineTimer {
-    /// Creates an alarm on a clock.
+    /// Creates a timer on a clock.
     pub fn new(clock: Rc<dyn Clock>) -> Self {
         let looked_at = Cell::new((clock.now().monotonic, Instant::now()));
         Self { clock, last_check: looked_at, resumed: Notify::new() }
     }
 
-    /// Looks whether the VM was suspended since the last look.
+    /// Checks whether the VM was suspended since the last check; if so, restarts all waits.
     pub fn check_for_suspension(&self) {
         let (now, timers_now) = (self.clock.now().monotonic, Instant::now());
-        let (before, timers_before) = self.last_check.replace((now, timers_now));
-        let ahead = now.saturating_sub(before).saturating_sub(timers_now - timers_before);
-        if ahead >= SUSPENSION_MIN {
-            let line = LogLine::event("vm_suspended").with("suspended_ms", ahead.as_millis());
+        let (before, timers_last) = self.last_check.replace((now, timers_now));
+        let suspended_for = now.saturating_sub(before).saturating_sub(timers_now - timers_last);
+        if suspended_for >= SUSPENSION_MIN {
+            let line = LogLine::event("vm_suspended").with("suspended_ms", suspended_for.as_millis());
             log::warn(line);
             self.resumed.notify_waiters();
         }
     }
 
-    /// Waits until a point of the clock.
-    pub async fn sleep_until(&self, at: Duration) {
+    /// Waits until a deadline.
+    pub async fn sleep_until(&self, deadline: Duration) {
         loop {
-            let woke = self.resumed.notified();
-            let left = at.saturating_sub(self.clock.now().monotonic);
+            let resumed = self.resumed.notified();
+            let left = deadline.saturating_sub(self.clock.now().monotonic);
             if left.is_zero() {
                 return;
             }
             tokio::select! {
                 () = sleep(left) => {}
-                () = woke => {}
+                () = resumed => {}
             }
         }
     }
 
-    /// Waits for work until a point of the clock; `None` if it isn't done by then.
-    pub async fn complete_by<T>(&self, at: Duration, work: impl Future<Output = T>) -> Option<T> {
+    /// Runs `work` until a deadline; returns `None` if it isn't done by then.
+    pub async fn complete_by<T>(&self, deadline: Duration, work: impl Future<Output = T>) -> Option<T> {
         tokio::select! {
             biased;
             done = work => Some(done),
-            () = self.sleep_until(at) => None,
+            () = self.sleep_until(deadline) => None,
         }
     }
 }
--- a/crates/fernring-gateway/src/serving/ingress.rs
+++ b/crates/fernring-gateway/src/serving/ingress.rs
@@ -1,4 +1,4 @@
-//! Connections of callers: accepting, time limits, shutting down.
+//! Connections of callers: accepting them, their timeouts, and shutdown.
 
 use {
     crate::{
@@ -27,39 +27,39 @@
     },
 };
 
-/// Smallest buffer that the HTTP library takes.
+/// Smallest buffer that the HTTP library accepts, in bytes.
 const BUFFER_BYTES_MIN: usize = 8_192;
-/// How long a caller may go on reading when the time of its request is over. One that has stopped would keep its connection, and
-/// one to an upstream, for as long as it likes.
+/// How long a caller may keep reading an answer after the deadline of its request. Without this limit, a caller that stops reading
+/// would occupy its connection, and one to an upstream, indefinitely.
 const OVERTIME_MAX: Duration = Duration::from_secs(5);
-/// Pause after a failed accept, which mostly means that descriptors are short.
+/// Pause after a failed accept, which mostly means that file descriptors have run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// How far a node's shutdown is.
+/// The phase of a node's life, up to its shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// It takes connections.
+    /// The node accepts connections.
     Serving,
-    /// It is not ready any more; answers tell callers to connect elsewhere.
+    /// The node is no longer ready; answers close their connections, so that callers connect to another node.
     Leaving,
-    /// Connections are closed as soon as they carry no request.
+    /// Connections are closed as soon as they have no request in flight.
     Closing,
 }
 
-/// What a connection is doing.
+/// The current activity of a connection.
 #[derive(Debug, Clone, Copy)]
 enum Activity {
-    /// Nothing, since then.
+    /// Idle since this time.
     Idle(Duration),
-    /// Reading a head, since its first byte.
+    /// Reading a request's head, since its first byte.
     ReadingHead(Duration),
-    /// Carrying a request; its own limits hold.
+    /// Serving a request, which has its own time limits.
     ServingRequest,
-    /// Sending an answer, which is given up then.
+    /// Sending an answer, which is abandoned at this time.
     SendingAnswer(Duration),
 }
 
-/// What the tasks of one connection share.
+/// The state shared by the tasks of one connection.
 #[derive(Debug)]
 pub struct ConnectionState {
     activity: Cell<Activity>,
@@ -87,7 +87,7 @@
     }
 }
 
-/// A request that a connection carries; the connection is idle again when it is dropped.
+/// A guard for a request in flight on a connection; the connection becomes idle when it is dropped.
 #[derive(Debug)]
 pub struct RequestGuard(Rc<ConnectionState>);
 
@@ -97,7 +97,7 @@
     }
 }
 
-/// Notes when bytes of a head begin to arrive.
+/// A TCP stream that records when the first bytes of a request's head arrive.
 struct WatchedStream {
     stream: TcpStream,
     state: Rc<ConnectionState>,
@@ -148,7 +148,7 @@
     }
 }
 
-/// The callers' connections of a node.
+/// The callers' connections to a node.
 pub struct Ingress {
     serving: Rc<ServingContext>,
     config: Rc<RefCell<ConfigState>>,
@@ -168,17 +168,17 @@
         self.open.get()
     }
 
-    /// Returns how far the shutdown is.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
-    /// Moves the shutdown on.
+    /// Sets the phase.
     pub fn set_phase(&self, phase: Phase) {
         self.phase.send_replace(phase);
     }
 
-    /// Takes connections for as long as the process runs.
+    /// Accepts connections for as long as the process runs.
     pub async fn listen(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
@@ -216,11 +216,11 @@
         );
         let mut phase = self.phase.subscribe();
         let mut closing = pin!(async move {
-            // An error means that the node has ended, so there is nothing to wait for.
+            // An error means that the node has been dropped, so there is nothing to wait for.
             drop(phase.wait_for(|phase| *phase == Phase::Closing).await);
         });
         let mut is_closing = false;
-        // Reset to what the connection is doing each time that it is looked at.
+        // Set to the deadline of the connection's activity at each poll.
         let alarm = &self.serving.deadline_timer;
         let mut timer_at = self.serving.now() + limits.idle_timeout;
         let mut timer = Box::pin(alarm.sleep_until(timer_at));
@@ -260,8 +260,8 @@
         state.activity.set(Activity::ServingRequest);
         let guard = RequestGuard(state.clone());
         let mut response = self.serving.clone().serve(request).await;
-        if let Some(ends_at) = response.body().deadline() {
-            state.activity.set(Activity::SendingAnswer(ends_at + OVERTIME_MAX));
+        if let Some(deadline) = response.body().deadline() {
+            state.activity.set(Activity::SendingAnswer(deadline + OVERTIME_MAX));
         }
         if self.phase() >= Phase::Leaving {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
--- a/crates/fernring-gateway/src/serving/mod.rs
+++ b/crates/fernring-gateway/src/serving/mod.rs
@@ -1,8 +1,8 @@
-//! A request's way: from its caller's connection to an upstream's answer and back.
+//! The path of a request: from its caller's connection to an upstream's response and back.
 //!
-//! [`ingress`] takes connections and hands requests to [`serve`], which checks and routes them; [`exchange`] keeps one request's
-//! account, has its stages made and sends it; [`relay`] passes a stream on. Each uses only those named after it, and the parts of
-//! the node that [`context`] holds.
+//! [`ingress`] accepts connections and passes requests to [`serve`], which checks and routes them. [`exchange`] holds the state of
+//! one request, runs its stages and sends it; [`relay`] forwards a stream. Each module uses only those named after it, and the
+//! parts of the node in [`context`].
 
 pub mod caller_body;
 pub mod context;
--- a/crates/fernring-gateway/src/serving/refusal.rs
+++ b/crates/fernring-gateway/src/serving/refusal.rs
@@ -1,6 +1,6 @@
-//! Answers of the gateway's own.
+//! Answers that the gateway generates itself.
 //!
-//! A status that promises "not run" is built only from [`NotRun`], or before anything was sent.
+//! A status that guarantees that the request has not run is built only from [`NotRun`], or before anything was sent.
 
 use {
     crate::{attempts::NotRun, wire::Wire},
@@ -11,15 +11,15 @@
     std::time::Duration,
 };
 
-/// When to come back to a node that isn't ready; the retry reaches another one.
+/// Retry-after of a node that isn't ready; the retry reaches another node.
 pub const RETRY_AFTER_NOT_READY: Duration = Duration::from_millis(100);
 
-/// A final answer of the gateway's own.
+/// A final answer to a caller that the gateway generates itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
-    /// What happened.
+    /// The reason.
     pub code: ResultCode,
-    /// More, for the log.
+    /// Details for the log.
     pub detail: String,
     status: StatusCode,
     retry_after: Option<Duration>,
@@ -27,14 +27,14 @@
 }
 
 impl Refusal {
-    /// Refuses a request that the caller has to correct. `code` must be of that kind.
+    /// Refuses a request that the caller has to correct. `code` must be a caller's error.
     pub fn invalid_request(code: ResultCode, detail: impl Into<String>) -> Self {
         let status = StatusCode::from_u16(code.http_status()).unwrap_or(StatusCode::BAD_REQUEST);
         let closes = matches!(code, ResultCode::BadRequest | ResultCode::BodyTooLarge);
         Self { code, detail: detail.into(), status, retry_after: None, closes_connection: closes }
     }
 
-    /// Refuses a request whose body did not come in time. It has not run: it wasn't whole.
+    /// Refuses a request whose body was not received in time. It has not run, since it was incomplete.
     pub fn slow_body() -> Self {
         Self {
             code: ResultCode::BodyTooSlow,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Turns away a request that has not run and that upstreams end under. There is no time to come back at: it would be
+    /// Refuses a quarantined request, which crashes upstreams and has not run. There is no retry-after, since the request would be
     /// refused again.
     pub fn quarantined(_: NotRun, detail: impl Into<String>) -> Self {
         let code = ResultCode::EndsUpstreams;
@@ -70,7 +70,7 @@
         Self { code, detail: detail.into(), status, retry_after: None, closes_connection: false }
     }
 
-    /// Gives up a request that may have run.
+    /// Abandons a request that may have run.
     pub fn may_have_run(code: ResultCode, detail: impl Into<String>) -> Self {
         let status = match code {
             ResultCode::WindowEnded | ResultCode::EffectUnknown => StatusCode::GATEWAY_TIMEOUT,
@@ -84,7 +84,7 @@
         self.status
     }
 
-    /// Builds the answer.
+    /// Builds the HTTP response.
     pub fn response(&self, wire: &dyn Wire) -> Response<Full<Bytes>> {
         let mut response = Response::new(Full::default());
         *response.status_mut() = self.status;
--- a/crates/fernring-gateway/src/serving/relay.rs
+++ b/crates/fernring-gateway/src/serving/relay.rs
@@ -1,4 +1,4 @@
-//! Passing a stream on while it comes, and going on elsewhere when it breaks off and may.
+//! Forwards a stream as it arrives, and resumes it at another upstream if it is interrupted and may be resumed.
 
 use {
     crate::{
@@ -14,24 +14,24 @@
     std::time::Duration,
 };
 
-/// Silence after which a stream that may go on elsewhere does. Objectives for pauses lie around a
-/// fifth of a second, and callers give up after two seconds.
+/// Silence after which a resumable stream is resumed at another upstream. Objectives for pauses are around a fifth of a second,
+/// and callers give up after two seconds.
 const SILENCE_MAX: Duration = Duration::from_millis(900);
 
-/// A stream that is passed on.
+/// A stream that is forwarded to a caller.
 pub struct Relay {
     exchange: Exchange,
     opened: OpenedResponse,
     splitter: EventSplitter,
-    /// Number of the last whole event that was passed on.
+    /// Number of the last complete event that was forwarded.
     last_event: Option<u64>,
-    /// Whether it may go on at another upstream. A failure may not: its head has been passed on.
+    /// Whether the stream may be resumed at another upstream. A failure response may not, since its head has been forwarded.
     is_resumable: bool,
     is_done: bool,
 }
 
 impl Relay {
-    /// Starts to pass on a stream whose head has come.
+    /// Creates a relay for a stream whose head has been received.
     pub fn new(exchange: Exchange, opened: OpenedResponse) -> Self {
         let last_event = exchange.resume_after();
         let is_resumable = exchange.repeat() == Repeat::Resume && opened.status().is_success();
@@ -39,7 +39,7 @@
         Self { exchange, opened, splitter, last_event, is_resumable, is_done: false }
     }
 
-    /// Waits for the next bytes to pass on; `None` at the end.
+    /// Waits for the next bytes to forward; `None` at the end.
     pub async fn next(&mut self) -> Option<Result<Bytes, StreamFailure>> {
         if self.is_done {
             return None;
@@ -87,11 +87,11 @@
         if !self.is_resumable {
             return Ok(bytes);
         }
-        let whole = self.splitter.push(&bytes);
-        let whole = whole.map_err(|error| StreamFailure::Broken(error.to_string()))?;
-        let number = last_event_number(&whole, |line| self.exchange.event_number(line));
+        let complete = self.splitter.push(&bytes);
+        let complete = complete.map_err(|error| StreamFailure::Broken(error.to_string()))?;
+        let number = last_event_number(&complete, |line| self.exchange.event_number(line));
         self.last_event = number.or(self.last_event);
-        Ok(whole)
+        Ok(complete)
     }
 
     async fn resume(&mut self, why: BreakOff) -> Result<Option<Bytes>, StreamFailure> {
@@ -100,7 +100,7 @@
         let line = line.with("upstream", self.opened.instance()).with("reason", &why.reason);
         log::warn(line.with_some("last_event", self.last_event));
         self.splitter.discard();
-        // Closed before another upstream is asked, so that two never work on it.
+        // The connection is closed before another upstream is asked, so that two upstreams never work on the stream at once.
         self.opened.body.close();
         self.exchange.record_broken_send(&self.opened, &why);
         if !self.is_resumable {
@@ -112,7 +112,7 @@
                     self.opened = opened;
                     return Ok(Some(Bytes::new()));
                 }
-                // A failure's body is no event: it must not reach the caller.
+                // The body of a failure response is no event and must not reach the caller.
                 Ok(failed) => self.exchange.record_failure_head(&failed),
                 Err(_) => return Err(StreamFailure::Broken(why.reason)),
             }
--- a/crates/fernring-gateway/src/serving/serve.rs
+++ b/crates/fernring-gateway/src/serving/serve.rs
@@ -1,4 +1,4 @@
-//! From a caller's request to its answer.
+//! Checks and routes a caller's request, and turns the result of its exchange into the answer.
 
 use {
     crate::{
@@ -31,13 +31,13 @@
     tokio::time::timeout,
 };
 
-/// Longest whole answer of a plain route that is held until it is complete, in bytes. Larger ones
-/// end as failed: nothing of the kind is served today.
+/// Largest response of a non-streaming route, in bytes; it is buffered until it is complete. Larger responses count as failed:
+/// no service has any today.
 const PLAIN_ANSWER_BYTES_MAX: usize = 8 << 20;
-/// How long the rest of a body that is too long is read, so that its sender sees the answer.
+/// How long the rest of a body that is too long is read, so that the caller receives the answer.
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A request that may be served.
+/// A request that passed all checks.
 struct Accepted {
     route: Arc<Route>,
     workspace: Option<Arc<Workspace>>,
@@ -45,7 +45,7 @@
 }
 
 impl ServingContext {
-    /// Answers a request. Dropping the future gives it up.
+    /// Serves a request and returns the answer. Dropping the future abandons the request.
     pub async fn serve(self: Rc<Self>, request: Request<Incoming>) -> Response<CallerBody> {
         let arrived_at = self.now();
         let in_flight = InFlight::new(self.clone());
@@ -91,16 +91,16 @@
         })?;
         let id = fields.id.clone();
         let refuse = |refusal| (id.clone(), refusal);
-        let held = self.config.borrow().current().ok_or_else(|| refuse(not_ready()))?;
+        let current = self.config.borrow().current().ok_or_else(|| refuse(not_ready()))?;
         check_host(&head).map_err(refuse)?;
-        let route = find_route(&held, &head).map_err(refuse)?;
-        let workspace = find_workspace(&held, &route, fields.api_key.as_deref()).map_err(refuse)?;
+        let route = find_route(&current, &head).map_err(refuse)?;
+        let workspace = find_workspace(&current, &route, fields.api_key.as_deref()).map_err(refuse)?;
         let Some(request_id) = id.clone() else {
             return Err(refuse(Refusal::invalid_request(ResultCode::BadRequest, "no request id")));
         };
         let end_at = arrived_at + route.wait(fields.remaining);
-        let reading = read_body(body, held.config.limits.body_bytes_max);
-        let body = self.deadline_timer.complete_by(end_at, reading).await;
+        let body_read = read_body(body, current.config.limits.body_bytes_max);
+        let body = self.deadline_timer.complete_by(end_at, body_read).await;
         let body = body.unwrap_or_else(|| Err(Refusal::slow_body()));
         let body = body.map_err(refuse)?;
         let path = head.uri.path_and_query().map(|path| path.as_str()).unwrap_or("/");
@@ -112,7 +112,7 @@
         headers.remove(CONTENT_LENGTH);
         let method = head.method;
         let caller = workspace.as_ref().map(|workspace| &*workspace.name);
-        let content = Fingerprint::of(caller, path, &body);
+        let fingerprint = Fingerprint::of(caller, path, &body);
         let request = CallerRequest {
             method,
             uri,
@@ -120,7 +120,7 @@
             body,
             fields,
             id: request_id,
-            fingerprint: content,
+            fingerprint,
         };
         Ok(Accepted { route, workspace, request })
     }
@@ -165,18 +165,18 @@
         }
     }
 
-    /// Reads a whole answer; the account of the send is settled if that fails.
+    /// Collects a complete response; records a broken send if that fails.
     async fn collect_answer(
         &self,
         exchange: &mut Exchange,
         mut opened: OpenedResponse,
     ) -> Result<Response<CallerBody>, String> {
         let collecting = Limited::new(&mut opened.body, PLAIN_ANSWER_BYTES_MAX).collect();
-        let why = match self.deadline_timer.complete_by(exchange.end_at(), collecting).await {
-            Some(Ok(whole)) => {
+        let loss = match self.deadline_timer.complete_by(exchange.end_at(), collecting).await {
+            Some(Ok(collected)) => {
                 opened.record_intact();
                 let body =
-                    CallerBody::full(Full::new(whole.to_bytes())).with_deadline(exchange.end_at());
+                    CallerBody::full(Full::new(collected.to_bytes())).with_deadline(exchange.end_at());
                 return Ok(caller_response(&opened, body, true));
             }
             Some(Err(error)) => match error.downcast_ref::<hyper::Error>() {
@@ -185,8 +185,8 @@
             },
             None => BreakOff::silent("the answer was not whole in time"),
         };
-        exchange.record_broken_send(&opened, &why);
-        Err(why.reason)
+        exchange.record_broken_send(&opened, &loss);
+        Err(loss.reason)
     }
 
     async fn serve_stream(&self, mut exchange: Exchange) -> Response<CallerBody> {
@@ -229,20 +229,20 @@
     Ok(())
 }
 
-fn find_route(held: &HeldConfig, head: &request::Parts) -> Result<Arc<Route>, Refusal> {
-    let named = head.headers.get(HOST).and_then(|host| host.to_str().ok());
-    let host = head.uri.host().or(named).unwrap_or_default();
+fn find_route(current: &HeldConfig, head: &request::Parts) -> Result<Arc<Route>, Refusal> {
+    let host_header = head.headers.get(HOST).and_then(|host| host.to_str().ok());
+    let host = head.uri.host().or(host_header).unwrap_or_default();
     let host = host.rsplit_once(':').map_or(host, |(host, _port)| host);
-    let route = held.config.route(host, head.uri.path()).cloned();
+    let route = current.config.route(host, head.uri.path()).cloned();
     route.ok_or_else(|| Refusal::invalid_request(ResultCode::UnknownPipeline, "no route"))
 }
 
 fn find_workspace(
-    held: &HeldConfig,
+    current: &HeldConfig,
     route: &Route,
     key: Option<&str>,
 ) -> Result<Option<Arc<Workspace>>, Refusal> {
-    let Some(workspaces) = &held.config.workspaces else {
+    let Some(workspaces) = &current.config.workspaces else {
         return Ok(None);
     };
     let found = key.and_then(|key| workspaces.get(&key_hash(key)).cloned());
@@ -260,7 +260,7 @@
         return Err(body_too_long(body, bytes_max).await);
     }
     match Limited::new(&mut body, bytes_max).collect().await {
-        Ok(whole) => Ok(whole.to_bytes()),
+        Ok(collected) => Ok(collected.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => Err(body_too_long(body, bytes_max).await),
         Err(error) => Err(Refusal::invalid_request(ResultCode::BadRequest, error.to_string())),
     }
@@ -271,24 +271,24 @@
     Refusal::invalid_request(ResultCode::BodyTooLarge, format!("over {bytes_max} bytes"))
 }
 
-/// Reads on for a while, since closing a connection with unread bytes resets it and the answer
-/// would be lost.
+/// Reads and discards the rest of a body for up to [`DISCARD_TIMEOUT`]: closing a connection with unread bytes would reset it, and
+/// the answer would be lost.
 async fn drain_body(mut body: Incoming) {
-    let reading = async { while let Some(Ok(_)) = body.frame().await {} };
-    // Whether it ended or not, the answer is the same.
-    drop(timeout(DISCARD_TIMEOUT, reading).await);
+    let discarding = async { while let Some(Ok(_)) = body.frame().await {} };
+    // The answer is the same whether the body ended or not.
+    drop(timeout(DISCARD_TIMEOUT, discarding).await);
 }
 
-/// Takes out the headers that concern one connection only.
+/// Removes the headers that apply to a single connection only.
 fn strip_connection_headers(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+    let listed: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    let fixed = [
+    let standard = [
         CONNECTION,
         PROXY_AUTHENTICATE,
         PROXY_AUTHORIZATION,
@@ -300,7 +300,7 @@
         HeaderName::from_static("proxy-connection"),
         http::header::EXPECT,
     ];
-    for name in named.iter().chain(&fixed) {
+    for name in listed.iter().chain(&standard) {
         headers.remove(name);
     }
 }
@@ -308,13 +308,13 @@
 fn caller_response(
     opened: &OpenedResponse,
     body: CallerBody,
-    is_whole: bool,
+    is_complete: bool,
 ) -> Response<CallerBody> {
     let mut response = Response::new(body);
     *response.status_mut() = opened.head.status;
     let mut headers = opened.head.headers.clone();
     strip_connection_headers(&mut headers);
-    if is_whole {
+    if is_complete {
         headers.remove(CONTENT_LENGTH);
     }
     *response.headers_mut() = headers;
