--- a/crates/fernring-gateway/src/serving/caller_body.rs
+++ b/crates/fernring-gateway/src/serving/caller_body.rs
@@ -62,7 +62,9 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, StreamFailure>>> {
         match &mut self.kind {
-            BodyKind::Full(body) => Pin::new(body).poll_frame(context).map_err(|never| match never {}),
+            BodyKind::Full(body) => {
+                Pin::new(body).poll_frame(context).map_err(|never| match never {})
+            }
             BodyKind::Stream(chunks) => {
                 chunks.as_mut().poll_next(context).map(|item| Some(item?.map(Frame::data)))
             }
--- a/crates/fernring-gateway/src/serving/deadline_timer.rs
+++ b/crates/fernring-gateway/src/serving/deadline_timer.rs
@@ -40,7 +40,8 @@
         let (before, timers_last) = self.last_check.replace((now, timers_now));
         let suspended_for = now.saturating_sub(before).saturating_sub(timers_now - timers_last);
         if suspended_for >= SUSPENSION_MIN {
-            let line = LogLine::event("vm_suspended").with("suspended_ms", suspended_for.as_millis());
+            let line =
+                LogLine::event("vm_suspended").with("suspended_ms", suspended_for.as_millis());
             log::warn(line);
             self.resumed.notify_waiters();
         }
@@ -62,7 +63,11 @@
     }
 
     /// Runs `work` until a deadline; returns `None` if it isn't done by then.
-    pub async fn complete_by<T>(&self, deadline: Duration, work: impl Future<Output = T>) -> Option<T> {
+    pub async fn complete_by<T>(
+        &self,
+        deadline: Duration,
+        work: impl Future<Output = T>,
+    ) -> Option<T> {
         tokio::select! {
             biased;
             done = work => Some(done),
--- a/crates/fernring-gateway/src/serving/exchange/admitting.rs
+++ b/crates/fernring-gateway/src/serving/exchange/admitting.rs
@@ -1,4 +1,4 @@
-//! Whether a request is taken on: gathers what [`crate::admission`] decides by, and carries it out.
+//! Admits requests: collects the inputs of the decision in [`crate::admission`] and carries the decision out.
 
 use {
     super::Exchange,
@@ -15,11 +15,11 @@
 };
 
 impl Exchange {
-    /// Decides at arrival whether the request is taken on, and promises its stages what they need.
+    /// Decides at arrival whether the request is admitted, and reserves capacity for its stages.
     pub(super) fn admit(&mut self) -> Result<(), Refusal> {
         let stages = self.route.stages.len();
-        let is_plain = (0..stages).all(|stage| self.plan.count(stage) == 0);
-        if is_plain || !self.serving.decide_settings.get().admission {
+        let has_no_pieces = (0..stages).all(|stage| self.plan.count(stage) == 0);
+        if has_no_pieces || !self.serving.decide_settings.get().admission {
             return Ok(());
         }
         let need = self.admission_need();
@@ -44,31 +44,32 @@
         for stage in (0..stages).filter(|stage| self.plan.count(*stage) > 0) {
             let (pieces, spec) = (self.plan.count(stage), self.plan.spec(stage));
             if let Some(pool) = self.likely_pool(&spec.service) {
-                let promise = backlogs.promise(&pool, need.rank, pieces);
-                self.reservations.insert(stage, promise);
+                let reservation = backlogs.promise(&pool, need.rank, pieces);
+                self.reservations.insert(stage, reservation);
             }
         }
         Ok(())
     }
 
-    /// Returns the makers that a stage is likely to be asked of.
+    /// Returns the worker pool that a stage of this service is likely to use.
     fn likely_pool(&self, service: &Arc<str>) -> Option<MakerPool> {
         self.serving.stages.pool_for(service, None, &self.request.id, &self.residency)
     }
 
     fn admission_need(&self) -> Need {
-        let held = self.serving.config.borrow().current();
+        let current = self.serving.config.borrow().current();
         let now = self.serving.now();
         let stage_need = |stage: usize| {
             let spec = self.plan.spec(stage);
             let pieces = self.plan.count(stage);
             let backlog = self.likely_pool(&spec.service);
             let backlog = backlog.and_then(|pool| self.serving.stages.backlog(&pool));
-            let service = held.as_ref().and_then(|held| held.config.services.get(&spec.service));
+            let service =
+                current.as_ref().and_then(|current| current.config.services.get(&spec.service));
             let shape = service.and_then(|service| service.batch);
-            let ahead = backlog.map_or(0, |backlog| backlog.waiting.iter().sum());
+            let waiting = backlog.map_or(0, |backlog| backlog.waiting.iter().sum());
             let call_time = shape.map_or(Duration::ZERO, |shape| {
-                usual_time(&shape, shape.pieces_max.min((pieces + ahead) as usize))
+                usual_time(&shape, shape.pieces_max.min((pieces + waiting) as usize))
             });
             StageNeed { after: spec.after.clone(), pieces, backlog, call_time }
         };
--- a/crates/fernring-gateway/src/serving/exchange/mod.rs
+++ b/crates/fernring-gateway/src/serving/exchange/mod.rs
@@ -1,5 +1,5 @@
-//! One request on its way: its account, and its end. [`admitting`] takes it on, [`staging`] has its stages
-//! made, [`sending`] sends it.
+//! The state of one request from its admission to its end. [`admitting`] decides whether it is admitted, [`staging`] runs its
+//! stages, [`sending`] sends it to an upstream.
 
 mod admitting;
 mod sending;
@@ -31,46 +31,46 @@
     thiserror::Error,
 };
 
-/// Load of a request that is being generated, in tokens to read.
+/// Load of a request whose answer is being generated, in prefill tokens.
 const GENERATION_LOAD_TOKENS: f64 = 200.0;
 
-/// What the caller sent, to be sent on.
+/// A caller's request, to be sent to an upstream.
 #[derive(Debug)]
 pub struct CallerRequest {
     /// Method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// Headers without those that concern one connection only.
+    /// Headers without those that apply to a single connection only.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// Its own fields.
+    /// The decoded fields of the platform's format.
     pub fields: RequestFields,
-    /// Its identity.
+    /// The request id.
     pub id: Arc<str>,
-    /// What it asks.
+    /// Digest of the caller, the path and the body.
     pub fingerprint: Fingerprint,
 }
 
-/// An answer whose head is good.
+/// A response whose head has been received and accepted.
 #[derive(Debug)]
 pub struct OpenedResponse {
-    /// Its head.
+    /// The head.
     pub head: Parts,
-    /// Its body.
+    /// The body.
     pub body: AnswerBody,
-    /// The upstream.
+    /// The upstream that responded.
     target: Target,
     load: LoadGuard,
     _attribution_guard: Held,
-    /// Its part in comparing versions, if its service has an order.
+    /// The tracking of this send for the comparison of versions, if its service has a roll-out order.
     trial: Option<Trial>,
-    /// What a model engine reads before its first event, until that has come.
+    /// The prefill of a model engine, until the first event has been received.
     prefill: Option<Prefill>,
 }
 
-/// A prompt that is being read.
+/// The prefill of a prompt in progress.
 #[derive(Debug, Clone, Copy)]
 struct Prefill {
     tokens: f64,
@@ -95,30 +95,30 @@
     }
 }
 
-/// Why a stream ended before its end. Its connection is closed, so that it doesn't look whole.
+/// Why a stream was interrupted. Its connection is closed, so that the caller doesn't take it for complete.
 #[derive(Debug, Error)]
 pub enum StreamFailure {
-    /// The upstream broke off, and nobody could go on.
-    #[error("the upstream broke off: {0}")]
+    /// The upstream's response was interrupted, and no other upstream could resume it.
+    #[error("the upstream's response was interrupted: {0}")]
     Broken(String),
-    /// Its time was over.
-    #[error("the time of the request was over")]
+    /// The deadline of the request has passed.
+    #[error("the deadline of the request has passed")]
     TimedOut,
 }
 
-/// How a request ended.
+/// How an exchange ended.
 #[derive(Debug, Clone, Copy)]
 pub enum ExchangeEnd<'a> {
-    /// With an upstream's whole answer, of this status.
+    /// With an upstream's complete response.
     Answered {
-        /// The status.
+        /// The status of the response.
         status: StatusCode,
     },
-    /// With an answer of the gateway's own.
+    /// With an answer that the gateway generated itself.
     Refused(&'a Refusal),
     /// In the middle of a stream.
     Broken(&'a StreamFailure),
-    /// Its caller did not wait for the end.
+    /// The caller closed its connection before the end.
     CallerLeft,
 }
 
@@ -150,40 +150,40 @@
     }
 }
 
-/// One request on its way.
+/// The state of one request until it ends.
 pub struct Exchange {
     serving: Rc<ServingContext>,
     request: CallerRequest,
     route: Arc<Route>,
     workspace: Option<Arc<Workspace>>,
-    /// Where it may be served.
+    /// The regions in which the request may be served.
     residency: Residency,
     service: Arc<str>,
     arrived_at: Duration,
     objective_at: Duration,
-    /// When the caller leaves if nothing has come.
+    /// When the caller disconnects if it has received nothing.
     patience_ends_at: Duration,
     end_at: Duration,
     attempts: Attempts,
     tried: Vec<UpstreamKey>,
-    /// Whether its first send goes to the version that is rolled out, once that is drawn.
+    /// Whether the first send goes to the version that is being rolled out; `None` until that is drawn.
     is_drawn_for_rollout: Cell<Option<bool>>,
     plan: StagePlan,
-    /// When the first event should come, after the arrival; `None` if that was not forecast.
+    /// Forecast time from the arrival to the first event; `None` if there is no forecast.
     forecast_time: Option<Duration>,
-    /// The stages that haven't begun and were promised, by index.
+    /// The reservations of stages that haven't started, by index.
     reservations: HashMap<usize, Promise>,
     inputs: Vec<Arc<str>>,
-    /// Model engine that the results are made for.
+    /// The model engine for which the results are produced.
     home: Option<Target>,
     resume_after: Option<u64>,
-    /// When bytes of the answer came first and last, and the longest pause between.
+    /// When bytes of the response were received first and last, and the longest pause between; `None` before the first bytes.
     stream_times: Option<StreamTimes>,
     is_ended: bool,
     _in_flight: InFlight,
 }
 
-/// What of a stream was passed on, and when.
+/// When bytes of a response were received.
 #[derive(Debug, Clone, Copy)]
 struct StreamTimes {
     first_at: Duration,
@@ -201,7 +201,7 @@
 }
 
 impl Exchange {
-    /// Starts the account of a request that arrived at `arrived_at`.
+    /// Creates the state of a request that arrived at `arrived_at`.
     pub fn new(
         serving: Rc<ServingContext>,
         request: CallerRequest,
@@ -209,18 +209,18 @@
         workspace: Option<Arc<Workspace>>,
         arrived_at: Duration,
     ) -> Self {
-        let waits = route.wait(request.fields.remaining);
+        let time_limit = route.wait(request.fields.remaining);
         let service = draw_service(&route);
-        let of_workspace = workspace.as_ref().map(|workspace| &workspace.residency);
-        let residency =
-            of_workspace.map_or_else(|| route.residency.clone(), |own| route.residency.and(own));
+        let workspace_residency = workspace.as_ref().map(|workspace| &workspace.residency);
+        let residency = workspace_residency
+            .map_or_else(|| route.residency.clone(), |own| route.residency.and(own));
         Self {
             attempts: Attempts::new(route.repeat, route.attempts_max),
             plan: StagePlan::new(&route.stages, &request.fields.piece_counts),
             resume_after: request.fields.last_event,
             objective_at: arrived_at + route.objective,
-            patience_ends_at: arrived_at + waits.min(route.patience),
-            end_at: arrived_at + waits,
+            patience_ends_at: arrived_at + time_limit.min(route.patience),
+            end_at: arrived_at + time_limit,
             _in_flight: InFlight::new(serving.clone()),
             tried: Vec::new(),
             is_drawn_for_rollout: Cell::default(),
@@ -240,32 +240,32 @@
         }
     }
 
-    /// Returns the request's identity.
+    /// Returns the request id.
     pub fn request_id(&self) -> &str {
         &self.request.id
     }
 
-    /// Returns what it asks.
-    pub fn content(&self) -> Fingerprint {
+    /// Returns the request's fingerprint.
+    pub fn fingerprint(&self) -> Fingerprint {
         self.request.fingerprint
     }
 
-    /// Returns what may be repeated.
+    /// Returns which repeats the route allows.
     pub fn repeat(&self) -> Repeat {
         self.route.repeat
     }
 
-    /// Returns the time left.
+    /// Returns the time left until the deadline.
     pub fn time_left(&self) -> Duration {
         self.end_at.saturating_sub(self.serving.now())
     }
 
-    /// Returns when its time is over.
+    /// Returns the deadline of the request.
     pub fn end_at(&self) -> Duration {
         self.end_at
     }
 
-    /// Waits for work for no longer than `patience` and the time left; `None` if it isn't done by then.
+    /// Runs `work` for at most `patience` and the time left; returns `None` if it isn't done by then.
     pub async fn wait_at_most<T>(
         &self,
         patience: Option<Duration>,
@@ -276,18 +276,18 @@
         self.serving.deadline_timer.complete_by(at, work).await
     }
 
-    /// Returns the number of the event that the stream goes on after.
+    /// Returns the number of the event after which the stream resumes.
     pub fn resume_after(&self) -> Option<u64> {
         self.resume_after
     }
 
-    /// Returns the number of an event, from one of its lines.
+    /// Extracts the number of an event from one of its lines.
     pub fn event_number(&self, line: &[u8]) -> Option<u64> {
         self.serving.wire.event_number(line)
     }
 
-    /// Takes in that bytes of the answer came: the prompt is read, and the results of the stages
-    /// were fetched.
+    /// Records that bytes of the response were received: the prefill is done, and the upstream has fetched the results of the
+    /// stages, so they are released.
     pub fn record_bytes(&mut self, opened: &mut OpenedResponse) {
         if self.route.prefix_affinity {
             opened.load.reduce_to(GENERATION_LOAD_TOKENS);
@@ -295,9 +295,9 @@
         self.release_results();
         opened.record_intact();
         let now = self.serving.now();
-        if let Some(reads) = opened.prefill.take() {
-            let took = now.saturating_sub(reads.sent_at);
-            self.serving.prefill_speeds.read(&self.service, reads.tokens, took);
+        if let Some(prefill) = opened.prefill.take() {
+            let took = now.saturating_sub(prefill.sent_at);
+            self.serving.prefill_speeds.read(&self.service, prefill.tokens, took);
         }
         let passed_on = self.stream_times.get_or_insert(StreamTimes {
             first_at: now,
@@ -309,15 +309,15 @@
         passed_on.last_at = now;
     }
 
-    /// Sends a stream once more that broke off, with the results of its stages made anew: those of
-    /// the first time were given up when the first event came.
+    /// Sends the request again after its stream was interrupted. The stages run again if their results were released, which
+    /// happened at the first event.
     ///
     /// # Errors
-    /// If no upstream goes on with it.
+    /// If no upstream resumes the stream.
     pub async fn reopen(&mut self, last_event: Option<u64>) -> Result<OpenedResponse, Refusal> {
         self.resume_after = last_event;
         if !self.may_send() {
-            return Err(self.refusal_for(ResultCode::StageFailed, "no further send is allowed"));
+            return Err(self.refusal_for(ResultCode::StageFailed, "no further attempt is allowed"));
         }
         if self.plan.is_released() {
             self.plan = StagePlan::new(&self.route.stages, &self.request.fields.piece_counts);
@@ -327,26 +327,25 @@
         self.open().await
     }
 
-    /// Returns the final answer for a request that is given up: a promise that it has not run if
-    /// that is so.
+    /// Returns the final answer for an abandoned request. It guarantees that the request has not run if that is certain.
     pub fn refusal_for(&self, code: ResultCode, detail: &str) -> Refusal {
         self.refusal_with_forecast(code, detail, None)
     }
 
-    /// The same where it can be said when what waits now should be done.
+    /// Returns the same as [`Exchange::refusal_for`], with a forecast of when the work that waits now is done.
     fn refusal_with_forecast(
         &self,
         code: ResultCode,
         detail: &str,
-        drained_after: Option<Duration>,
+        forecast: Option<Duration>,
     ) -> Refusal {
         let not_run = self.attempts.not_run();
-        let content = self.request.fingerprint;
-        if self.serving.crash_attribution.is_turned_away(content) {
+        let fingerprint = self.request.fingerprint;
+        if self.serving.crash_attribution.is_turned_away(fingerprint) {
             return match not_run {
-                Some(not_run) => self.serving.crash_attribution.refusal(not_run, content),
+                Some(not_run) => self.serving.crash_attribution.refusal(not_run, fingerprint),
                 None => {
-                    let reason = self.serving.crash_attribution.reason(content);
+                    let reason = self.serving.crash_attribution.reason(fingerprint);
                     Refusal::may_have_run(ResultCode::StageFailed, reason)
                 }
             };
@@ -358,11 +357,11 @@
             };
         };
         let draw = rand::rng().random_range(0.0..1.0);
-        let after = come_back(drained_after, self.time_left(), rank(self.priority()), draw);
+        let after = come_back(forecast, self.time_left(), rank(self.priority()), draw);
         Refusal::not_run(not_run, code, after, detail)
     }
 
-    /// Takes in the request's end: writes its line and counts it.
+    /// Records the end of the request in the log and the metrics.
     pub fn record_end(&mut self, end: ExchangeEnd<'_>) {
         self.is_ended = true;
         if let ExchangeEnd::Answered { status } = end
@@ -403,24 +402,24 @@
 }
 
 impl OpenedResponse {
-    /// Returns the upstream.
+    /// Returns the key of the upstream.
     pub fn key(&self) -> UpstreamKey {
         self.target.key
     }
 
-    /// Takes in that what came of the answer is good.
+    /// Records for the roll-out that the response is intact so far, unless it is a failure.
     pub fn record_intact(&self) {
         if let Some(trial) = self.trial.as_ref().filter(|_| !self.is_failure()) {
             trial.whole();
         }
     }
 
-    /// Returns the identity of the upstream.
+    /// Returns the instance of the upstream.
     pub fn instance(&self) -> &Arc<str> {
         &self.target.instance
     }
 
-    /// Tells whether the upstream answered with a failure of its own.
+    /// Returns whether the upstream responded with a server error.
     pub fn is_failure(&self) -> bool {
         self.head.status.is_server_error()
     }
@@ -431,7 +430,7 @@
     }
 }
 
-/// Draws one of the services that a route splits its requests over.
+/// Draws one of the services among which a route splits its requests, by weight.
 fn draw_service(route: &Route) -> Arc<str> {
     let total: u32 = route.split.iter().map(|part| part.weight).sum();
     let mut draw = rand::rng().random_range(0..total.max(1));
--- a/crates/fernring-gateway/src/serving/exchange/sending.rs
+++ b/crates/fernring-gateway/src/serving/exchange/sending.rs
@@ -1,4 +1,4 @@
-//! Sending a request to an upstream: the choice, the send, and what its failure means.
+//! Sends a request to an upstream: chooses the upstream, sends the request, and handles failures.
 
 use {
     super::{Exchange, GENERATION_LOAD_TOKENS, OpenedResponse, Prefill},
@@ -19,43 +19,43 @@
     std::time::Duration,
 };
 
-/// Most upstreams that one request is offered to, those included that take no connection. A
-/// refused connection costs a millisecond, and a third of a pool may be gone at once.
+/// Most upstreams that one request is offered to, including those that refuse the connection. A refused connection costs a
+/// millisecond, and a third of a pool may be gone at once.
 const OFFERS_MAX: u32 = 12;
-/// Part of the time left to the objective that may go into reading prompts. The rest is for what
-/// this node doesn't know of: requests of other nodes since their last heartbeat.
+/// Share of the time left until the objective that prefill may take. The rest is for load unknown to this node: requests of other
+/// nodes since their last heartbeat.
 const PREFILL_SHARE: f64 = 0.7;
-/// The time that the reading speed is said for in log lines.
+/// The unit of time of the prefill speed in log lines.
 const ONE_MS: Duration = Duration::from_millis(1);
 
 /// An upstream that was chosen.
 pub(super) struct Chosen {
     pub(super) target: Target,
-    /// Tokens that it should have to read, for a model engine.
+    /// Expected tokens to prefill, for a model engine.
     tokens: Option<f64>,
 }
 
-/// A send that brought no answer to pass on.
+/// A send without a response that can be forwarded.
 struct FailedSend {
     end: SendEnd,
-    why: BreakOff,
+    loss: BreakOff,
 }
 
 impl FailedSend {
-    fn without_break(end: SendEnd, reason: String) -> Self {
-        Self { end, why: BreakOff { reason, how: None } }
+    fn without_connection_loss(end: SendEnd, reason: String) -> Self {
+        Self { end, loss: BreakOff { reason, how: None } }
     }
 }
 
 impl Exchange {
-    /// Sends the request until the head of a good answer comes.
+    /// Sends the request, to several upstreams if need be, until the head of an acceptable response is received.
     ///
     /// # Errors
-    /// If none came and it may not be sent again.
+    /// If there is none and the request may not be sent again.
     pub async fn open(&mut self) -> Result<OpenedResponse, Refusal> {
         self.wait_for_quarantine_decision().await;
         self.serving.retries.count_requests(self.serving.now(), &self.service, 1);
-        let mut reason = "no upstream is there".to_owned();
+        let mut reason = "no upstream is available".to_owned();
         for _ in 0..OFFERS_MAX {
             let left = self.time_left();
             if left.is_zero() {
@@ -68,7 +68,7 @@
                 break;
             };
             if self.attempts.next_is_extra() && !self.spend_retry_budget() {
-                reason.push_str("; the retry budget is spent");
+                reason.push_str("; the retry budget is exhausted");
                 break;
             }
             self.tried.push(target.key);
@@ -79,12 +79,12 @@
                     measures::send_ended(&self.service, "answered");
                     return Ok(opened);
                 }
-                Err(FailedSend { end, why }) => {
-                    self.log_failed_send(&target, end, &why.reason);
+                Err(FailedSend { end, loss }) => {
+                    self.log_failed_send(&target, end, &loss.reason);
                     self.attempts.ended(end);
                     self.update_health(&target, end);
-                    self.record_break(&target, &why);
-                    reason = why.reason;
+                    self.record_connection_loss(&target, &loss);
+                    reason = loss.reason;
                 }
             }
         }
@@ -94,54 +94,55 @@
         Err(self.refusal_without_upstream(&reason))
     }
 
-    /// Waits whether a request is turned away, if that is in doubt. Without it harmless requests were refused that had been in hand
-    /// at the same three ends as a deadly one in a fleet's first second: 4 in 12 s of 60 requests a second.
+    /// Waits until it is decided whether the request is quarantined, if that is pending. Without the wait, harmless requests were
+    /// refused that had been in flight at the same three crashes as a crashing request in a fleet's first second: 4 in 12 s at 60
+    /// requests per second.
     pub(super) async fn wait_for_quarantine_decision(&self) {
         let settled = self.serving.crash_attribution.until_settled(self.request.fingerprint);
-        // Whether it is settled or the time is over, the caller looks again.
+        // The caller checks again, whether the decision was made or the time is over.
         let _is_settled = self.wait_at_most(None, settled).await;
     }
 
-    /// Takes in that a send brought a head but no whole answer.
-    pub fn record_broken_send(&mut self, opened: &OpenedResponse, why: &BreakOff) {
+    /// Records that a response was interrupted after its head.
+    pub fn record_broken_send(&mut self, opened: &OpenedResponse, loss: &BreakOff) {
         self.attempts.ended(SendEnd::Unknown);
-        if let Some(trial) = &opened.trial {
-            trial.failed();
+        if let Some(tracked) = &opened.trial {
+            tracked.failed();
         }
         self.serving.upstreams.failed(self.serving.now(), opened.key());
-        self.record_break(&opened.target, why);
+        self.record_connection_loss(&opened.target, loss);
     }
 
-    fn record_break(&self, target: &Target, why: &BreakOff) {
-        if let Some(how) = why.how {
+    fn record_connection_loss(&self, target: &Target, loss: &BreakOff) {
+        if let Some(how) = loss.how {
             self.serving.crash_attribution.broke(target, how, Some(self.request.fingerprint));
         }
     }
 
-    /// Takes in that an upstream began to answer with a failure of its own, which can't be passed on.
+    /// Records that an upstream responded with a failure that can't be forwarded.
     pub fn record_failure_head(&mut self, opened: &OpenedResponse) {
         self.record_failure_response();
         self.serving.upstreams.failed(self.serving.now(), opened.key());
     }
 
-    /// Takes in that an upstream answered, though with a failure of its own.
+    /// Records that an upstream responded with a server error.
     pub fn record_failure_response(&mut self) {
         self.attempts.ended(SendEnd::Unknown);
     }
 
-    /// Takes in that an upstream gave a whole answer.
+    /// Records that an upstream gave a complete response.
     pub fn record_success(&self, key: UpstreamKey) {
         self.serving.upstreams.succeeded(key);
     }
 
-    /// Tells whether another upstream may be asked.
+    /// Returns whether the request may be sent to another upstream.
     pub fn may_send(&self) -> bool {
         let is_turned_away =
             self.serving.crash_attribution.is_turned_away(self.request.fingerprint);
         self.attempts.may_send() && !is_turned_away && !self.time_left().is_zero()
     }
 
-    /// Returns the final answer for a request that found no upstream.
+    /// Returns the final answer for a request without an eligible upstream.
     fn refusal_without_upstream(&self, reason: &str) -> Refusal {
         let upstreams = &self.serving.upstreams;
         if upstreams.is_evacuated(&self.service) {
@@ -167,7 +168,7 @@
         Some(chosen)
     }
 
-    /// Chooses the upstream near which results are to lie. Nothing is sent there yet.
+    /// Chooses the upstream whose failure domain is to store the results. Nothing is sent to it yet.
     pub(super) fn choose_home(&self) -> Option<Target> {
         let (chosen, candidates) = self.choose_among_candidates()?;
         self.log_choice("home_chosen", &chosen.target, &candidates);
@@ -199,10 +200,10 @@
         Some((Chosen { target, tokens }, candidates))
     }
 
-    /// Leaves the candidates of the version that the request was drawn for, while one is rolled out: what is sent once more goes
-    /// to the others.
+    /// Keeps the candidates of the version that was drawn for the request while a version is being rolled out. Repeated sends go to
+    /// the other versions.
     fn filter_by_version(&self, candidates: Vec<Candidate>) -> Vec<Candidate> {
-        let Some(admits) = self.serving.upstreams.admits(&self.service) else {
+        let Some(admitted) = self.serving.upstreams.admits(&self.service) else {
             return candidates;
         };
         let (ordered, others): (Vec<_>, Vec<_>) =
@@ -211,8 +212,8 @@
             return others;
         }
         let is_first = self.tried.is_empty();
-        match admits {
-            // The others missing is no reason to send more to a version that may be bad.
+        match admitted {
+            // Even if there are no others, a version that may be bad gets no more than its share.
             Admits::Share(_) if is_first && self.draw_for_rollout() => ordered,
             Admits::Share(_) => others,
             Admits::DestinationFirst if !is_first && !others.is_empty() => others,
@@ -220,12 +221,12 @@
         }
     }
 
-    /// Tells whether the request was drawn for the version that is rolled out.
+    /// Returns whether the request was drawn for the version that is being rolled out; draws on the first call.
     fn draw_for_rollout(&self) -> bool {
         self.is_drawn_for_rollout.get().unwrap_or_else(|| {
-            let takes_ordered = self.serving.rollouts.takes_ordered(&self.service);
-            self.is_drawn_for_rollout.set(Some(takes_ordered));
-            takes_ordered
+            let is_drawn = self.serving.rollouts.takes_ordered(&self.service);
+            self.is_drawn_for_rollout.set(Some(is_drawn));
+            is_drawn
         })
     }
 
@@ -257,14 +258,14 @@
         log::info(line);
     }
 
-    /// What the request needs of a model engine; `None` if it goes to a plain service.
+    /// Returns the request's needs for the choice of a model engine; `None` if prefixes don't matter for its service.
     fn prompt_need(&self) -> Option<PromptNeed> {
         if !self.route.prefix_affinity || !self.serving.decide_settings.get().prefixes {
             return None;
         }
-        let parts = &self.request.fields.prompt;
-        let shared = parts.len().checked_sub(2).and_then(|index| parts.get(index));
-        let own = parts.last()?;
+        let prompt = &self.request.fields.prompt;
+        let shared = prompt.len().checked_sub(2).and_then(|index| prompt.get(index));
+        let own = prompt.last()?;
         let time_left = self.objective_at.saturating_sub(self.serving.now());
         let speed = self.serving.prefill_speeds.of(&self.service);
         Some(PromptNeed {
@@ -280,8 +281,8 @@
         f64::from(self.request.fields.prompt.iter().map(|part| part.tokens).sum::<u32>())
     }
 
-    /// The load that the request brings until its first event: tokens to read for a model engine,
-    /// with the shared parts taken as cached, else 1.
+    /// Returns the load of the request until its first event: for a model engine the tokens to prefill, with the shared parts of
+    /// the prompt assumed to be cached; else 1.
     fn weight(&self) -> f64 {
         match self.prompt_need() {
             Some(need) => need.own_tokens + GENERATION_LOAD_TOKENS,
@@ -297,39 +298,40 @@
             residency: self.residency.clone(),
             connections_max: self.serving.config.borrow().connections_max(&self.service),
         };
-        let held = self.serving.crash_attribution.hold(target, self.request.fingerprint);
+        let guard = self.serving.crash_attribution.hold(target, self.request.fingerprint);
         let is_first = self.tried.len() <= 1;
         let (service, route) = (&self.service, &self.route.name);
-        let trial = self.serving.rollouts.began(service, target, route, is_first);
-        let failed = |unanswered: FailedSend| {
-            if let Some(trial) = trial.as_ref().filter(|_| unanswered.end == SendEnd::Unknown) {
-                trial.failed();
+        let tracked = self.serving.rollouts.began(service, target, route, is_first);
+        let failed = |failed_send: FailedSend| {
+            if let Some(tracked) = tracked.as_ref().filter(|_| failed_send.end == SendEnd::Unknown)
+            {
+                tracked.failed();
             }
-            unanswered
+            failed_send
         };
         let sent_at = self.serving.now();
         let sent = self.serving.upstreams.send(target, sending);
         let sent = tokio::select! {
             sent = self.wait_at_most(None, sent) => sent,
-            // It hasn't begun to answer there: the upstream may be spared.
+            // The upstream hasn't started to respond, so cancelling the request may avoid its crash.
             () = self.serving.crash_attribution.until_turned_away(self.request.fingerprint) => {
-                let why = "turned away meanwhile".to_owned();
-                return Err(FailedSend::without_break(SendEnd::Unknown, why));
+                let reason = "quarantined while waiting for the response".to_owned();
+                return Err(FailedSend::without_connection_loss(SendEnd::Unknown, reason));
             }
         };
         let answer = match sent {
             None => {
-                let why = BreakOff::silent("no answer in time");
-                return Err(failed(FailedSend { end: SendEnd::Unknown, why }));
+                let loss = BreakOff::silent("no response before the deadline");
+                return Err(failed(FailedSend { end: SendEnd::Unknown, loss }));
             }
-            Some(Err(SendFailure::NotSent(why) | SendFailure::NoListener(why))) => {
-                return Err(FailedSend::without_break(SendEnd::NotSent, why));
+            Some(Err(SendFailure::NotSent(reason) | SendFailure::NoListener(reason))) => {
+                return Err(FailedSend::without_connection_loss(SendEnd::NotSent, reason));
             }
-            Some(Err(SendFailure::Barred(why))) => {
-                return Err(FailedSend::without_break(SendEnd::Barred, why.to_string()));
+            Some(Err(SendFailure::Barred(reason))) => {
+                return Err(FailedSend::without_connection_loss(SendEnd::Barred, reason.to_string()));
             }
-            Some(Err(SendFailure::Broken(why))) => {
-                return Err(failed(FailedSend { end: SendEnd::Unknown, why }));
+            Some(Err(SendFailure::Broken(loss))) => {
+                return Err(failed(FailedSend { end: SendEnd::Unknown, loss }));
             }
             Some(Ok(answer)) => answer,
         };
@@ -338,21 +340,21 @@
             body: answer.body,
             target: target.clone(),
             load,
-            _attribution_guard: held,
+            _attribution_guard: guard,
             trial: None,
             prefill: None,
         };
-        if let Some((end, why)) = self.check_head(&mut opened, sent_at) {
-            return Err(failed(FailedSend::without_break(end, why)));
+        if let Some((end, reason)) = self.check_head(&mut opened, sent_at) {
+            return Err(failed(FailedSend::without_connection_loss(end, reason)));
         }
-        if let Some(trial) = trial.as_ref().filter(|_| opened.is_failure()) {
-            trial.failed();
+        if let Some(tracked) = tracked.as_ref().filter(|_| opened.is_failure()) {
+            tracked.failed();
         }
-        opened.trial = trial;
+        opened.trial = tracked;
         Ok(opened)
     }
 
-    /// Finds what is wrong with the head of an answer to a request that left at `sent_at`.
+    /// Checks the head of a response to a request that was sent at `sent_at`; returns the fault if there is one.
     fn check_head(
         &self,
         opened: &mut OpenedResponse,
@@ -361,17 +363,23 @@
         let status = opened.head.status;
         let fields = self.serving.wire.decode_answer(status, &opened.head.headers);
         if fields.wrong_instance {
-            return Some((SendEnd::WrongInstance, "another instance is there".to_owned()));
+            return Some((
+                SendEnd::WrongInstance,
+                "another instance responded at this address".to_owned(),
+            ));
         }
         if fields.request_id.as_deref() != Some(&*self.request.id) {
-            return Some((SendEnd::Unknown, "the answer is to another request".to_owned()));
+            return Some((SendEnd::Unknown, "the response is for another request".to_owned()));
         }
         self.serving.upstreams.said_limit(&opened.target, sent_at, fields.limit);
         if fields.not_run {
             return Some((SendEnd::Refused, format!("refused with status {status}")));
         }
         if status.is_success() && (!fields.is_signed || fields.is_encoded) {
-            return Some((SendEnd::Unknown, "the answer is not the upstream's own".to_owned()));
+            return Some((
+                SendEnd::Unknown,
+                "the response is unsigned or encoded, so it is not the upstream's own".to_owned(),
+            ));
         }
         if let Some(idle_timeout) = fields.idle_timeout {
             opened.body.set_idle_timeout(idle_timeout);
@@ -400,7 +408,7 @@
         let now = self.serving.now();
         match end {
             SendEnd::Refused => self.serving.upstreams.was_full(now, target.key),
-            // It is as well as before.
+            // The request wasn't sent, so the upstream's health is unchanged.
             SendEnd::Barred => {}
             SendEnd::NotSent => self.serving.upstreams.was_unreachable(now, target.key),
             SendEnd::WrongInstance => {
@@ -413,7 +421,7 @@
         }
     }
 
-    fn log_failed_send(&self, target: &Target, end: SendEnd, why: &str) {
+    fn log_failed_send(&self, target: &Target, end: SendEnd, reason: &str) {
         measures::send_ended(&self.service, end.name());
         let line = LogLine::event("send_failed")
             .with("request", &self.request.id)
@@ -421,7 +429,7 @@
             .with("upstream", &target.instance)
             .with("address", target.address)
             .with("end", end.name())
-            .with("reason", why);
+            .with("reason", reason);
         log::info(line);
     }
 }
--- a/crates/fernring-gateway/src/serving/exchange/staging.rs
+++ b/crates/fernring-gateway/src/serving/exchange/staging.rs
@@ -1,4 +1,4 @@
-//! The stages of a request on its way: what each works on, where, and until when.
+//! Runs the stages of a request: determines the input, the failure domain and the deadline of each stage.
 
 use {
     super::Exchange,
@@ -14,19 +14,19 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Wait of a stage for its turn, as a part of a call without pieces.
+/// Expected queueing time of a stage, as a share of the time of a call without pieces.
 const QUEUE_WAIT_SHARE: f64 = 0.5;
-/// What one piece makes or reads, in bytes, from which on it is placed by failure domain. What
-/// less costs between domains is not worth a wait for a maker there.
+/// Bytes that one piece reads or produces from which on it is placed by failure domain. The transfer of less data between domains
+/// costs less than the wait for a worker in a particular domain.
 const PLACED_BYTES_MIN: u64 = 200_000;
-/// Times that the stages of a request are made again because results were gone.
+/// Most runs of the stages of a request; they are run again when results were lost.
 const STAGE_RUNS_MAX: u32 = 2;
 
 impl Exchange {
-    /// Has all stages made.
+    /// Admits the request and runs all of its stages.
     ///
     /// # Errors
-    /// If they could not be made in time; the request itself has not run.
+    /// If the request is refused or its stages were not completed in time; the request itself has not run.
     pub async fn admit_and_run_stages(&mut self) -> Result<(), Refusal> {
         self.wait_for_quarantine_decision().await;
         if self.serving.crash_attribution.is_turned_away(self.request.fingerprint) {
@@ -47,18 +47,18 @@
         self.run_admitted_stages().await
     }
 
-    /// Returns the first service on the request's way whose upstreams are all evacuated, so that it is told at once.
+    /// Returns the first service needed by the request whose upstreams are all evacuated, so that the caller is answered at once.
     fn evacuated_service(&self) -> Option<Arc<str>> {
         self.services().find(|service| self.serving.upstreams.is_evacuated(service)).cloned()
     }
 
-    /// Returns the first service on the request's way that has no upstreams in the regions where it may be served.
+    /// Returns the first service needed by the request that has no upstreams in the regions where the request may be served.
     fn service_outside_regions(&self) -> Option<Arc<str>> {
         let upstreams = &self.serving.upstreams;
         self.services().find(|service| upstreams.is_outside(service, &self.residency)).cloned()
     }
 
-    /// Lists the services on the request's way.
+    /// Lists the services needed by the request: those of its stages, then the one that answers it.
     fn services(&self) -> impl Iterator<Item = &Arc<str>> {
         let used = (0..self.route.stages.len()).filter(|stage| self.plan.count(*stage) > 0);
         let services = used.map(|stage| &self.plan.spec(stage).service);
@@ -83,7 +83,12 @@
                 WorkEnd::TurnedAway => {
                     return Err(self.refusal_for(ResultCode::NoUpstream, "a stage failed"));
                 }
-                WorkEnd::Late => return Err(self.refusal_for(ResultCode::ExpiredInQueue, "stage")),
+                WorkEnd::Late => {
+                    return Err(self.refusal_for(
+                        ResultCode::ExpiredInQueue,
+                        "a stage was not completed in time",
+                    ));
+                }
                 WorkEnd::Failed | WorkEnd::OwnerLost | WorkEnd::NoMakers => {
                     let code = if self.evacuated_service().is_some() {
                         ResultCode::Evacuated
@@ -96,7 +101,7 @@
                 }
             }
         }
-        Err(self.refusal_for(ResultCode::NoUpstream, "results of stages were lost"))
+        Err(self.refusal_for(ResultCode::NoUpstream, "the results of stages were lost"))
     }
 
     async fn run_stages_once(&mut self) -> WorkEnd {
@@ -126,20 +131,20 @@
         }
     }
 
-    /// Stages by which a chain may be longer than another and both start: one, so that the other is
-    /// not what the request waits for in the end. Requests of the lowest rank do without, and
-    /// leave the room for results to the others meanwhile.
+    /// Returns how many stages longer than the longest chain a chain may be for both to start at once: one, so that the request
+    /// doesn't wait for the shorter chain in the end. For requests of the lowest rank it is zero, which leaves the capacity for
+    /// results to other requests meanwhile.
     fn chain_lead(&self) -> usize {
         if !self.serving.decide_settings.get().made_late {
             return self.route.stages.len();
         }
-        let held = self.serving.config.borrow().current();
-        let routes = held.iter().flat_map(|held| &held.config.routes);
+        let current = self.serving.config.borrow().current();
+        let routes = current.iter().flat_map(|current| &current.config.routes);
         let lowest = routes.filter(|route| !route.stages.is_empty()).map(|route| route.priority);
         usize::from(lowest.max().is_some_and(|lowest| self.route.priority < lowest))
     }
 
-    /// Returns the pieces of a stage; `None` if no maker is where the request may be served.
+    /// Returns the work of a stage; `None` if there is no worker where the request may be served.
     fn stage_work(&self, stage: usize) -> Option<Work> {
         let spec = self.plan.spec(stage);
         let key = self.request.fields.piece_key.clone().unwrap_or_else(|| Arc::from(""));
@@ -147,10 +152,10 @@
             Some(handles) => PieceInput::Results(handles.into()),
             None => PieceInput::Key(key),
         };
-        let near = self.consumer_domain(stage);
+        let consumer_domain = self.consumer_domain(stage);
         let pool = self.serving.stages.pool_for(
             &spec.service,
-            near.as_ref(),
+            consumer_domain.as_ref(),
             &self.request.id,
             &self.residency,
         )?;
@@ -162,7 +167,7 @@
             pieces: self.plan.count(stage),
             input,
             due_at: self.due_at(stage),
-            near,
+            near: consumer_domain,
             deadline_at: self
                 .patience_ends_at
                 .saturating_sub(self.time_after(stage) + self.prefill_time()),
@@ -173,16 +178,17 @@
         })
     }
 
-    /// When a stage's results are due for the first event to be on time.
+    /// Returns when the results of a stage are due for the first event to meet the objective.
     fn due_at(&self, stage: usize) -> Duration {
         self.objective_at.saturating_sub(self.time_after(stage) + self.prefill_time())
     }
 
-    /// Time that the stages after one take.
+    /// Returns the expected time of the stages that follow a stage.
     fn time_after(&self, stage: usize) -> Duration {
-        let held = self.serving.config.borrow().current();
+        let current = self.serving.config.borrow().current();
         let time_of = |spec: &StageSpec, pieces: u32| {
-            let service = held.as_ref().and_then(|held| held.config.services.get(&spec.service));
+            let service =
+                current.as_ref().and_then(|current| current.config.services.get(&spec.service));
             let Some(shape) = service.and_then(|service| service.batch) else {
                 return Duration::ZERO;
             };
@@ -192,13 +198,13 @@
         self.plan.time_after(stage, &time_of)
     }
 
-    /// Time that a model engine needs for the whole prompt.
+    /// Returns the time that a model engine needs for the prefill of the whole prompt.
     pub(super) fn prefill_time(&self) -> Duration {
         self.serving.prefill_speeds.of(&self.service).time_for(self.prompt_tokens())
     }
 
-    /// Failure domain in which a stage's pieces are best made: where its results are read if they
-    /// are large, else where the results lie that each piece reads, if those are.
+    /// Returns the preferred failure domain for the pieces of a stage: the domain where the results are read if they are large, or
+    /// else the domain that stores the inputs if these are large.
     fn consumer_domain(&self, stage: usize) -> Option<Arc<str>> {
         if !self.serving.decide_settings.get().placing {
             return None;
@@ -216,13 +222,13 @@
         largest.and_then(|(_, handles)| self.serving.upstreams.domain_of(handles))
     }
 
-    /// Returns the request's rank as an index.
+    /// Returns the rank of the request's priority, as an index.
     pub(super) fn rank(&self) -> usize {
         rank(self.priority())
     }
 
     pub(super) fn priority(&self) -> u32 {
-        let of_workspace = self.workspace.as_ref().and_then(|workspace| workspace.priority);
-        of_workspace.unwrap_or(self.route.priority)
+        let own_priority = self.workspace.as_ref().and_then(|workspace| workspace.priority);
+        own_priority.unwrap_or(self.route.priority)
     }
 }
--- a/crates/fernring-gateway/src/serving/fingerprint.rs
+++ b/crates/fernring-gateway/src/serving/fingerprint.rs
@@ -42,7 +42,8 @@
 
     /// Parses a fingerprint in its displayed form, 32 hexadecimal digits.
     pub fn parse(text: &str) -> Option<Self> {
-        let is_hex = text.len() == 2 * FINGERPRINT_BYTES && text.bytes().all(|c| c.is_ascii_hexdigit());
+        let is_hex =
+            text.len() == 2 * FINGERPRINT_BYTES && text.bytes().all(|c| c.is_ascii_hexdigit());
         let number = is_hex.then(|| u128::from_str_radix(text, 16).ok())??;
         Some(Self(number.to_be_bytes()))
     }
--- a/crates/fernring-gateway/src/serving/ingress.rs
+++ b/crates/fernring-gateway/src/serving/ingress.rs
@@ -205,8 +205,8 @@
         stream.set_nodelay(true)?;
         socket2::SockRef::from(&stream)
             .set_tcp_user_timeout(Some(crate::connections::UNACKNOWLEDGED_MAX))?;
-        let doing = Cell::new(Activity::Idle(self.serving.now()));
-        let state = Rc::new(ConnectionState { activity: doing, clock: self.serving.clock.clone() });
+        let activity = Cell::new(Activity::Idle(self.serving.now()));
+        let state = Rc::new(ConnectionState { activity, clock: self.serving.clock.clone() });
         let limits = self.limits();
         let buffer_bytes = limits.head_bytes_max.max(BUFFER_BYTES_MIN);
         let stream = TokioIo::new(WatchedStream { stream, state: state.clone() });
@@ -221,9 +221,9 @@
         });
         let mut is_closing = false;
         // Set to the deadline of the connection's activity at each poll.
-        let alarm = &self.serving.deadline_timer;
+        let deadline_timer = &self.serving.deadline_timer;
         let mut timer_at = self.serving.now() + limits.idle_timeout;
-        let mut timer = Box::pin(alarm.sleep_until(timer_at));
+        let mut timer = Box::pin(deadline_timer.sleep_until(timer_at));
         poll_fn(|context| {
             if !is_closing && closing.as_mut().poll(context).is_ready() {
                 is_closing = true;
@@ -237,7 +237,7 @@
             };
             if timer_at != deadline {
                 timer_at = deadline;
-                timer.set(alarm.sleep_until(deadline));
+                timer.set(deadline_timer.sleep_until(deadline));
             }
             match timer.as_mut().poll(context) {
                 Poll::Ready(()) => Poll::Ready(Ok(())),
--- a/crates/fernring-gateway/src/serving/refusal.rs
+++ b/crates/fernring-gateway/src/serving/refusal.rs
@@ -30,15 +30,15 @@
     /// Refuses a request that the caller has to correct. `code` must be a caller's error.
     pub fn invalid_request(code: ResultCode, detail: impl Into<String>) -> Self {
         let status = StatusCode::from_u16(code.http_status()).unwrap_or(StatusCode::BAD_REQUEST);
-        let closes = matches!(code, ResultCode::BadRequest | ResultCode::BodyTooLarge);
-        Self { code, detail: detail.into(), status, retry_after: None, closes_connection: closes }
+        let closes_connection = matches!(code, ResultCode::BadRequest | ResultCode::BodyTooLarge);
+        Self { code, detail: detail.into(), status, retry_after: None, closes_connection }
     }
 
     /// Refuses a request whose body was not received in time. It has not run, since it was incomplete.
     pub fn slow_body() -> Self {
         Self {
             code: ResultCode::BodyTooSlow,
-            detail: "the body did not come in time".to_owned(),
+            detail: "the body was not received in time".to_owned(),
             status: StatusCode::REQUEST_TIMEOUT,
             retry_after: None,
             closes_connection: true,
--- a/crates/fernring-gateway/src/serving/relay.rs
+++ b/crates/fernring-gateway/src/serving/relay.rs
@@ -94,17 +94,17 @@
         Ok(complete)
     }
 
-    async fn resume(&mut self, why: BreakOff) -> Result<Option<Bytes>, StreamFailure> {
+    async fn resume(&mut self, loss: BreakOff) -> Result<Option<Bytes>, StreamFailure> {
         let line = LogLine::event("stream_broken").with("request", self.exchange.request_id());
-        let line = line.with("content", self.exchange.content());
-        let line = line.with("upstream", self.opened.instance()).with("reason", &why.reason);
+        let line = line.with("content", self.exchange.fingerprint());
+        let line = line.with("upstream", self.opened.instance()).with("reason", &loss.reason);
         log::warn(line.with_some("last_event", self.last_event));
         self.splitter.discard();
         // The connection is closed before another upstream is asked, so that two upstreams never work on the stream at once.
         self.opened.body.close();
-        self.exchange.record_broken_send(&self.opened, &why);
+        self.exchange.record_broken_send(&self.opened, &loss);
         if !self.is_resumable {
-            return Err(StreamFailure::Broken(why.reason));
+            return Err(StreamFailure::Broken(loss.reason));
         }
         loop {
             match self.exchange.reopen(self.last_event).await {
@@ -114,7 +114,7 @@
                 }
                 // The body of a failure response is no event and must not reach the caller.
                 Ok(failed) => self.exchange.record_failure_head(&failed),
-                Err(_) => return Err(StreamFailure::Broken(why.reason)),
+                Err(_) => return Err(StreamFailure::Broken(loss.reason)),
             }
         }
     }
--- a/crates/fernring-gateway/src/serving/serve.rs
+++ b/crates/fernring-gateway/src/serving/serve.rs
@@ -94,7 +94,8 @@
         let current = self.config.borrow().current().ok_or_else(|| refuse(not_ready()))?;
         check_host(&head).map_err(refuse)?;
         let route = find_route(&current, &head).map_err(refuse)?;
-        let workspace = find_workspace(&current, &route, fields.api_key.as_deref()).map_err(refuse)?;
+        let workspace =
+            find_workspace(&current, &route, fields.api_key.as_deref()).map_err(refuse)?;
         let Some(request_id) = id.clone() else {
             return Err(refuse(Refusal::invalid_request(ResultCode::BadRequest, "no request id")));
         };
@@ -105,7 +106,7 @@
         let body = body.map_err(refuse)?;
         let path = head.uri.path_and_query().map(|path| path.as_str()).unwrap_or("/");
         let uri = path.parse().map_err(|_| {
-            refuse(Refusal::invalid_request(ResultCode::BadRequest, "the path can't be read"))
+            refuse(Refusal::invalid_request(ResultCode::BadRequest, "malformed path"))
         })?;
         let mut headers = head.headers;
         strip_connection_headers(&mut headers);
@@ -113,15 +114,8 @@
         let method = head.method;
         let caller = workspace.as_ref().map(|workspace| &*workspace.name);
         let fingerprint = Fingerprint::of(caller, path, &body);
-        let request = CallerRequest {
-            method,
-            uri,
-            headers,
-            body,
-            fields,
-            id: request_id,
-            fingerprint,
-        };
+        let request =
+            CallerRequest { method, uri, headers, body, fields, id: request_id, fingerprint };
         Ok(Accepted { route, workspace, request })
     }
 
@@ -175,15 +169,15 @@
         let loss = match self.deadline_timer.complete_by(exchange.end_at(), collecting).await {
             Some(Ok(collected)) => {
                 opened.record_intact();
-                let body =
-                    CallerBody::full(Full::new(collected.to_bytes())).with_deadline(exchange.end_at());
+                let body = CallerBody::full(Full::new(collected.to_bytes()))
+                    .with_deadline(exchange.end_at());
                 return Ok(caller_response(&opened, body, true));
             }
             Some(Err(error)) => match error.downcast_ref::<hyper::Error>() {
                 Some(error) => error.into(),
                 None => BreakOff { reason: error.to_string(), how: None },
             },
-            None => BreakOff::silent("the answer was not whole in time"),
+            None => BreakOff::silent("the response was incomplete at the deadline"),
         };
         exchange.record_broken_send(&opened, &loss);
         Err(loss.reason)
@@ -224,7 +218,7 @@
 
 fn check_host(head: &request::Parts) -> Result<(), Refusal> {
     if head.headers.get_all(HOST).iter().count() > 1 {
-        return Err(Refusal::invalid_request(ResultCode::BadRequest, "more than one host"));
+        return Err(Refusal::invalid_request(ResultCode::BadRequest, "more than one host header"));
     }
     Ok(())
 }
@@ -234,7 +228,9 @@
     let host = head.uri.host().or(host_header).unwrap_or_default();
     let host = host.rsplit_once(':').map_or(host, |(host, _port)| host);
     let route = current.config.route(host, head.uri.path()).cloned();
-    route.ok_or_else(|| Refusal::invalid_request(ResultCode::UnknownPipeline, "no route"))
+    route.ok_or_else(|| {
+        Refusal::invalid_request(ResultCode::UnknownPipeline, "no route for this host and path")
+    })
 }
 
 fn find_workspace(
@@ -247,7 +243,7 @@
     };
     let found = key.and_then(|key| workspaces.get(&key_hash(key)).cloned());
     if found.is_none() && !route.is_public {
-        return Err(Refusal::invalid_request(ResultCode::UnknownKeyHolder, "the key is unknown"));
+        return Err(Refusal::invalid_request(ResultCode::UnknownKeyHolder, "unknown API key"));
     }
     Ok(found)
 }
@@ -268,7 +264,10 @@
 
 async fn body_too_long(body: Incoming, bytes_max: usize) -> Refusal {
     drain_body(body).await;
-    Refusal::invalid_request(ResultCode::BodyTooLarge, format!("over {bytes_max} bytes"))
+    Refusal::invalid_request(
+        ResultCode::BodyTooLarge,
+        format!("the body is longer than {bytes_max} bytes"),
+    )
 }
 
 /// Reads and discards the rest of a body for up to [`DISCARD_TIMEOUT`]: closing a connection with unread bytes would reset it, and
--- a/crates/fernring-gateway/src/store/freshness.rs
+++ b/crates/fernring-gateway/src/store/freshness.rs
@@ -55,12 +55,12 @@
     /// Creates the state of a topic that was never read. `draw` is a random number from 0 to 1 that spreads the reads of many
     /// nodes over time.
     pub fn new(draw: f64) -> Self {
-        let patience = STALE_AFTER + STALE_SPREAD.mul_f64(draw.clamp(0.0, 1.0));
+        let stale_after = STALE_AFTER + STALE_SPREAD.mul_f64(draw.clamp(0.0, 1.0));
         Self {
             confirmed_at: None,
             read_at: None,
             stand_in_until: Duration::ZERO,
-            stale_after: patience,
+            stale_after,
         }
     }
 
--- a/crates/fernring-gateway/src/store/store_loops/mod.rs
+++ b/crates/fernring-gateway/src/store/store_loops/mod.rs
@@ -132,7 +132,12 @@
     }
 
     /// Reads a topic in full, then reads its changes whenever this node has to.
-    async fn tail(self: &Rc<Self>, tailed: TailedTopic, coalesce: Duration, apply: impl Fn(Page, bool)) {
+    async fn tail(
+        self: &Rc<Self>,
+        tailed: TailedTopic,
+        coalesce: Duration,
+        apply: impl Fn(Page, bool),
+    ) {
         let topic = tailed.topic();
         let mut from: Option<Position> = None;
         let mut full_read = FullRead::default();
@@ -288,7 +293,8 @@
     /// may take longer; these reads end by themselves.
     async fn until_overdue(&self, tailed: TailedTopic, wait: Duration) {
         loop {
-            let confirmed_for = self.tailing(tailed).borrow().freshness().time_until_doubt(self.now());
+            let confirmed_for =
+                self.tailing(tailed).borrow().freshness().time_until_doubt(self.now());
             sleep(confirmed_for.max(OVERDUE_CHECK_MIN)).await;
             let is_unconfirmed =
                 self.tailing(tailed).borrow().freshness().needs_confirmation(self.now());
@@ -345,7 +351,8 @@
         age: Option<Duration>,
     ) -> bool {
         let (now, own) = (self.now(), self.own_mark(tailed));
-        let should_request = self.tailing(tailed).borrow_mut().handle_peer_mark(now, own, mark, age);
+        let should_request =
+            self.tailing(tailed).borrow_mut().handle_peer_mark(now, own, mark, age);
         if mark == own
             && let Some(age) = age
         {
--- a/crates/fernring-gateway/src/store/store_loops/upstream_records.rs
+++ b/crates/fernring-gateway/src/store/store_loops/upstream_records.rs
@@ -44,7 +44,8 @@
 
     /// Applies the first page of a full read, so that requests are served before the other pages have come.
     pub(super) fn apply_preview(&self, tailed: TailedTopic, page: &Page) {
-        if tailed != TailedTopic::Upstreams || self.upstreams.directory().end() > Position::default()
+        if tailed != TailedTopic::Upstreams
+            || self.upstreams.directory().end() > Position::default()
         {
             return;
         }
