--- a/crates/fernring-gateway/src/serving/deadline_timer.rs
+++ b/crates/fernring-gateway/src/serving/deadline_timer.rs
@@ -30,8 +30,8 @@
 impl DeadlineTimer {
     /// Creates a timer on a clock.
     pub fn new(clock: Rc<dyn Clock>) -> Self {
-        let looked_at = Cell::new((clock.now().monotonic, Instant::now()));
-        Self { clock, last_check: looked_at, resumed: Notify::new() }
+        let last_check = Cell::new((clock.now().monotonic, Instant::now()));
+        Self { clock, last_check, resumed: Notify::new() }
     }
 
     /// Checks whether the VM was suspended since the last check; if so, restarts all waits.
--- a/crates/fernring-gateway/src/serving/exchange/sending.rs
+++ b/crates/fernring-gateway/src/serving/exchange/sending.rs
@@ -328,7 +328,10 @@
                 return Err(FailedSend::without_connection_loss(SendEnd::NotSent, reason));
             }
             Some(Err(SendFailure::Barred(reason))) => {
-                return Err(FailedSend::without_connection_loss(SendEnd::Barred, reason.to_string()));
+                return Err(FailedSend::without_connection_loss(
+                    SendEnd::Barred,
+                    reason.to_string(),
+                ));
             }
             Some(Err(SendFailure::Broken(loss))) => {
                 return Err(failed(FailedSend { end: SendEnd::Unknown, loss }));
--- a/crates/fernring-gateway/src/serving/fingerprint.rs
+++ b/crates/fernring-gateway/src/serving/fingerprint.rs
@@ -13,7 +13,7 @@
 
 /// Context string of the key derivation, which separates this digest from other uses of the same function.
 const CONTEXT: &str = "fernring: what a request asks";
-/// Length of a fingerprint in bytes: finding a collision takes some 2^64 attempts.
+/// Length of a fingerprint in bytes: two requests with the same fingerprint take some 2^64 attempts to find.
 const FINGERPRINT_BYTES: usize = 16;
 
 /// Digest of a request's caller, path with query, and body. It needs no secret shared between nodes: the hash function is
--- a/crates/fernring-gateway/src/store/freshness.rs
+++ b/crates/fernring-gateway/src/store/freshness.rs
@@ -56,12 +56,7 @@
     /// nodes over time.
     pub fn new(draw: f64) -> Self {
         let stale_after = STALE_AFTER + STALE_SPREAD.mul_f64(draw.clamp(0.0, 1.0));
-        Self {
-            confirmed_at: None,
-            read_at: None,
-            stand_in_until: Duration::ZERO,
-            stale_after,
-        }
+        Self { confirmed_at: None, read_at: None, stand_in_until: Duration::ZERO, stale_after }
     }
 
     /// Records that this node's state of the topic was the newest at `at`.
--- a/crates/fernring-gateway/tests/testsuite/directory.rs
+++ b/crates/fernring-gateway/tests/testsuite/directory.rs
@@ -1,4 +1,4 @@
-//! The upstreams' records.
+//! Tests of the directory of upstreams.
 
 use {
     fernring_gateway::{
@@ -44,40 +44,40 @@
     Change { instance: instance.into(), at: offset.into(), entry: Entry::Removed }
 }
 
-fn taking_work(directory: &Directory) -> usize {
+fn accepting_work(directory: &Directory) -> usize {
     directory.of_service("s").filter(|(_, upstream)| upstream.accepts_work()).count()
 }
 
 #[test]
-fn a_leaving_upstream_gets_no_new_work() {
+fn draining_upstream_gets_no_new_work() {
     let mut directory = Directory::default();
     directory.apply(NOW, ready("i", 1));
     assert!(matches!(directory.apply(NOW, draining("i", 2)), Effect::Draining(_)));
-    assert_eq!(taking_work(&directory), 0);
+    assert_eq!(accepting_work(&directory), 0);
 }
 
 #[test]
-fn older_records_change_nothing_whichever_way_they_come() {
+fn older_records_change_nothing() {
     let mut directory = Directory::default();
     directory.apply(NOW, draining("i", 5));
     assert_eq!(directory.apply(NOW, ready("i", 4)), Effect::None);
-    assert_eq!(taking_work(&directory), 0);
+    assert_eq!(accepting_work(&directory), 0);
     directory.apply(NOW, removed("i", 6));
     assert_eq!(directory.apply(NOW, ready("i", 5)), Effect::None);
     assert_eq!(directory.iter().count(), 0, "a removed upstream stays removed");
     directory.apply(NOW, ready("i", 7));
-    assert_eq!(taking_work(&directory), 1, "unless its record is written anew");
+    assert_eq!(accepting_work(&directory), 1, "until its record is written again");
 }
 
 #[test]
-fn a_removal_takes_effect_at_once_while_the_store_answers() {
+fn removal_takes_effect_at_once_without_outage() {
     let mut directory = Directory::default();
     directory.apply(NOW, ready("i", 1));
     assert!(matches!(directory.apply(NOW, removed("i", 2)), Effect::Gone(_)));
 }
 
 #[test]
-fn a_removal_after_an_outage_may_be_a_lapse() {
+fn removal_after_outage_may_be_a_lapse() {
     let mut directory = Directory::default();
     directory.apply(NOW, ready("back", 1));
     directory.apply(NOW, ready("gone", 2));
@@ -89,23 +89,23 @@
     assert!(directory.expire(NOW + RETURN_GRACE / 2).is_empty());
     let effects = directory.expire(NOW + RETURN_GRACE);
     assert!(matches!(effects[..], [Effect::Gone(_)]), "{effects:?}");
-    assert_eq!(taking_work(&directory), 1);
+    assert_eq!(accepting_work(&directory), 1);
 }
 
 #[test]
-fn what_a_whole_reading_lacks_was_removed() {
+fn full_read_removes_missing_upstreams() {
     let mut directory = Directory::default();
     directory.apply(NOW, ready("a", 1));
     directory.apply(NOW, ready("b", 2));
     directory.replace(NOW, vec![ready("b", 2), ready("c", 5)], 6.into());
-    let mut left: Vec<_> =
+    let mut instances: Vec<_> =
         directory.iter().map(|(_, upstream)| upstream.record.instance.to_string()).collect();
-    left.sort();
-    assert_eq!(left, ["b", "c"]);
+    instances.sort();
+    assert_eq!(instances, ["b", "c"]);
     assert_eq!(directory.end(), 6.into());
 }
 
-/// Passes on to one directory what another knows and it doesn't.
+/// Passes on the changes that one directory knows and another doesn't.
 fn pass_on(from: &Directory, to: &mut Directory) {
     let end = from.end();
     match from.changes_since(NOW, to.end()) {
@@ -127,48 +127,49 @@
 }
 
 #[test]
-fn a_peer_passes_on_what_changed_since_a_number_and_no_more() {
-    let (mut reader, mut follower) = (Directory::default(), Directory::default());
+fn peer_passes_on_only_changes_since_position() {
+    let (mut reader, mut peer) = (Directory::default(), Directory::default());
     reader.replace(NOW, vec![ready("a", 1), ready("b", 2)], 3.into());
-    pass_on(&reader, &mut follower);
-    assert_eq!(instances(&follower), ["a", "b"]);
+    pass_on(&reader, &mut peer);
+    assert_eq!(instances(&peer), ["a", "b"]);
     reader.apply(NOW, removed("a", 3));
     reader.apply(NOW, ready("c", 4));
-    let changes = reader.changes_since(NOW, 3.into()).expect("known since the whole reading");
+    let changes =
+        reader.changes_since(NOW, 3.into()).expect("all changes are known since the full read");
     assert_eq!(changes.len(), 2, "{changes:?}");
-    pass_on(&reader, &mut follower);
-    assert_eq!(instances(&follower), ["b", "c"]);
-    assert_eq!(follower.end(), 5.into());
+    pass_on(&reader, &mut peer);
+    assert_eq!(instances(&peer), ["b", "c"]);
+    assert_eq!(peer.end(), 5.into());
 }
 
 #[test]
-fn a_peer_that_has_not_seen_a_removal_passes_on_all_records() {
-    let (mut late, mut follower) = (Directory::default(), Directory::default());
-    follower.apply(NOW, ready("a", 1));
-    follower.apply(NOW, ready("b", 2));
-    // The removal of `a` was record 3, before the late one started.
+fn peer_without_known_removals_passes_on_all_records() {
+    let (mut late, mut peer) = (Directory::default(), Directory::default());
+    peer.apply(NOW, ready("a", 1));
+    peer.apply(NOW, ready("b", 2));
+    // The removal of `a` was record 3, before the late directory started.
     late.replace(NOW, vec![ready("b", 2)], 4.into());
-    assert_eq!(late.changes_since(NOW, follower.end()), None);
-    pass_on(&late, &mut follower);
-    assert_eq!(instances(&follower), ["b"]);
+    assert_eq!(late.changes_since(NOW, peer.end()), None);
+    pass_on(&late, &mut peer);
+    assert_eq!(instances(&peer), ["b"]);
 }
 
 #[test]
-fn a_removal_that_may_be_a_lapse_is_one_for_followers_too() {
-    let (mut reader, mut follower) = (Directory::default(), Directory::default());
+fn possible_lapse_is_passed_on_as_one() {
+    let (mut reader, mut peer) = (Directory::default(), Directory::default());
     reader.replace(NOW, vec![ready("a", 1)], 2.into());
-    pass_on(&reader, &mut follower);
+    pass_on(&reader, &mut peer);
     reader.record_store_outage(NOW);
     reader.apply(NOW, removed("a", 2));
-    follower.extend_lapse_window(NOW, reader.lapse_time_left(NOW));
-    pass_on(&reader, &mut follower);
-    assert!(follower.iter().all(|(_, upstream)| upstream.has_lapsed()));
-    assert_eq!(instances(&follower), ["a"]);
-    assert_eq!(follower.expire(NOW + RETURN_GRACE).len(), 1);
+    peer.extend_lapse_window(NOW, reader.lapse_time_left(NOW));
+    pass_on(&reader, &mut peer);
+    assert!(peer.iter().all(|(_, upstream)| upstream.has_lapsed()));
+    assert_eq!(instances(&peer), ["a"]);
+    assert_eq!(peer.expire(NOW + RETURN_GRACE).len(), 1);
 }
 
 #[test]
-fn removals_are_passed_on_by_those_who_never_knew_the_upstream() {
+fn removal_of_unknown_upstream_is_passed_on() {
     let (mut second, mut third) = (Directory::default(), Directory::default());
     third.apply(NOW, ready("a", 1));
     second.advance(2.into());
@@ -178,14 +179,15 @@
 }
 
 #[test]
-fn removals_are_not_kept_for_ever() {
+fn old_removals_are_forgotten() {
     let mut directory = Directory::default();
     for number in 0..20_000u64 {
         directory.apply(NOW, removed(&format!("i-{number}"), number));
     }
     assert_eq!(directory.changes_since(NOW, 0.into()), None);
-    let known = directory.changes_since(NOW, 19_000.into()).expect("the newest are kept");
-    assert_eq!(known.len(), 1_000);
+    let changes =
+        directory.changes_since(NOW, 19_000.into()).expect("the newest removals are kept");
+    assert_eq!(changes.len(), 1_000);
 }
 
 fn started(instance: &str, offset: u64, started_ms: u64) -> Change {
@@ -198,85 +200,90 @@
     Change { instance: instance.into(), at: offset.into(), entry: Entry::Unusable }
 }
 
-/// The start of the only upstream, if there is one that takes work.
-fn start_in_use(directory: &Directory) -> Option<u64> {
+/// The start time of the only upstream, if there is one.
+fn only_start(directory: &Directory) -> Option<u64> {
     let mut upstreams = directory.iter().map(|(_, upstream)| upstream);
     let upstream = upstreams.next()?;
-    assert!(upstreams.next().is_none(), "one upstream an instance");
+    assert!(upstreams.next().is_none(), "one upstream per instance");
     upstream.record.started_ms
 }
 
 #[test]
-fn a_new_start_is_the_end_of_the_old_upstream_and_a_new_one() {
+fn restart_replaces_upstream() {
     let mut directory = Directory::default();
     let Effect::Appeared(first) = directory.apply(NOW, started("i", 1, 10)) else {
-        panic!("it is new");
+        panic!("the upstream is new");
     };
     let Effect::Restarted { old, new } = directory.apply(NOW, started("i", 2, 20)) else {
-        panic!("it has started again");
+        panic!("the upstream has restarted");
     };
     assert_eq!(old, first);
     assert!(directory.get(old).is_none() && directory.get(new).is_some());
-    assert_eq!(directory.apply(NOW, started("i", 3, 10)), Effect::None, "no news");
-    assert_eq!(start_in_use(&directory), Some(20));
+    assert_eq!(directory.apply(NOW, started("i", 3, 10)), Effect::None, "an earlier start");
+    assert_eq!(only_start(&directory), Some(20));
     let draining = Change { entry: draining("i", 4).entry, ..started("i", 4, 20) };
     assert!(matches!(directory.apply(NOW, draining), Effect::Draining(key) if key == new));
     assert!(matches!(directory.apply(NOW, removed("i", 5)), Effect::Gone(key) if key == new));
 }
 
 #[test]
-fn a_later_start_beats_a_record_with_a_higher_number_that_a_peer_passes_on() {
-    let (mut reader, mut follower) = (Directory::default(), Directory::default());
-    // The store keeps only the newest record of each key, here a late one of the process of before.
+fn later_start_beats_higher_position() {
+    let (mut reader, mut peer) = (Directory::default(), Directory::default());
+    // The store keeps only the newest record of each key, here a late record of the previous process.
     reader.replace(NOW, vec![started("i", 7, 10)], 8.into());
-    follower.apply(NOW, started("i", 6, 20));
-    pass_on(&reader, &mut follower);
-    assert_eq!(start_in_use(&follower), Some(20));
+    peer.apply(NOW, started("i", 6, 20));
+    pass_on(&reader, &mut peer);
+    assert_eq!(only_start(&peer), Some(20));
 }
 
 #[test]
-fn a_start_that_a_peer_knows_of_is_passed_on_as_one() {
-    let (mut reader, mut follower) = (Directory::default(), Directory::default());
+fn restart_is_passed_on_as_restart() {
+    let (mut reader, mut peer) = (Directory::default(), Directory::default());
     reader.apply(NOW, started("i", 0, 10));
-    pass_on(&reader, &mut follower);
-    let before = follower.iter().next().unwrap().0;
+    pass_on(&reader, &mut peer);
+    let before = peer.iter().next().unwrap().0;
     reader.apply(NOW, started("i", 1, 20));
-    pass_on(&reader, &mut follower);
-    assert_eq!(start_in_use(&follower), Some(20));
-    assert!(follower.get(before).is_none());
+    pass_on(&reader, &mut peer);
+    assert_eq!(only_start(&peer), Some(20));
+    assert!(peer.get(before).is_none());
 }
 
 #[test]
-fn a_record_that_cannot_be_read_takes_its_upstream_out_of_use_until_one_can() {
+fn unusable_record_removes_upstream_until_next_valid_one() {
     let mut directory = Directory::default();
     directory.apply(NOW, ready("i", 1));
     directory.apply(NOW, ready("other", 2));
-    // Also while removals may be lapses: what lies there is no lapse.
+    // This holds also while removals may be lapses, since an unusable record is no lapse.
     directory.record_store_outage(NOW);
     assert!(matches!(directory.apply(NOW, unusable("i", 3)), Effect::Gone(_)));
     assert!(
         directory.is_known_unusable("i", 3.into()) && !directory.is_known_unusable("i", 2.into())
     );
     assert_eq!(instances(&directory), ["other"]);
-    assert_eq!(directory.apply(NOW, ready("i", 2)), Effect::None, "an older one changes nothing");
+    assert_eq!(
+        directory.apply(NOW, ready("i", 2)),
+        Effect::None,
+        "an older record changes nothing"
+    );
     assert!(matches!(directory.apply(NOW, ready("i", 4)), Effect::Appeared(_)));
     assert_eq!(instances(&directory), ["i", "other"]);
 }
 
 #[test]
-fn a_record_that_cannot_be_read_is_passed_on_as_one() {
-    let (mut reader, mut follower) = (Directory::default(), Directory::default());
+fn unusable_record_is_passed_on_as_unusable() {
+    let (mut reader, mut peer) = (Directory::default(), Directory::default());
     reader.apply(NOW, ready("i", 0));
-    pass_on(&reader, &mut follower);
+    pass_on(&reader, &mut peer);
     reader.apply(NOW, unusable("i", 1));
-    let changes = reader.changes_since(NOW, 1.into()).expect("known since the start");
+    let changes =
+        reader.changes_since(NOW, 1.into()).expect("all changes are known since the start");
     assert_eq!(changes, [unusable("i", 1)]);
-    follower.record_store_outage(NOW);
-    pass_on(&reader, &mut follower);
-    assert!(instances(&follower).is_empty());
+    peer.record_store_outage(NOW);
+    pass_on(&reader, &mut peer);
+    assert!(instances(&peer).is_empty());
 }
 
-/// What the entries of one instance lead to when they are read in their order: a start that goes back is no news.
+/// Returns the start time that results from the entries of one instance in their order; entries of earlier starts are ignored.
 fn read_in_order(log: &[Change]) -> Option<u64> {
     let (mut latest, mut present) = (0, None);
     for change in log {
@@ -309,10 +316,10 @@
     all
 }
 
-/// Every log of four entries of one instance, in every order in which the store and peers may bring them, leads to
-/// what the log says, in calm and while removals may be lapses.
+/// Applies every log of four entries of one instance in every order in which the store and peers may deliver them. The result is
+/// that of the log's own order, both without an outage and while removals may be lapses.
 #[test]
-fn starts_removals_and_lapses_lead_to_the_same_in_any_order() {
+fn changes_lead_to_same_state_in_any_order() {
     let entries: [fn(u64) -> Change; 4] = [
         |offset| started("i", offset, 1),
         |offset| started("i", offset, 2),
@@ -334,7 +341,7 @@
                     directory.apply(NOW, change.clone());
                 }
                 directory.expire(NOW + RETURN_GRACE);
-                assert_eq!(start_in_use(&directory), expected, "{log:?} in the order {order:?}");
+                assert_eq!(only_start(&directory), expected, "{log:?} in the order {order:?}");
                 checked += 1;
             }
         }
@@ -342,30 +349,30 @@
     assert_eq!(checked, 256 * 24 * 2);
 }
 
-/// A record in some era of the store, of an upstream that has written so many.
-fn counted(instance: &str, at: (u64, u64), sequence: u64, state: UpstreamState) -> Change {
+/// A record with a sequence number, at a position given as era and offset.
+fn sequenced(instance: &str, at: (u64, u64), sequence: u64, state: UpstreamState) -> Change {
     let record = UpstreamRecord { sequence, ..record(instance, state) };
     let at = Position::new(at.0, at.1);
     Change { instance: instance.into(), at, entry: Entry::Present(record) }
 }
 
-/// What a store holds that comes back from a copy: three upstreams as they were some seconds ago, whose numbers lie below
-/// those that had been given out since.
-fn copied() -> Vec<Change> {
-    let ready = |instance, offset| counted(instance, (1, offset), 5, UpstreamState::Ready);
+/// The records of a store that was restored from a backup: three upstreams as they were some seconds ago, with offsets below those
+/// assigned since then.
+fn backup_records() -> Vec<Change> {
+    let ready = |instance, offset| sequenced(instance, (1, offset), 5, UpstreamState::Ready);
     vec![ready("left", 10), ready("gone", 11), ready("stays", 12)]
 }
 
-/// A directory that has followed the store of before: since the copy was taken, one upstream began to leave, one went, and one
-/// came.
-fn follower_of_before() -> Directory {
+/// A directory from before the restore: since the backup was taken, one upstream began to drain, one was removed, and one was
+/// added.
+fn peer_from_before_restore() -> Directory {
     let mut directory = Directory::default();
-    for copied in copied() {
-        directory.apply(NOW, Change { at: Position::new(0, copied.at.offset), ..copied });
+    for change in backup_records() {
+        directory.apply(NOW, Change { at: Position::new(0, change.at.offset), ..change });
     }
-    directory.apply(NOW, counted("left", (0, 20), 6, UpstreamState::Draining));
+    directory.apply(NOW, sequenced("left", (0, 20), 6, UpstreamState::Draining));
     directory.apply(NOW, removed("gone", 21));
-    directory.apply(NOW, counted("new", (0, 22), 1, UpstreamState::Ready));
+    directory.apply(NOW, sequenced("new", (0, 22), 1, UpstreamState::Ready));
     directory
 }
 
@@ -377,99 +384,108 @@
     states
 }
 
-fn known(states: &[(&str, bool)]) -> Vec<(String, bool)> {
-    states.iter().map(|(name, takes_work)| ((*name).to_owned(), *takes_work)).collect()
+fn expected_states(states: &[(&str, bool)]) -> Vec<(String, bool)> {
+    states.iter().map(|(name, accepts_work)| ((*name).to_owned(), *accepts_work)).collect()
 }
 
-/// A store came back from a copy of some seconds ago. By number alone, the records of the copy are older than what is known
-/// and those that follow are, too, until the numbers have caught up: nothing is heard. By era alone, the copy brings back
-/// what was leaving or had gone.
+/// A store was restored from a backup of some seconds ago. If only offsets counted, the records of the backup and those that follow
+/// would be ignored as old until the offsets had caught up. If only eras counted, the backup would bring back upstreams that were
+/// draining or had been removed.
 #[test]
-fn a_copy_of_the_store_brings_nothing_back() {
-    let mut directory = follower_of_before();
-    directory.replace(NOW, copied(), Position::new(1, 13));
-    let after = known(&[("left", false), ("new", true), ("stays", true)]);
-    assert_eq!(states(&directory), after, "`new` is only missing from the copy");
-    // Each writes again what it is, as it does all the time.
-    directory.apply(NOW, counted("left", (1, 13), 7, UpstreamState::Draining));
-    directory.apply(NOW, counted("new", (1, 14), 2, UpstreamState::Ready));
-    directory.apply(NOW, counted("stays", (1, 15), 6, UpstreamState::Draining));
+fn restored_backup_brings_nothing_back() {
+    let mut directory = peer_from_before_restore();
+    directory.replace(NOW, backup_records(), Position::new(1, 13));
+    let after = expected_states(&[("left", false), ("new", true), ("stays", true)]);
+    assert_eq!(states(&directory), after, "`new` is only missing from the backup");
+    // Each upstream writes its record again, as it does regularly.
+    directory.apply(NOW, sequenced("left", (1, 13), 7, UpstreamState::Draining));
+    directory.apply(NOW, sequenced("new", (1, 14), 2, UpstreamState::Ready));
+    directory.apply(NOW, sequenced("stays", (1, 15), 6, UpstreamState::Draining));
     assert!(directory.expire(NOW + RETURN_GRACE).is_empty(), "`new` is back");
-    let after = known(&[("left", false), ("new", true), ("stays", false)]);
-    assert_eq!(states(&directory), after, "the numbers of the new era count at once");
+    let after = expected_states(&[("left", false), ("new", true), ("stays", false)]);
+    assert_eq!(states(&directory), after, "records of the new era apply at once");
 }
 
 #[test]
-fn what_was_written_since_the_copy_and_never_again_goes_after_the_grace() {
-    let mut directory = follower_of_before();
-    directory.replace(NOW, copied(), Position::new(1, 13));
+fn record_missing_from_backup_expires_unless_rewritten() {
+    let mut directory = peer_from_before_restore();
+    directory.replace(NOW, backup_records(), Position::new(1, 13));
     assert_eq!(directory.expire(NOW + RETURN_GRACE).len(), 1);
-    assert_eq!(states(&directory), known(&[("left", false), ("stays", true)]));
+    assert_eq!(states(&directory), expected_states(&[("left", false), ("stays", true)]));
 }
 
 #[test]
-fn a_copy_and_what_peers_know_lead_to_the_same_in_any_order() {
-    let of_before = [
-        counted("left", (0, 20), 6, UpstreamState::Draining),
-        counted("stays", (0, 12), 5, UpstreamState::Ready),
+fn backup_and_peer_records_agree_in_any_order() {
+    let old_changes = [
+        sequenced("left", (0, 20), 6, UpstreamState::Draining),
+        sequenced("stays", (0, 12), 5, UpstreamState::Ready),
     ];
-    for copy_first in [false, true] {
+    for backup_first in [false, true] {
         let mut directory = Directory::default();
-        if copy_first {
-            directory.replace(NOW, copied(), Position::new(1, 13));
+        if backup_first {
+            directory.replace(NOW, backup_records(), Position::new(1, 13));
         }
-        for change in of_before.clone() {
+        for change in old_changes.clone() {
             directory.apply(NOW, change);
         }
-        if !copy_first {
-            directory.replace(NOW, copied(), Position::new(1, 13));
+        if !backup_first {
+            directory.replace(NOW, backup_records(), Position::new(1, 13));
         }
         let left = states(&directory).into_iter().find(|(name, _)| name == "left");
-        assert_eq!(left, Some(("left".to_owned(), false)), "copy first: {copy_first}");
+        assert_eq!(left, Some(("left".to_owned(), false)), "copy first: {backup_first}");
     }
 }
 
 #[test]
-fn an_upstream_that_had_gone_is_back_once_it_counts_on() {
-    let mut directory = follower_of_before();
-    directory.replace(NOW, copied(), Position::new(1, 13));
+fn removed_upstream_returns_with_higher_sequence() {
+    let mut directory = peer_from_before_restore();
+    directory.replace(NOW, backup_records(), Position::new(1, 13));
     assert_eq!(
-        directory.apply(NOW, counted("gone", (1, 13), 5, UpstreamState::Ready)),
+        directory.apply(NOW, sequenced("gone", (1, 13), 5, UpstreamState::Ready)),
         Effect::None
     );
-    let back = directory.apply(NOW, counted("gone", (1, 14), 6, UpstreamState::Ready));
+    let back = directory.apply(NOW, sequenced("gone", (1, 14), 6, UpstreamState::Ready));
     assert!(matches!(back, Effect::Appeared(_)), "{back:?}");
 }
 
 #[test]
-fn a_start_of_since_the_copy_stays_the_latest() {
+fn start_newer_than_backup_stays_latest() {
     let mut directory = Directory::default();
     directory.apply(NOW, started("i", 3, 10));
     directory.apply(NOW, started("i", 9, 20));
-    let of_before = started("i", 3, 10);
+    let old_record = started("i", 3, 10);
     directory.replace(
         NOW,
-        vec![Change { at: Position::new(1, 3), ..of_before }],
+        vec![Change { at: Position::new(1, 3), ..old_record }],
         Position::new(1, 4),
     );
-    assert_eq!(start_in_use(&directory), Some(20));
+    assert_eq!(only_start(&directory), Some(20));
 }
 
 #[test]
-fn a_store_may_come_back_from_copies_again_and_again() {
-    let mut directory = follower_of_before();
+fn store_may_be_restored_repeatedly() {
+    let mut directory = peer_from_before_restore();
     for era in 1..6 {
-        let copy =
-            copied().into_iter().map(|c| Change { at: Position::new(era, c.at.offset), ..c });
-        directory.replace(NOW, copy.collect(), Position::new(era, 13));
-        assert_eq!(states(&directory), known(&[("left", false), ("new", true), ("stays", true)]));
+        let backup = backup_records()
+            .into_iter()
+            .map(|c| Change { at: Position::new(era, c.at.offset), ..c });
+        directory.replace(NOW, backup.collect(), Position::new(era, 13));
+        assert_eq!(
+            states(&directory),
+            expected_states(&[("left", false), ("new", true), ("stays", true)])
+        );
     }
-    assert_eq!(directory.changes_since(NOW, Position::new(4, 13)), None, "of another era: all");
+    assert_eq!(
+        directory.changes_since(NOW, Position::new(4, 13)),
+        None,
+        "changes of another era aren't known"
+    );
 }
 
-/// What is found by service, address and start is what looking through all upstreams finds, whatever has come and gone.
+/// The upstreams found by service, address and incarnation are those that a scan over all upstreams finds, after any sequence of
+/// changes.
 #[test]
-fn upstreams_are_found_as_if_all_were_looked_through() {
+fn index_matches_full_scan() {
     for seed in 0..30 {
         let mut random = StdRng::seed_from_u64(seed);
         let mut directory = Directory::default();
@@ -493,24 +509,28 @@
                 _ => drop(directory.apply(now, change)),
             }
             let all: Vec<_> = directory.iter().map(|(key, u)| (key, u.record.clone())).collect();
-            let found = |fits: &dyn Fn(&UpstreamRecord) -> bool| -> BTreeSet<_> {
-                all.iter().filter(|(_, record)| fits(record)).map(|(key, _)| *key).collect()
+            let scan = |matches_record: &dyn Fn(&UpstreamRecord) -> bool| -> BTreeSet<_> {
+                all.iter()
+                    .filter(|(_, record)| matches_record(record))
+                    .map(|(key, _)| *key)
+                    .collect()
             };
             for service in ["s0", "s1", "s2"] {
-                let there: BTreeSet<_> =
+                let indexed: BTreeSet<_> =
                     directory.of_service(service).map(|(key, _)| key).collect();
-                assert_eq!(there, found(&|record| *record.service == *service), "seed {seed}");
+                assert_eq!(indexed, scan(&|record| *record.service == *service), "seed {seed}");
             }
             for port in 1..6 {
                 let address = SocketAddr::from(([10, 0, 0, 1], port));
-                let there: BTreeSet<_> =
+                let indexed: BTreeSet<_> =
                     directory.at_address(address).map(|(key, _)| key).collect();
-                assert_eq!(there, found(&|record| record.address == address), "seed {seed}");
+                assert_eq!(indexed, scan(&|record| record.address == address), "seed {seed}");
             }
             for (_, record) in &all {
-                let run = record.run_hash();
-                let there: BTreeSet<_> = directory.by_incarnation(run).iter().copied().collect();
-                assert_eq!(there, found(&|other| other.run_hash() == run), "seed {seed}");
+                let incarnation = record.run_hash();
+                let indexed: BTreeSet<_> =
+                    directory.by_incarnation(incarnation).iter().copied().collect();
+                assert_eq!(indexed, scan(&|other| other.run_hash() == incarnation), "seed {seed}");
             }
         }
     }
--- a/crates/fernring-gateway/tests/testsuite/evacuations.rs
+++ b/crates/fernring-gateway/tests/testsuite/evacuations.rs
@@ -1,28 +1,28 @@
-//! Which failure domains are evacuated.
+//! Tests of the operators' orders that evacuate failure domains.
 
 use fernring_gateway::{
     evacuations::{EvacuationOrder, Evacuations},
     position::Position,
 };
 
-fn word(offset: u64, is_in_force: bool) -> EvacuationOrder {
+fn order(offset: u64, is_in_force: bool) -> EvacuationOrder {
     EvacuationOrder { at: Position::new(0, offset), is_in_force }
 }
 
 #[test]
-fn the_newest_word_holds_whichever_way_and_in_which_order_it_comes() {
-    let words = [word(3, true), word(5, false), word(8, true), word(9, false)];
-    for newest in 0..words.len() {
+fn newest_order_applies_in_any_arrival_order() {
+    let orders = [order(3, true), order(5, false), order(8, true), order(9, false)];
+    for newest in 0..orders.len() {
         for first in 0..=newest {
             let mut evacuations = Evacuations::default();
-            let mut order: Vec<_> = words[..=newest].to_vec();
-            order.rotate_left(first);
-            for word in order {
-                evacuations.apply("a".into(), word);
+            let mut shuffled: Vec<_> = orders[..=newest].to_vec();
+            shuffled.rotate_left(first);
+            for order in shuffled {
+                evacuations.apply("a".into(), order);
             }
             assert_eq!(
                 evacuations.is_evacuated("a"),
-                words[newest].is_in_force,
+                orders[newest].is_in_force,
                 "{newest} {first}"
             );
         }
@@ -30,21 +30,21 @@
 }
 
 #[test]
-fn a_word_that_is_known_is_no_news() {
+fn known_order_changes_nothing() {
     let mut evacuations = Evacuations::default();
-    assert!(evacuations.apply("a".into(), word(3, true)));
-    assert!(!evacuations.apply("a".into(), word(3, true)));
-    assert!(!evacuations.apply("a".into(), word(4, true)), "said once more");
-    assert!(!evacuations.apply("b".into(), word(5, false)), "it wasn't evacuated");
-    assert!(evacuations.apply("a".into(), word(6, false)));
+    assert!(evacuations.apply("a".into(), order(3, true)));
+    assert!(!evacuations.apply("a".into(), order(3, true)));
+    assert!(!evacuations.apply("a".into(), order(4, true)), "the same order again");
+    assert!(!evacuations.apply("b".into(), order(5, false)), "the domain wasn't evacuated");
+    assert!(evacuations.apply("a".into(), order(6, false)));
     assert_eq!(evacuations.evacuated_count(), 0);
 }
 
 #[test]
-fn what_a_whole_reading_lacks_was_taken_back() {
+fn full_read_withdraws_missing_orders() {
     let mut evacuations = Evacuations::default();
-    evacuations.apply("a".into(), word(3, true));
-    evacuations.apply("b".into(), word(4, true));
+    evacuations.apply("a".into(), order(3, true));
+    evacuations.apply("b".into(), order(4, true));
     let changed =
         evacuations.replace_all(vec![("c".into(), Position::new(0, 6))], Position::new(0, 7));
     assert_eq!(changed.len(), 3);
@@ -53,22 +53,22 @@
             && !evacuations.is_evacuated("a")
             && !evacuations.is_evacuated("b")
     );
-    // A peer that hasn't read that yet changes nothing.
-    assert!(!evacuations.apply("a".into(), word(3, true)));
+    // An outdated order from a peer changes nothing.
+    assert!(!evacuations.apply("a".into(), order(3, true)));
 }
 
 #[test]
-fn a_word_from_after_a_whole_reading_stays() {
+fn order_after_full_read_stays() {
     let mut evacuations = Evacuations::default();
-    evacuations.apply("a".into(), word(9, true));
+    evacuations.apply("a".into(), order(9, true));
     assert!(evacuations.replace_all(Vec::new(), Position::new(0, 9)).is_empty());
     assert!(evacuations.is_evacuated("a"));
 }
 
 #[test]
-fn an_evacuation_that_the_copy_lacks_holds_until_the_operator_says_something_new() {
+fn evacuation_missing_from_backup_stays_until_new_order() {
     let mut evacuations = Evacuations::default();
-    evacuations.apply("a".into(), word(30, true));
+    evacuations.apply("a".into(), order(30, true));
     assert!(evacuations.replace_all(Vec::new(), Position::new(1, 20)).is_empty());
     assert!(evacuations.is_evacuated("a"));
     let at = Position::new(1, 21);
@@ -77,11 +77,11 @@
 }
 
 #[test]
-fn words_on_domains_without_number_fill_nothing_and_push_out_none_that_is_in_force() {
+fn many_orders_never_displace_one_in_force() {
     let mut evacuations = Evacuations::default();
-    evacuations.apply("a".into(), word(0, true));
+    evacuations.apply("a".into(), order(0, true));
     for number in 1..10_000 {
-        evacuations.apply(format!("d{number}").into(), word(number, false));
+        evacuations.apply(format!("d{number}").into(), order(number, false));
     }
     assert!(evacuations.is_evacuated("a"));
     assert!(evacuations.orders().count() < 300);
--- a/crates/fernring-gateway/tests/testsuite/events.rs
+++ b/crates/fernring-gateway/tests/testsuite/events.rs
@@ -1,4 +1,4 @@
-//! Whole events of a stream.
+//! Tests of splitting a stream into complete events.
 
 use {
     fernring_gateway::events::{EventSplitter, last_event_number},
@@ -10,19 +10,19 @@
 }
 
 #[test]
-fn half_an_event_is_held_back_and_can_be_dropped() {
+fn incomplete_event_is_buffered_until_discarded() {
     let mut splitter = EventSplitter::default();
-    let whole = splitter.push(b"id: 1\ndata: x\n\nid: 2\nda").unwrap();
-    assert_eq!(&whole[..], b"id: 1\ndata: x\n\n");
-    assert_eq!(last_event_number(&whole, number), Some(1));
+    let complete = splitter.push(b"id: 1\ndata: x\n\nid: 2\nda").unwrap();
+    assert_eq!(&complete[..], b"id: 1\ndata: x\n\n");
+    assert_eq!(last_event_number(&complete, number), Some(1));
     splitter.discard();
     assert_eq!(&splitter.push(b"id: 2\n\n").unwrap()[..], b"id: 2\n\n");
 }
 
 proptest! {
-    /// However the bytes are cut, all of them come out once and in order.
+    /// All bytes are returned once and in order, regardless of the chunks in which they arrive.
     #[test]
-    fn nothing_is_lost_or_doubled(
+    fn splitter_neither_loses_nor_duplicates_bytes(
         events in prop::collection::vec("[a-z]{0,5}", 0..8),
         cuts in prop::collection::vec(1usize..7, 1..40),
     ) {
@@ -35,9 +35,9 @@
                 break;
             }
             let (head, tail) = rest.split_at((*cut).min(rest.len()));
-            let whole = splitter.push(head).unwrap();
-            prop_assert!(whole.is_empty() || whole.ends_with(b"\n\n"));
-            out.extend_from_slice(&whole);
+            let complete = splitter.push(head).unwrap();
+            prop_assert!(complete.is_empty() || complete.ends_with(b"\n\n"));
+            out.extend_from_slice(&complete);
             rest = tail;
         }
         out.extend_from_slice(&splitter.finish());
--- a/crates/fernring-gateway/tests/testsuite/fingerprint.rs
+++ b/crates/fernring-gateway/tests/testsuite/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What counts as the same request.
+//! Tests of the fingerprints of requests.
 
 use {
     fernring_gateway::fingerprint::Fingerprint,
@@ -6,23 +6,23 @@
 };
 
 proptest! {
-    /// Fields that run together would let a caller make a request that is taken for another's.
+    /// Without separated fields, a caller could forge a request with the fingerprint of another caller's request.
     #[test]
-    fn only_the_same_caller_path_and_body_are_the_same(
+    fn fingerprints_match_only_for_equal_requests(
         one in (option::of("[ab]{0,3}"), "[ab/]{0,3}", vec(97u8..99, 0..3)),
         other in (option::of("[ab]{0,3}"), "[ab/]{0,3}", vec(97u8..99, 0..3)),
     ) {
-        let key = |(caller, path, body): &(Option<String>, String, Vec<u8>)| {
+        let fingerprint_of = |(caller, path, body): &(Option<String>, String, Vec<u8>)| {
             Fingerprint::of(caller.as_deref(), path, body)
         };
-        prop_assert_eq!(one == other, key(&one) == key(&other));
+        prop_assert_eq!(one == other, fingerprint_of(&one) == fingerprint_of(&other));
     }
 }
 
 #[test]
-fn a_key_goes_over_the_wire_and_back() {
-    let key = Fingerprint::of(Some("w"), "/x", b"y");
-    assert_eq!(Fingerprint::from_bytes(key.bytes()), Some(key));
-    assert_eq!(Fingerprint::from_bytes(&key.bytes()[1..]), None);
-    assert_eq!(key.to_string().len(), 32, "as it stands in log lines");
+fn fingerprint_survives_encoding() {
+    let fingerprint = Fingerprint::of(Some("w"), "/x", b"y");
+    assert_eq!(Fingerprint::from_bytes(fingerprint.bytes()), Some(fingerprint));
+    assert_eq!(Fingerprint::from_bytes(&fingerprint.bytes()[1..]), None);
+    assert_eq!(fingerprint.to_string().len(), 32, "the form in log lines");
 }
--- a/crates/fernring-gateway/tests/testsuite/fleet.rs
+++ b/crates/fernring-gateway/tests/testsuite/fleet.rs
@@ -1,5 +1,5 @@
 //! Many nodes that follow a topic through each other, under virtual time: their heartbeats, questions and
-//! records take time on the way, records also on the links. Nothing but [`Following`] decides.
+//! records take time on the way, records also on the links. Nothing but [`Tailing`] decides.
 
 use {
     fernring_gateway::{
--- a/crates/fernring-gateway/tests/testsuite/freshness.rs
+++ b/crates/fernring-gateway/tests/testsuite/freshness.rs
@@ -1,4 +1,4 @@
-//! Who reads the store, and when.
+//! Tests of which nodes read the store, and when.
 
 use {
     fernring_gateway::{
@@ -11,20 +11,20 @@
 const NOW: Duration = Duration::from_secs(100);
 const MS: Duration = Duration::from_millis(1);
 
-fn known() -> Freshness {
+fn just_read() -> Freshness {
     let mut freshness = Freshness::new(0.0);
     freshness.record_read(NOW, ReaderPart::None);
     freshness
 }
 
 #[test]
-fn a_node_that_knows_nothing_reads_whoever_else_does() {
+fn node_without_state_reads() {
     assert!(Freshness::new(1.0).should_read(NOW, ReaderPart::None));
 }
 
 #[test]
-fn a_node_leaves_the_reading_to_its_reader_while_what_it_knows_is_confirmed() {
-    let mut freshness = known();
+fn confirmed_node_leaves_reads_to_reader() {
+    let mut freshness = just_read();
     for step in 1..100 {
         let now = NOW + STALE_AFTER / 2 * step;
         assert!(!freshness.should_read(now, ReaderPart::None), "{step}");
@@ -34,54 +34,62 @@
 }
 
 #[test]
-fn a_node_that_hears_nothing_new_stands_in_for_its_reader() {
-    let mut freshness = known();
+fn unconfirmed_node_stands_in_for_reader() {
+    let mut freshness = just_read();
     let stale_at = NOW + STALE_AFTER;
     assert!(!freshness.should_read(stale_at - MS, ReaderPart::None));
     assert!(freshness.should_read(stale_at, ReaderPart::None));
     freshness.record_read(stale_at, ReaderPart::None);
-    assert!(freshness.should_read(stale_at + MS, ReaderPart::None), "the reader is still lost");
+    assert!(
+        freshness.should_read(stale_at + MS, ReaderPart::None),
+        "the reader is still unreachable"
+    );
     freshness.record_confirmation(stale_at + Duration::from_secs(60));
     assert!(!freshness.should_read(stale_at + Duration::from_secs(60), ReaderPart::None));
 }
 
 #[test]
-fn an_older_confirmation_changes_nothing() {
-    let mut freshness = known();
+fn older_confirmation_changes_nothing() {
+    let mut freshness = just_read();
     freshness.record_confirmation(NOW - MS * 500);
     assert_eq!(freshness.age(NOW), Some(Duration::ZERO));
 }
 
 #[test]
-fn readers_ask_before_others_grow_impatient() {
+fn readers_read_before_others_become_stale() {
     assert!(read_wait(ReaderPart::First).end < DOUBT_AFTER);
     assert!(DOUBT_AFTER < STALE_AFTER);
-    let freshness = known();
+    let freshness = just_read();
     assert!(!freshness.needs_confirmation(NOW + DOUBT_AFTER - MS));
     assert!(freshness.needs_confirmation(NOW + DOUBT_AFTER));
 }
 
-/// Replays a change of upstreams with silence after it: records gather for 0.6 s, then the first reader waits for the
-/// next one. Its answer, and a heartbeat, have to be there before anybody reads in its place.
+/// A change of upstreams followed by no further records: the first reader pauses for 0.6 s to coalesce records, then waits for the
+/// next record. Its answer and a heartbeat have to arrive before another node reads in its place.
 #[test]
-fn the_first_reader_confirms_in_time_after_a_pause() {
-    let gathered_for = MS * 600;
+fn first_reader_confirms_in_time_after_coalescing() {
+    let coalesced_for = MS * 600;
     let heartbeat = HEARTBEAT_INTERVAL + MS * 50;
-    let freshness = known();
+    let freshness = just_read();
     let longest = read_wait(ReaderPart::First).end;
-    let wait = freshness.read_wait_of(NOW + gathered_for, ReaderPart::First, longest);
-    assert!(gathered_for + wait + heartbeat < STALE_AFTER, "{wait:?}");
+    let wait = freshness.read_wait_of(NOW + coalesced_for, ReaderPart::First, longest);
+    assert!(coalesced_for + wait + heartbeat < STALE_AFTER, "{wait:?}");
     let wait = freshness.read_wait_of(NOW, ReaderPart::First, longest);
-    assert_eq!(wait, longest, "without a pause it waits as long as it may");
-    let by = freshness.read_wait_of(NOW + gathered_for, ReaderPart::OfDomain, MS * 3_500);
-    assert_eq!(by, MS * 3_500, "a reader that stands by is woken by its doubt");
+    assert_eq!(wait, longest, "without a pause it waits for the full time");
+    let other_reader_wait =
+        freshness.read_wait_of(NOW + coalesced_for, ReaderPart::OfDomain, MS * 3_500);
+    assert_eq!(
+        other_reader_wait,
+        MS * 3_500,
+        "another reader is interrupted when its state is in doubt"
+    );
 }
 
 #[test]
-fn a_reader_is_sure_until_it_is_in_doubt() {
-    let freshness = known();
-    let sure_for = freshness.time_until_doubt(NOW + MS * 300);
-    assert!(!freshness.needs_confirmation(NOW + MS * 300 + sure_for - MS));
-    assert!(freshness.needs_confirmation(NOW + MS * 300 + sure_for));
-    assert!(Freshness::new(0.0).time_until_doubt(NOW).is_zero(), "nothing is known yet");
+fn time_until_doubt_ends_at_doubt() {
+    let freshness = just_read();
+    let confirmed_for = freshness.time_until_doubt(NOW + MS * 300);
+    assert!(!freshness.needs_confirmation(NOW + MS * 300 + confirmed_for - MS));
+    assert!(freshness.needs_confirmation(NOW + MS * 300 + confirmed_for));
+    assert!(Freshness::new(0.0).time_until_doubt(NOW).is_zero(), "there was no read yet");
 }
--- a/crates/fernring-gateway/tests/testsuite/refusal.rs
+++ b/crates/fernring-gateway/tests/testsuite/refusal.rs
@@ -1,4 +1,4 @@
-//! Statuses that promise something.
+//! Tests of the statuses that guarantee that a request has not run.
 
 use {
     fernring_core::code::ResultCode,
@@ -11,7 +11,7 @@
 };
 
 #[test]
-fn only_a_request_that_has_not_run_is_refused_with_the_promise() {
+fn only_unrun_requests_get_not_run_statuses() {
     let mut attempts = Attempts::new(Repeat::Never, 1);
     let not_run = attempts.not_run().expect("nothing was sent");
     let refusal = Refusal::not_run(not_run, ResultCode::NoUpstream, RETRY_AFTER_NOT_READY, "");
@@ -20,12 +20,12 @@
     assert!(attempts.not_run().is_none());
     for code in [ResultCode::WindowEnded, ResultCode::StageFailed] {
         let status = Refusal::may_have_run(code, "").status();
-        let promising = [
+        let not_run_statuses = [
             StatusCode::SERVICE_UNAVAILABLE,
             StatusCode::TOO_MANY_REQUESTS,
             StatusCode::REQUEST_TIMEOUT,
             StatusCode::MISDIRECTED_REQUEST,
         ];
-        assert!(!promising.contains(&status), "{status}");
+        assert!(!not_run_statuses.contains(&status), "{status}");
     }
 }
--- a/crates/fernring-gateway/tests/testsuite/tailing.rs
+++ b/crates/fernring-gateway/tests/testsuite/tailing.rs
@@ -1,4 +1,4 @@
-//! How nodes keep up with a topic through their peers.
+//! Tests of how nodes keep up with a topic of the store through their peers.
 
 use {
     super::fleet::{Fleet, NODES, StoreFor},
@@ -6,69 +6,75 @@
     std::time::Duration,
 };
 
-/// Seeds of the fleets.
+/// Seeds of the simulated fleets.
 const SEEDS: std::ops::Range<u64> = 1..6;
 /// Size of a configuration with 1,400 routes, in bytes.
 const LARGE_BYTES: usize = 270_994;
-/// Size of one with 4,200 routes, packed, in bytes.
+/// Size of a packed configuration with 4,200 routes, in bytes.
 const PACKED_BYTES: usize = 62_849;
-/// Time in which the nodes settle.
+/// Time until the nodes have found each other and read the topic.
 const SETTLE_TIME: Duration = Duration::from_secs(5);
 
-/// A node asks the store itself once nothing has confirmed for 1.45 s what it knows. Ages went round in
-/// heartbeats, from node to node, and each hop left out the time on the way; among 78 nodes the hops followed each
-/// other so closely that an age grew by half a second in a second. Nodes held a version that nobody could have
-/// confirmed for 3,047 ms (`store_stand_in topic=config age_ms=1554 behind_ms=3047`) and took it for fresh.
+/// Guards against ages that grow too slowly, so that a node reads the store itself once its state was unconfirmed for 1.45 s. When
+/// nodes passed on ages received in heartbeats, each hop left out its transit time: among 78 nodes an age grew by half a second per
+/// second, and nodes took a version for fresh that nobody could have confirmed for 3,047 ms
+/// (`store_stand_in topic=config age_ms=1554 behind_ms=3047`).
 #[test]
-fn what_nobody_confirms_any_more_is_doubted_in_time_however_many_nodes_tell_each_other() {
+fn unconfirmed_state_is_doubted_in_time() {
     for seed in SEEDS {
         let mut fleet = Fleet::new(seed, StoreFor::Readers, LARGE_BYTES);
         fleet.run_for(SETTLE_TIME);
-        assert_eq!(fleet.last_doubted_at(), None, "seed {seed}: all is confirmed");
+        assert_eq!(
+            fleet.last_doubted_at(),
+            None,
+            "seed {seed}: the state of all nodes is confirmed"
+        );
         fleet.store_answers = false;
-        let silent_since = fleet.now;
+        let outage_since = fleet.now;
         fleet.run_for(Duration::from_secs(20));
-        let doubted = fleet.last_doubted_at().expect("all nodes doubt") - silent_since;
-        // The spread of the nodes, and two heartbeats.
+        let doubted = fleet.last_doubted_at().expect("all nodes doubt their state") - outage_since;
+        // The spread of the nodes' reads (250 ms) and two heartbeats (400 ms).
         let in_time = STALE_AFTER + Duration::from_millis(250 + 400);
         assert!(doubted <= in_time, "seed {seed}: the last one after {doubted:?}");
     }
 }
 
-/// Four readers had a configuration of 271 KB at once; the other 74 nodes got it one after the other, the last
-/// ones six seconds later. All asked the node whose heartbeat came first, it sent one copy in 200 ms and left the
-/// other questions unanswered, and nobody asked the other holders meanwhile: of 1,253 questions 1,131 were put off.
+/// Guards against requests that all go to one holder of a record. Four readers had a configuration of 271 KB at once, but the other
+/// 74 nodes received it one after the other, the last ones six seconds later: all asked the node whose heartbeat came first, which
+/// sent one copy per 200 ms and left the other requests unanswered, and none asked the other holders meanwhile. Of 1,253 requests
+/// 1,131 were deferred.
 #[test]
-fn a_large_record_spreads_from_its_readers_within_two_and_a_half_seconds() {
+fn large_record_spreads_within_two_and_a_half_seconds() {
     for seed in SEEDS {
         let mut fleet = Fleet::new(seed, StoreFor::Readers, LARGE_BYTES);
         fleet.run_for(SETTLE_TIME);
         fleet.publish();
         fleet.run_for(Duration::from_millis(2_500));
-        let (there, copies) = (fleet.up_to_date(), fleet.copies());
-        assert_eq!(there, NODES, "seed {seed}: with {copies} copies");
+        let (up_to_date, copies) = (fleet.up_to_date(), fleet.copies());
+        assert_eq!(up_to_date, NODES, "seed {seed}: with {copies} copies");
         assert!(copies <= NODES * 5 / 4, "seed {seed}: {copies} copies for {NODES} nodes");
     }
 }
 
-/// What is too large for the links between peers comes from the store: each node asks it once it doubts what it
-/// knows, and 800 KB take 640 ms over its own link.
+/// A record that is too large for the links between peers is read from the store: each node reads it once its state is in doubt,
+/// and 800 KB take 640 ms over the node's own link.
 #[test]
-fn a_record_that_spreads_too_slowly_is_read_from_the_store() {
+fn slowly_spreading_record_is_read_from_store() {
     for seed in SEEDS {
         let mut fleet = Fleet::new(seed, StoreFor::All, 800_000);
         fleet.run_for(SETTLE_TIME);
         fleet.publish();
         fleet.run_for(Duration::from_millis(3_000));
-        let (there, copies) = (fleet.up_to_date(), fleet.copies());
-        assert_eq!(there, NODES, "seed {seed}: with {copies} copies");
+        let (up_to_date, copies) = (fleet.up_to_date(), fleet.copies());
+        assert_eq!(up_to_date, NODES, "seed {seed}: with {copies} copies");
     }
 }
 
-/// While the first reader's own answer came, for 0.6 s, it confirmed nothing, so nodes began to doubt just when their peers
-/// passed the new record on: 42 of 86 nodes read 788 KB from the store, and all had them from a peer before that.
+/// Guards against needless reads of a record that peers deliver. While the first reader received its own answer, for 0.6 s, it
+/// confirmed nothing, so nodes began to doubt their state just when their peers sent the new record: 42 of 86 nodes read 788 KB
+/// from the store, though all had received them from a peer before.
 #[test]
-fn a_node_that_gets_a_record_from_its_peers_does_not_read_it_from_the_store_as_well() {
+fn record_from_peers_is_not_read_from_store() {
     for seed in SEEDS {
         let mut fleet = Fleet::new(seed, StoreFor::All, PACKED_BYTES);
         fleet.run_for(SETTLE_TIME);
@@ -84,20 +90,20 @@
 }
 
 #[test]
-fn one_question_is_under_way_and_the_next_goes_out_as_soon_as_the_answer_is_in() {
+fn one_request_at_a_time_next_after_answer() {
     let now = SETTLE_TIME;
-    let mut following = Tailing::new(0.0);
-    assert!(following.handle_peer_mark(now, 1, 2, None));
-    assert!(!following.handle_peer_mark(now, 1, 3, None), "the first is being answered");
-    assert_eq!(following.lag().since, Some(now));
-    following.record_caught_up(LARGE_BYTES);
-    assert_eq!(following.lag().since, None);
-    assert!(following.handle_peer_mark(now, 2, 3, None));
-    following.handle_deferral(now, 0.0);
-    assert!(following.handle_peer_mark(now, 2, 3, None), "another peer is asked");
-    let lost_after = Duration::from_secs(2);
+    let mut tailing = Tailing::new(0.0);
+    assert!(tailing.handle_peer_mark(now, 1, 2, None));
+    assert!(!tailing.handle_peer_mark(now, 1, 3, None), "the first request is in flight");
+    assert_eq!(tailing.lag().since, Some(now));
+    tailing.record_caught_up(LARGE_BYTES);
+    assert_eq!(tailing.lag().since, None);
+    assert!(tailing.handle_peer_mark(now, 2, 3, None));
+    tailing.handle_deferral(now, 0.0);
+    assert!(tailing.handle_peer_mark(now, 2, 3, None), "another peer is asked");
+    let answer_lost_after = Duration::from_secs(2);
     assert!(
-        following.handle_peer_mark(now + lost_after, 2, 3, None),
-        "an answer that was lost is asked for anew"
+        tailing.handle_peer_mark(now + answer_lost_after, 2, 3, None),
+        "the request is repeated if the answer was lost"
     );
 }
