--- a/crates/fernring-gateway/src/owner/mod.rs
+++ b/crates/fernring-gateway/src/owner/mod.rs
@@ -277,7 +277,7 @@
         for handle in handles {
             let address = maker_address(&handle);
             let directory = self.upstreams.directory();
-            let Some(key) = address.and_then(|address| directory.at(service, address)) else {
+            let Some(key) = address.and_then(|address| directory.find(service, address)) else {
                 continue;
             };
             self.releases.borrow_mut().entry(key).or_default().push(handle);
@@ -523,7 +523,7 @@
     /// Returns the failure domain of the maker of a result, if it is known.
     pub fn domain_of_maker(&self, service: &str, handle: &str) -> Option<Arc<str>> {
         let directory = self.upstreams.directory();
-        let key = directory.at(service, maker_address(handle)?)?;
+        let key = directory.find(service, maker_address(handle)?)?;
         Some(directory.get(key)?.record.failure_domain.clone())
     }
 
--- a/crates/fernring-gateway/src/serving/exchange/sending.rs
+++ b/crates/fernring-gateway/src/serving/exchange/sending.rs
@@ -206,18 +206,18 @@
         let Some(admitted) = self.serving.upstreams.admits(&self.service) else {
             return candidates;
         };
-        let (ordered, others): (Vec<_>, Vec<_>) =
+        let (destination, others): (Vec<_>, Vec<_>) =
             candidates.into_iter().partition(|candidate| candidate.is_ordered);
-        if ordered.is_empty() {
+        if destination.is_empty() {
             return others;
         }
         let is_first = self.tried.is_empty();
         match admitted {
             // Even if there are no others, a version that may be bad gets no more than its share.
-            Admits::Share(_) if is_first && self.draw_for_rollout() => ordered,
+            Admits::Share(_) if is_first && self.draw_for_rollout() => destination,
             Admits::Share(_) => others,
             Admits::DestinationFirst if !is_first && !others.is_empty() => others,
-            _ => ordered,
+            _ => destination,
         }
     }
 
--- a/crates/fernring-gateway/src/serving/exchange/staging.rs
+++ b/crates/fernring-gateway/src/serving/exchange/staging.rs
@@ -131,9 +131,9 @@
         }
     }
 
-    /// Returns how many stages longer than the longest chain a chain may be for both to start at once: one, so that the request
-    /// doesn't wait for the shorter chain in the end. For requests of the lowest rank it is zero, which leaves the capacity for
-    /// results to other requests meanwhile.
+    /// Returns by how many stages a chain may be shorter than the longest one and still start with it: one, so that the request
+    /// doesn't wait for the shorter chain in the end. Zero for requests of the lowest rank, which leaves the capacity for results to
+    /// other requests meanwhile. If stages aren't delayed at all, the number of stages.
     fn chain_lead(&self) -> usize {
         if !self.serving.decide_settings.get().made_late {
             return self.route.stages.len();
--- a/crates/fernring-gateway/src/store/directory.rs
+++ b/crates/fernring-gateway/src/store/directory.rs
@@ -234,7 +234,7 @@
         &self,
         address: SocketAddr,
     ) -> impl Iterator<Item = (UpstreamKey, &Upstream)> {
-        let keys = self.index.at(address).iter();
+        let keys = self.index.with_address(address).iter();
         keys.filter_map(|key| Some((*key, self.upstreams.get(*key)?)))
     }
 
@@ -244,7 +244,7 @@
     }
 
     /// Finds the upstream of a service at an address.
-    pub fn at(&self, service: &str, address: SocketAddr) -> Option<UpstreamKey> {
+    pub fn find(&self, service: &str, address: SocketAddr) -> Option<UpstreamKey> {
         let mut at_address = self.at_address(address);
         at_address.find(|(_, upstream)| &*upstream.record.service == service).map(|(key, _)| key)
     }
--- a/crates/fernring-gateway/src/store/index.rs
+++ b/crates/fernring-gateway/src/store/index.rs
@@ -34,7 +34,7 @@
     }
 
     /// Lists the upstreams at an address.
-    pub(super) fn at(&self, address: SocketAddr) -> &[UpstreamKey] {
+    pub(super) fn with_address(&self, address: SocketAddr) -> &[UpstreamKey] {
         self.by_address.get(&address).map_or(&[], Vec::as_slice)
     }
 
--- a/crates/fernring-gateway/tests/testsuite/directory.rs
+++ b/crates/fernring-gateway/tests/testsuite/directory.rs
@@ -432,7 +432,7 @@
             directory.replace(NOW, backup_records(), Position::new(1, 13));
         }
         let left = states(&directory).into_iter().find(|(name, _)| name == "left");
-        assert_eq!(left, Some(("left".to_owned(), false)), "copy first: {backup_first}");
+        assert_eq!(left, Some(("left".to_owned(), false)), "backup first: {backup_first}");
     }
 }
 
