--- a/crates/fernring-gateway/src/serving/exchange/mod.rs
+++ b/crates/fernring-gateway/src/serving/exchange/mod.rs
@@ -299,14 +299,14 @@
             let took = now.saturating_sub(prefill.sent_at);
             self.serving.prefill_speeds.read(&self.service, prefill.tokens, took);
         }
-        let passed_on = self.stream_times.get_or_insert(StreamTimes {
+        let times = self.stream_times.get_or_insert(StreamTimes {
             first_at: now,
             last_at: now,
             longest_pause: Duration::ZERO,
         });
-        let pause = now.saturating_sub(passed_on.last_at);
-        passed_on.longest_pause = passed_on.longest_pause.max(pause);
-        passed_on.last_at = now;
+        let pause = now.saturating_sub(times.last_at);
+        times.longest_pause = times.longest_pause.max(pause);
+        times.last_at = now;
     }
 
     /// Sends the request again after its stream was interrupted. The stages run again if their results were released, which
--- a/crates/fernring-gateway/src/serving/exchange/sending.rs
+++ b/crates/fernring-gateway/src/serving/exchange/sending.rs
@@ -98,9 +98,9 @@
     /// refused that had been in flight at the same three crashes as a crashing request in a fleet's first second: 4 in 12 s at 60
     /// requests per second.
     pub(super) async fn wait_for_quarantine_decision(&self) {
-        let settled = self.serving.crash_attribution.until_settled(self.request.fingerprint);
+        let decision = self.serving.crash_attribution.until_settled(self.request.fingerprint);
         // The caller checks again, whether the decision was made or the time is over.
-        let _is_settled = self.wait_at_most(None, settled).await;
+        let _is_decided = self.wait_at_most(None, decision).await;
     }
 
     /// Records that a response was interrupted after its head.
@@ -137,9 +137,9 @@
 
     /// Returns whether the request may be sent to another upstream.
     pub fn may_send(&self) -> bool {
-        let is_turned_away =
+        let is_quarantined =
             self.serving.crash_attribution.is_turned_away(self.request.fingerprint);
-        self.attempts.may_send() && !is_turned_away && !self.time_left().is_zero()
+        self.attempts.may_send() && !is_quarantined && !self.time_left().is_zero()
     }
 
     /// Returns the final answer for a request without an eligible upstream.
@@ -292,7 +292,7 @@
 
     async fn send(&self, target: &Target, left: Duration) -> Result<OpenedResponse, FailedSend> {
         let load = self.serving.upstreams.load(target.key, self.weight());
-        let sending = Sending {
+        let upstream_send = Sending {
             request: self.upstream_request(target, left),
             rank: self.rank(),
             residency: self.residency.clone(),
@@ -310,10 +310,10 @@
             failed_send
         };
         let sent_at = self.serving.now();
-        let sent = self.serving.upstreams.send(target, sending);
+        let sent = self.serving.upstreams.send(target, upstream_send);
         let sent = tokio::select! {
             sent = self.wait_at_most(None, sent) => sent,
-            // The upstream hasn't started to respond, so cancelling the request may avoid its crash.
+            // The upstream hasn't started to respond, so cancelling the request may prevent its crash.
             () = self.serving.crash_attribution.until_turned_away(self.request.fingerprint) => {
                 let reason = "quarantined while waiting for the response".to_owned();
                 return Err(FailedSend::without_connection_loss(SendEnd::Unknown, reason));
--- a/crates/fernring-gateway/src/serving/ingress.rs
+++ b/crates/fernring-gateway/src/serving/ingress.rs
@@ -248,8 +248,8 @@
     }
 
     fn limits(&self) -> CallerLimits {
-        let held = self.config.borrow().current();
-        held.map_or_else(CallerLimits::default, |held| held.config.limits)
+        let current = self.config.borrow().current();
+        current.map_or_else(CallerLimits::default, |current| current.config.limits)
     }
 
     async fn answer(
--- a/crates/fernring-gateway/src/store/store_loops/operator_records.rs
+++ b/crates/fernring-gateway/src/store/store_loops/operator_records.rs
@@ -60,7 +60,7 @@
         let present = present.map(|(failure_domain, order)| (failure_domain, order.at)).collect();
         let changed = self.upstreams.evacuations().borrow_mut().replace_all(present, end);
         for failure_domain in changed {
-            self.log_evacuation_change(&failure_domain, "store", end);
+            self.handle_evacuation_change(&failure_domain, "store", end);
         }
     }
 
@@ -70,11 +70,12 @@
         let has_changed = evacuations.apply(failure_domain.clone(), order);
         drop(evacuations);
         if has_changed {
-            self.log_evacuation_change(&failure_domain, source, order.at);
+            self.handle_evacuation_change(&failure_domain, source, order.at);
         }
     }
 
-    fn log_evacuation_change(&self, failure_domain: &Arc<str>, source: &str, at: Position) {
+    /// Logs that an evacuation was ordered or withdrawn, and dispatches the waiting pieces again.
+    fn handle_evacuation_change(&self, failure_domain: &Arc<str>, source: &str, at: Position) {
         let is_in_force = self.upstreams.evacuations().borrow().is_evacuated(failure_domain);
         let directory = self.upstreams.directory();
         let is_in_domain = |upstream: &&Upstream| upstream.record.failure_domain == *failure_domain;
