--- a/crates/fernring-gateway/src/serving/exchange/staging.rs
+++ b/crates/fernring-gateway/src/serving/exchange/staging.rs
@@ -84,10 +84,7 @@
                     return Err(self.refusal_for(ResultCode::NoUpstream, "a stage failed"));
                 }
                 WorkEnd::Late => {
-                    return Err(self.refusal_for(
-                        ResultCode::ExpiredInQueue,
-                        "a stage was not completed in time",
-                    ));
+                    return Err(self.refusal_for(ResultCode::ExpiredInQueue, "stage"));
                 }
                 WorkEnd::Failed | WorkEnd::OwnerLost | WorkEnd::NoMakers => {
                     let code = if self.evacuated_service().is_some() {
