--- a/crates/fernring-gateway/src/blame/mod.rs
+++ b/crates/fernring-gateway/src/blame/mod.rs
@@ -11,7 +11,7 @@
         content::ContentKey,
         directory::Effect,
         endings::{Break, Ended, Endings, Probe, Run},
-        log, measures,
+        log, telemetry,
         model::UpstreamKey,
         peers::Peers,
         refusal::Refusal,
@@ -22,7 +22,7 @@
     },
     bytes::Bytes,
     fernring_core::{clock::Clock, text::LogLine},
-    fernring_protocol::gateway::{ClearReport, EndReport, EndReports, GatewayBody},
+    fernring_protocol::gateway::{ClearReport, CrashReport, CrashReports, GatewayBody},
     std::{
         cell::{Cell, RefCell},
         collections::{BTreeMap, HashMap},
@@ -317,7 +317,7 @@
             let line = LogLine::event("upstream_ended").with("upstream", &run);
             log::warn(line.with("content", content));
         }
-        measures::upstream_ended();
+        telemetry::record_upstream_crash();
         let fact = EndFact { run, at: self.now(), contents };
         self.charge(&fact);
         self.tell_all(Some(fact), None);
@@ -357,36 +357,36 @@
 
     /// Takes in what a peer tells of ends and answers, and passes on what is new to those that depend on this node. A peer
     /// that charges what was answered here is told so.
-    pub fn told(&self, sender: SocketAddr, told: EndReports) {
+    pub fn told(&self, sender: SocketAddr, told: CrashReports) {
         let now = self.now();
         let at = |age_ms: u32| now.saturating_sub(Duration::from_millis(age_ms.into()));
         let key = |bytes: &Bytes| ContentKey::from_bytes(bytes);
-        let mut news = EndReports::default();
+        let mut news = CrashReports::default();
         let mut covering = Vec::new();
         for report in told.cleared {
             let fact =
-                key(&report.content).map(|c| ClearFact { content: c, at: at(report.age_ms) });
+                key(&report.fingerprint).map(|c| ClearFact { content: c, at: at(report.age_ms) });
             if fact.is_some_and(|fact| self.suspects.borrow_mut().cleared(now, fact)) {
                 news.cleared.push(report);
             }
         }
-        for report in told.ends {
+        for report in told.crashes {
             let run =
                 Run { instance: report.instance.as_str().into(), started_ms: report.started_ms };
-            let contents: Vec<_> = report.contents.iter().filter_map(key).collect();
+            let contents: Vec<_> = report.fingerprints.iter().filter_map(key).collect();
             let ended_at = at(report.age_ms);
             let suspects = self.suspects.borrow();
             covering.extend(contents.iter().filter_map(|c| suspects.covering(*c, ended_at)));
             drop(suspects);
             if self.charge(&EndFact { run, at: ended_at, contents }) {
-                news.ends.push(report);
+                news.crashes.push(report);
             }
         }
         if !covering.is_empty() {
             self.peers.send(sender, self.reports(Vec::new(), covering));
         }
-        if news != EndReports::default() {
-            self.peers.send_on(GatewayBody::Ends(news));
+        if news != CrashReports::default() {
+            self.peers.send_on(GatewayBody::Crashes(news));
         }
     }
 
@@ -421,16 +421,16 @@
         let now = self.now();
         let age_ms = |at: Duration| now.saturating_sub(at).as_millis() as u32;
         let bytes = |content: &ContentKey| Bytes::copy_from_slice(content.bytes());
-        let ends = ends.into_iter().map(|fact| EndReport {
+        let ends = ends.into_iter().map(|fact| CrashReport {
             instance: fact.run.instance.to_string(),
             started_ms: fact.run.started_ms,
             age_ms: age_ms(fact.at),
-            contents: fact.contents.iter().map(bytes).collect(),
+            fingerprints: fact.contents.iter().map(bytes).collect(),
         });
         let cleared = cleared
             .into_iter()
-            .map(|fact| ClearReport { content: bytes(&fact.content), age_ms: age_ms(fact.at) });
-        GatewayBody::Ends(EndReports { ends: ends.collect(), cleared: cleared.collect() })
+            .map(|fact| ClearReport { fingerprint: bytes(&fact.content), age_ms: age_ms(fact.at) });
+        GatewayBody::Crashes(CrashReports { crashes: ends.collect(), cleared: cleared.collect() })
     }
 
     /// Returns the number of requests that are turned away.
--- a/crates/fernring-gateway/src/connections.rs
+++ b/crates/fernring-gateway/src/connections.rs
@@ -33,13 +33,13 @@
 /// half a second leaves time for another upstream within most objectives.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long the kernel tries to deliver sent bytes. A peer without power never says so.
-pub const UNACKNOWLEDGED_MAX: Duration = Duration::from_millis(1_500);
+pub const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// How long an idle connection is kept when the upstream doesn't say how long it keeps it.
-const IDLE_DEFAULT: Duration = Duration::from_secs(4);
+const IDLE_TIMEOUT_DEFAULT: Duration = Duration::from_secs(4);
 /// How much sooner than the upstream this side gives an idle connection up.
 const IDLE_MARGIN: Duration = Duration::from_millis(500);
 /// Most idle connections kept to one upstream.
-const IDLE_MAX: usize = 16;
+const IDLE_CONNECTIONS_MAX: usize = 16;
 /// Most bytes of an answer that are held while nobody takes them.
 const BUFFER_BYTES_MAX: usize = 64 << 10;
 /// Longest wait until an idle connection takes a request; one that is sound takes it at once.
@@ -56,37 +56,37 @@
     NoListener(String),
     /// Nothing was written, since the upstream may get nothing new.
     #[error("{0}")]
-    Barred(Barred),
+    Ineligible(Barred),
     /// It may have been written, in whole or in part.
     #[error("no answer: {0}")]
-    Broken(BreakOff),
+    Broken(ConnectionLoss),
 }
 
 /// That a connection broke off, and how.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{reason}")]
-pub struct BreakOff {
+pub struct ConnectionLoss {
     /// What was seen.
     pub reason: String,
     /// How, if it was the connection that broke and not an answer that can't be read.
-    pub how: Option<Break>,
+    pub kind: Option<Break>,
 }
 
-impl BreakOff {
+impl ConnectionLoss {
     /// Nothing came any more.
     pub fn silent(reason: &str) -> Self {
-        Self { reason: reason.to_owned(), how: Some(Break::Silent) }
+        Self { reason: reason.to_owned(), kind: Some(Break::Silent) }
     }
 }
 
-impl From<&hyper::Error> for BreakOff {
+impl From<&hyper::Error> for ConnectionLoss {
     fn from(error: &hyper::Error) -> Self {
-        Self { reason: describe(error), how: how_broken(error) }
+        Self { reason: describe(error), kind: break_kind(error) }
     }
 }
 
 /// Tells how a connection broke; `None` if it is the answer that can't be read.
-fn how_broken(error: &hyper::Error) -> Option<Break> {
+fn break_kind(error: &hyper::Error) -> Option<Break> {
     let sources = std::iter::successors(std::error::Error::source(error), |error| error.source());
     let kind = sources.filter_map(|source| source.downcast_ref::<io::Error>()).next();
     match kind.map(io::Error::kind) {
@@ -116,14 +116,14 @@
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     connection: Connection,
-    until: Duration,
+    expires_at: Duration,
 }
 
 #[derive(Debug, Default)]
-struct Shared {
-    idle: Vec<Idle>,
+struct PoolState {
+    idle: Vec<IdleConnection>,
     open: usize,
     /// Tasks of all connections that were opened and haven't ended.
     tasks: Vec<AbortHandle>,
@@ -131,22 +131,22 @@
 
 /// The connections to one upstream.
 #[derive(Debug, Clone)]
-pub struct Pool {
+pub struct ConnectionPool {
     address: SocketAddr,
     clock: Rc<dyn Clock>,
-    shared: Rc<RefCell<Shared>>,
+    shared: Rc<RefCell<PoolState>>,
 }
 
 /// An answer whose body is still to come.
 #[derive(Debug)]
-pub struct Answer {
+pub struct UpstreamResponse {
     /// Its head.
     pub head: Parts,
     /// Its body.
-    pub body: AnswerBody,
+    pub body: ResponseBody,
 }
 
-impl Pool {
+impl ConnectionPool {
     /// Creates the pool of an upstream.
     pub fn new(address: SocketAddr, clock: Rc<dyn Clock>) -> Self {
         Self { address, clock, shared: Rc::default() }
@@ -162,7 +162,7 @@
     }
 
     /// Returns the number of connections, idle ones included.
-    pub fn open(&self) -> usize {
+    pub fn open_count(&self) -> usize {
         self.shared.borrow().open
     }
 
@@ -171,20 +171,20 @@
         let now = self.now();
         let mut shared = self.shared.borrow_mut();
         let before = shared.idle.len();
-        shared.idle.retain(|idle| idle.until > now && !idle.connection.sender.is_closed());
+        shared.idle.retain(|idle| idle.expires_at > now && !idle.connection.sender.is_closed());
         shared.open -= before - shared.idle.len();
     }
 
     /// Closes all idle connections: one has failed, and the others may have gone silent or be closed at the
     /// other end without a sign, which only the next request on them would find out.
-    pub fn forget_idle(&self) {
+    pub fn close_idle(&self) {
         let idle = std::mem::take(&mut self.shared.borrow_mut().idle);
         self.shared.borrow_mut().open -= idle.len();
     }
 
     /// Closes all connections, those in use included: what waits on them fails at once.
     pub fn close(&self) {
-        self.forget_idle();
+        self.close_idle();
         for task in std::mem::take(&mut self.shared.borrow_mut().tasks) {
             task.abort();
         }
@@ -199,7 +199,7 @@
         &self,
         request: Request<Full<Bytes>>,
         open_max: usize,
-    ) -> Result<Answer, SendFailure> {
+    ) -> Result<UpstreamResponse, SendFailure> {
         self.send_if(request, open_max, async || Ok(())).await
     }
 
@@ -213,33 +213,33 @@
         request: Request<Full<Bytes>>,
         open_max: usize,
         mut check: impl AsyncFnMut() -> Result<(), Barred>,
-    ) -> Result<Answer, SendFailure> {
+    ) -> Result<UpstreamResponse, SendFailure> {
         let mut request = request;
-        while let Some(connection) = self.take_idle().await {
-            check().await.map_err(SendFailure::Barred)?;
+        while let Some(connection) = self.checkout_idle().await {
+            check().await.map_err(SendFailure::Ineligible)?;
             match self.exchange(connection, request).await {
                 Ok(answer) => return Ok(answer),
-                Err(Unsent::Returned(unsent)) => request = *unsent,
-                Err(Unsent::Lost(broke)) => return Err(SendFailure::Broken(broke)),
+                Err(ExchangeError::NotSent(unsent)) => request = *unsent,
+                Err(ExchangeError::Broken(broke)) => return Err(SendFailure::Broken(broke)),
             }
         }
-        if self.open() >= open_max.max(1) {
-            return Err(SendFailure::NotSent(format!("{} connections are open", self.open())));
+        if self.open_count() >= open_max.max(1) {
+            return Err(SendFailure::NotSent(format!("{} connections are open", self.open_count())));
         }
         let connection = self.connect().await?;
-        check().await.map_err(SendFailure::Barred)?;
+        check().await.map_err(SendFailure::Ineligible)?;
         match self.exchange(connection, request).await {
             Ok(answer) => Ok(answer),
-            Err(Unsent::Returned(_)) => Err(SendFailure::NotSent("closed at once".to_owned())),
-            Err(Unsent::Lost(broke)) => Err(SendFailure::Broken(broke)),
+            Err(ExchangeError::NotSent(_)) => Err(SendFailure::NotSent("closed at once".to_owned())),
+            Err(ExchangeError::Broken(broke)) => Err(SendFailure::Broken(broke)),
         }
     }
 
-    async fn take_idle(&self) -> Option<OpenConnection> {
+    async fn checkout_idle(&self) -> Option<ActiveConnection> {
         loop {
             self.expire();
             let idle = self.shared.borrow_mut().idle.pop()?;
-            let mut open = OpenConnection { connection: Some(idle.connection), pool: self.clone() };
+            let mut open = ActiveConnection { connection: Some(idle.connection), pool: self.clone() };
             if timeout(READY_TIMEOUT, open.sender().ready()).await.is_ok_and(|ready| ready.is_ok())
             {
                 return Some(open);
@@ -247,13 +247,13 @@
         }
     }
 
-    async fn connect(&self) -> Result<OpenConnection, SendFailure> {
+    async fn connect(&self) -> Result<ActiveConnection, SendFailure> {
         self.shared.borrow_mut().open += 1;
-        let mut open = OpenConnection { connection: None, pool: self.clone() };
+        let mut open = ActiveConnection { connection: None, pool: self.clone() };
         let stream = timeout(CONNECT_TIMEOUT, connect(self.address))
             .await
             .map_err(|_| SendFailure::NotSent("connect timed out".to_owned()))?
-            .map_err(not_connected)?;
+            .map_err(connect_failure)?;
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(BUFFER_BYTES_MAX)
             .handshake(TokioIo::new(stream))
@@ -271,37 +271,37 @@
 
     async fn exchange(
         &self,
-        mut open: OpenConnection,
+        mut open: ActiveConnection,
         request: Request<Full<Bytes>>,
-    ) -> Result<Answer, Unsent> {
+    ) -> Result<UpstreamResponse, ExchangeError> {
         match open.sender().try_send_request(request).await {
-            Ok(response) => Ok(answer(open, response)),
+            Ok(response) => Ok(into_response(open, response)),
             Err(mut error) => match error.take_message() {
-                Some(request) => Err(Unsent::Returned(Box::new(request))),
-                None => Err(Unsent::Lost(error.error().into())),
+                Some(request) => Err(ExchangeError::NotSent(Box::new(request))),
+                None => Err(ExchangeError::Broken(error.error().into())),
             },
         }
     }
 
-    fn put_idle(&self, connection: Connection, keep: Duration) {
+    fn return_idle(&self, connection: Connection, keep: Duration) {
         let until = self.now() + keep;
         let mut shared = self.shared.borrow_mut();
-        if shared.idle.len() >= IDLE_MAX || connection.sender.is_closed() || keep.is_zero() {
+        if shared.idle.len() >= IDLE_CONNECTIONS_MAX || connection.sender.is_closed() || keep.is_zero() {
             shared.open -= 1;
             return;
         }
-        shared.idle.push(Idle { connection, until });
+        shared.idle.push(IdleConnection { connection, expires_at: until });
     }
 }
 
-enum Unsent {
+enum ExchangeError {
     /// Nothing was written; here it is back.
-    Returned(Box<Request<Full<Bytes>>>),
+    NotSent(Box<Request<Full<Bytes>>>),
     /// It may have been written.
-    Lost(BreakOff),
+    Broken(ConnectionLoss),
 }
 
-fn not_connected(error: io::Error) -> SendFailure {
+fn connect_failure(error: io::Error) -> SendFailure {
     let reason = format!("connect: {error}");
     match error.kind() {
         ErrorKind::ConnectionRefused => SendFailure::NoListener(reason),
@@ -324,56 +324,56 @@
 pub async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_nodelay(true)?;
-    socket2::SockRef::from(&socket).set_tcp_user_timeout(Some(UNACKNOWLEDGED_MAX))?;
+    socket2::SockRef::from(&socket).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))?;
     socket.connect(address).await
 }
 
 /// A connection in use; counted until it is dropped or put back.
 #[derive(Debug)]
-struct OpenConnection {
+struct ActiveConnection {
     connection: Option<Connection>,
-    pool: Pool,
+    pool: ConnectionPool,
 }
 
-impl OpenConnection {
+impl ActiveConnection {
     fn sender(&mut self) -> &mut SendRequest<Full<Bytes>> {
         &mut self.connection.as_mut().expect("in use until dropped").sender
     }
 
-    fn put_back(mut self, keep: Duration) {
+    fn return_to_pool(mut self, keep: Duration) {
         if let Some(connection) = self.connection.take() {
-            self.pool.put_idle(connection, keep);
+            self.pool.return_idle(connection, keep);
             self.pool.shared.borrow_mut().open += 1;
         }
         // Dropping `self` takes one off again.
     }
 }
 
-impl Drop for OpenConnection {
+impl Drop for ActiveConnection {
     fn drop(&mut self) {
         self.pool.shared.borrow_mut().open -= 1;
     }
 }
 
-fn answer(open: OpenConnection, response: Response<Incoming>) -> Answer {
+fn into_response(open: ActiveConnection, response: Response<Incoming>) -> UpstreamResponse {
     let (head, body) = response.into_parts();
-    let body = AnswerBody { body, open: Some(open), keep: IDLE_DEFAULT };
-    Answer { head, body }
+    let body = ResponseBody { body, open: Some(open), idle_timeout: IDLE_TIMEOUT_DEFAULT };
+    UpstreamResponse { head, body }
 }
 
 /// The body of an answer. Its connection goes back to the pool after the last byte; dropped
 /// sooner, the connection is closed, which tells the upstream to stop.
 #[derive(Debug)]
-pub struct AnswerBody {
+pub struct ResponseBody {
     body: Incoming,
-    open: Option<OpenConnection>,
-    keep: Duration,
+    open: Option<ActiveConnection>,
+    idle_timeout: Duration,
 }
 
-impl AnswerBody {
+impl ResponseBody {
     /// Says how long the upstream keeps the connection while it is idle.
     pub fn set_idle_timeout(&mut self, idle_timeout: Duration) {
-        self.keep = idle_timeout.saturating_sub(IDLE_MARGIN);
+        self.idle_timeout = idle_timeout.saturating_sub(IDLE_MARGIN);
     }
 
     /// Closes the connection now.
@@ -382,7 +382,7 @@
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = hyper::Error;
 
@@ -395,7 +395,7 @@
         match &polled {
             Poll::Ready(None) => {
                 if let Some(open) = this.open.take() {
-                    open.put_back(this.keep);
+                    open.return_to_pool(this.idle_timeout);
                 }
             }
             Poll::Ready(Some(Err(_))) => this.open = None,
--- a/crates/fernring-gateway/src/decide/attempts.rs
+++ b/crates/fernring-gateway/src/decide/attempts.rs
@@ -3,7 +3,7 @@
 //! A request that may not be repeated is sent again only with a [`NotRun`] in hand, and only
 //! this module makes one: from an upstream's own statement, or from a send of which no byte left.
 
-use crate::model::Repeat;
+use crate::model::RetryPolicy;
 
 /// Proof that nothing of a request has run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -47,7 +47,7 @@
 /// The sends of one request.
 #[derive(Debug, Clone)]
 pub struct Attempts {
-    repeat: Repeat,
+    repeat: RetryPolicy,
     sends_max: u32,
     /// Upstreams that it was sent to, but for those that were not the instance meant.
     sends: u32,
@@ -56,7 +56,7 @@
 
 impl Attempts {
     /// Starts the account of a request.
-    pub fn new(repeat: Repeat, sends_max: u32) -> Self {
+    pub fn new(repeat: RetryPolicy, sends_max: u32) -> Self {
         Self { repeat, sends_max: sends_max.max(1), sends: 0, may_have_run: false }
     }
 
@@ -74,7 +74,7 @@
 
     /// Tells whether it may be sent to another upstream.
     pub fn may_send(&self) -> bool {
-        let repeatable = self.repeat != Repeat::Never;
+        let repeatable = self.repeat != RetryPolicy::Never;
         self.sends < self.sends_max && (repeatable || !self.may_have_run)
     }
 
--- a/crates/fernring-gateway/src/decide/backlogs.rs
+++ b/crates/fernring-gateway/src/decide/backlogs.rs
@@ -6,7 +6,7 @@
         backlog::{Backlog, PiecesByRank, RANKS},
         pools::MakerPool,
     },
-    fernring_protocol::gateway::{LoadsOf, StageLoad},
+    fernring_protocol::gateway::{LoadScope, StageLoad},
     std::{
         cell::RefCell,
         collections::{BTreeMap, HashMap},
@@ -109,7 +109,7 @@
         &self,
         now: Duration,
         own: Vec<(MakerPool, Backlog)>,
-        loads_of: LoadsOf,
+        loads_of: LoadScope,
     ) -> Vec<StageLoad> {
         let mut loads: BTreeMap<u32, StageLoad> = BTreeMap::new();
         for (pool, backlog) in own {
@@ -121,18 +121,18 @@
             load.late = backlog.late;
         }
         for (service, promised) in self.promised_by(now, loads_of) {
-            loads.entry(service).or_default().promised = promised.to_vec();
+            loads.entry(service).or_default().reserved = promised.to_vec();
         }
-        loads.into_iter().map(|(service, load)| StageLoad { service, ..load }).collect()
+        loads.into_iter().map(|(service, load)| StageLoad { service_hash: service, ..load }).collect()
     }
 
-    fn promised_by(&self, now: Duration, loads_of: LoadsOf) -> HashMap<u32, PiecesByRank> {
+    fn promised_by(&self, now: Duration, loads_of: LoadScope) -> HashMap<u32, PiecesByRank> {
         let own = self.promised.borrow();
         let mut sums: HashMap<_, _> =
             own.iter().map(|(pool, promised)| (pool.hash(), *promised)).collect();
         match loads_of {
-            LoadsOf::Sender => *self.told.borrow_mut() = sums.clone(),
-            LoadsOf::Domain => {
+            LoadScope::Sender => *self.told.borrow_mut() = sums.clone(),
+            LoadScope::Domain => {
                 let peers = self.peers.borrow();
                 let near = peers.values().filter(|peer| !peer.is_sum);
                 for (service, promised) in near.flat_map(|peer| peer.promised(now)) {
@@ -140,7 +140,7 @@
                     sum.iter_mut().zip(promised).for_each(|(sum, more)| *sum += more);
                 }
             }
-            LoadsOf::Nobody => sums.clear(),
+            LoadScope::Omitted => sums.clear(),
         }
         sums
     }
@@ -151,20 +151,20 @@
         now: Duration,
         peer: SocketAddr,
         loads: &[StageLoad],
-        loads_of: LoadsOf,
+        loads_of: LoadScope,
         contains_own: bool,
     ) {
         let mut peers = self.peers.borrow_mut();
         let said = peers.entry(peer).or_default();
         let owned = loads.iter().filter(|load| load.is_owner);
         said.said_at = now;
-        said.backlogs = owned.map(|load| (load.service, backlog_of(load))).collect();
-        if loads_of == LoadsOf::Nobody {
+        said.backlogs = owned.map(|load| (load.service_hash, backlog_of(load))).collect();
+        if loads_of == LoadScope::Omitted {
             return;
         }
         said.promised_at = now;
-        said.is_sum = loads_of == LoadsOf::Domain;
-        said.promised = loads.iter().map(|load| (load.service, by_rank(&load.promised))).collect();
+        said.is_sum = loads_of == LoadScope::Domain;
+        said.promised = loads.iter().map(|load| (load.service_hash, by_rank(&load.reserved))).collect();
         if contains_own {
             for (service, own) in &*self.told.borrow() {
                 let sum = said.promised.entry(*service).or_default();
--- a/crates/fernring-gateway/src/decide/batching.rs
+++ b/crates/fernring-gateway/src/decide/batching.rs
@@ -8,7 +8,7 @@
         backlog::{Backlog, PiecesByRank, RANKS, rank},
         content::ContentKey,
         makers::usual_time,
-        model::{BatchShape, Piece},
+        model::{BatchConfig, Piece},
         residency::Residency,
         settings::DecideSettings,
     },
@@ -79,7 +79,7 @@
 
 impl Makers {
     /// Estimates when the last of `pieces` is made that they work on in order.
-    fn done_at(&self, now: Duration, pieces: usize, shape: &BatchShape) -> Duration {
+    fn done_at(&self, now: Duration, pieces: usize, shape: &BatchConfig) -> Duration {
         let full_call = usual_time(shape, shape.pieces_max);
         let usual_call = usual_time(shape, shape.pieces_max / 2);
         let calls_before = pieces.saturating_sub(1) / (shape.pieces_max * self.count.max(1));
@@ -166,7 +166,7 @@
     }
 
     /// Counts the pieces that wait: those that can be in time, by rank, and the others.
-    pub fn counts(&self, now: Duration, shape: &BatchShape) -> (PiecesByRank, u32) {
+    pub fn counts(&self, now: Duration, shape: &BatchConfig) -> (PiecesByRank, u32) {
         let mut in_time = [0; RANKS];
         let mut late = 0;
         for task in &self.tasks {
@@ -196,7 +196,7 @@
     pub fn take_expired(
         &mut self,
         now: Duration,
-        shape: &BatchShape,
+        shape: &BatchConfig,
         backlog: &Backlog,
         rules: &DecideSettings,
     ) -> Vec<Task> {
@@ -225,7 +225,7 @@
     pub fn take(
         &mut self,
         now: Duration,
-        shape: &BatchShape,
+        shape: &BatchConfig,
         taker: Taker<'_>,
         rules: &DecideSettings,
         makers_in: impl Fn(&str) -> Option<Makers>,
@@ -305,13 +305,13 @@
 }
 
 /// Tells whether a piece can't be in time any more.
-fn misses(task: &Task, now: Duration, shape: &BatchShape) -> bool {
+fn misses(task: &Task, now: Duration, shape: &BatchConfig) -> bool {
     task.due_at < now + usual_time(shape, shape.pieces_max)
 }
 
 /// The order among pieces that are in time, or among those that are not: by due time, with a head
 /// start for requests of higher rank.
-fn urgency(task: &Task, shape: &BatchShape, rules: &DecideSettings) -> Duration {
+fn urgency(task: &Task, shape: &BatchConfig, rules: &DecideSettings) -> Duration {
     let step = usual_time(shape, shape.pieces_max).mul_f64(RANK_CALLS);
     task.due_at + if rules.ranks { step * rank(task.priority) as u32 } else { Duration::ZERO }
 }
--- a/crates/fernring-gateway/src/decide/cold.rs
+++ b/crates/fernring-gateway/src/decide/cold.rs
@@ -10,7 +10,7 @@
 //! the most that were known of in the last ten minutes count, and a node that has just started takes none.
 
 use {
-    crate::{model::ColdBounds, position::Position},
+    crate::{model::ColdRateLimit, position::Position},
     std::time::Duration,
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
@@ -69,14 +69,14 @@
 
 impl Turns {
     /// Tells whether a turn is left.
-    pub fn has_turn(&self, now: Duration, bounds: &ColdBounds, asker: Asker) -> bool {
+    pub fn has_turn(&self, now: Duration, bounds: &ColdRateLimit, asker: Asker) -> bool {
         let window = window(now, asker);
         let used = if window == self.window { self.used } else { 0 };
         used < allowed(window, bounds, asker)
     }
 
     /// Takes a turn; tells whether one was left.
-    pub fn take(&mut self, now: Duration, bounds: &ColdBounds, asker: Asker) -> bool {
+    pub fn take(&mut self, now: Duration, bounds: &ColdRateLimit, asker: Asker) -> bool {
         if !self.has_turn(now, bounds, asker) {
             return false;
         }
@@ -94,8 +94,8 @@
 }
 
 /// Returns the turns of a node in a window.
-fn allowed(window: u64, bounds: &ColdBounds, asker: Asker) -> u32 {
-    let share = bounds.per_window(WINDOW) / TURN_PARTS / asker.nodes.max(1) as f64;
+fn allowed(window: u64, bounds: &ColdRateLimit, asker: Asker) -> u32 {
+    let share = bounds.max_in_window(WINDOW) / TURN_PARTS / asker.nodes.max(1) as f64;
     let draw =
         xxh3_64_with_seed(&window.to_le_bytes(), asker.node ^ asker.upstream.rotate_left(32));
     let draw = (draw >> 11) as f64 / (1u64 << 53) as f64;
--- a/crates/fernring-gateway/src/decide/flow.rs
+++ b/crates/fernring-gateway/src/decide/flow.rs
@@ -8,7 +8,7 @@
         backlog::{Backlog, RANKS},
         batching::BatchQueue,
         makers::usual_time,
-        model::BatchShape,
+        model::BatchConfig,
     },
     std::time::Duration,
 };
@@ -35,7 +35,7 @@
     }
 
     /// Takes in a call that left pieces behind for want of places or room.
-    pub fn called(&mut self, shape: &BatchShape, pieces: usize, took: Duration) {
+    pub fn called(&mut self, shape: &BatchConfig, pieces: usize, took: Duration) {
         self.pace.called(pieces, took, said_pace(shape));
     }
 
@@ -43,7 +43,7 @@
     pub fn backlog(
         &self,
         now: Duration,
-        shape: &BatchShape,
+        shape: &BatchConfig,
         makers: f64,
         queue: Option<&BatchQueue>,
     ) -> Backlog {
@@ -58,7 +58,7 @@
 }
 
 /// Pieces a second of one maker in full calls, by what is said of it.
-fn said_pace(shape: &BatchShape) -> f64 {
+fn said_pace(shape: &BatchConfig) -> f64 {
     shape.pieces_max as f64 / usual_time(shape, shape.pieces_max).as_secs_f64()
 }
 
--- a/crates/fernring-gateway/src/decide/limits.rs
+++ b/crates/fernring-gateway/src/decide/limits.rs
@@ -6,7 +6,7 @@
 //! that allows less counts at once: at worst an old one holds until the next answer.
 
 use {
-    crate::model::SaidLimit,
+    crate::model::LimitHeader,
     std::{collections::HashMap, time::Duration},
 };
 
@@ -46,12 +46,12 @@
         now: Duration,
         run: u64,
         sent_at: Duration,
-        said: SaidLimit,
+        said: LimitHeader,
     ) -> Option<LimitChange> {
         let per_s = match said {
-            SaidLimit::None => None,
-            SaidLimit::PerSecond(per_s) => Some(per_s),
-            SaidLimit::Unreadable => return None,
+            LimitHeader::None => None,
+            LimitHeader::PerSecond(per_s) => Some(per_s),
+            LimitHeader::Unreadable => return None,
         };
         let held = self.words.get(&run).copied();
         if held.is_none() && per_s.is_none() {
--- a/crates/fernring-gateway/src/decide/makers.rs
+++ b/crates/fernring-gateway/src/decide/makers.rs
@@ -1,7 +1,7 @@
 //! What the owner of a stage service knows of its makers: the upstreams that work on pieces. No I/O.
 
 use {
-    crate::model::{BatchShape, UpstreamKey},
+    crate::model::{BatchConfig, UpstreamKey},
     slotmap::SecondaryMap,
     std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration},
 };
@@ -107,18 +107,18 @@
 
     /// Takes in that it refused a piece for want of room though there should be some; tells whether
     /// that is news.
-    pub fn had_no_room(&mut self, now: Duration, shape: &BatchShape) -> bool {
+    pub fn had_no_room(&mut self, now: Duration, shape: &BatchConfig) -> bool {
         let before = self.unknown.map_or(0, |(bytes, _)| bytes);
-        let found = shape.result_room_bytes.saturating_sub(self.kept_bytes());
+        let found = shape.result_capacity_bytes.saturating_sub(self.kept_bytes());
         self.unknown = Some((before + found, now + unknown_for(shape)));
         found > 0
     }
 
-    fn expire(&mut self, now: Duration, shape: &BatchShape) {
+    fn expire(&mut self, now: Duration, shape: &BatchConfig) {
         self.kept.retain(|_, kept| now < kept.made_at + shape.result_lifetime);
         self.unknown = match self.unknown {
             Some((bytes, until)) if now >= until => {
-                let is_much = bytes > shape.result_room_bytes / UNKNOWN_PARTS;
+                let is_much = bytes > shape.result_capacity_bytes / UNKNOWN_PARTS;
                 is_much.then_some((bytes / 2, now + unknown_for(shape)))
             }
             other => other,
@@ -127,17 +127,17 @@
 }
 
 /// Returns how long room that something else takes is believed to be taken whole.
-fn unknown_for(shape: &BatchShape) -> Duration {
+fn unknown_for(shape: &BatchConfig) -> Duration {
     shape.call_time.mul_f64(UNKNOWN_CALLS)
 }
 
 /// Returns the time that a call takes, by what is said of it.
-pub fn usual_time(shape: &BatchShape, pieces: usize) -> Duration {
+pub fn usual_time(shape: &BatchConfig, pieces: usize) -> Duration {
     shape.call_time + shape.piece_time * pieces as u32
 }
 
 /// Returns the time after which a call is overdue.
-pub fn overdue_after(shape: &BatchShape, pieces: usize) -> Duration {
+pub fn overdue_after(shape: &BatchConfig, pieces: usize) -> Duration {
     usual_time(shape, pieces).mul_f64(OVERDUE_PART) + OVERDUE_GRACE
 }
 
@@ -174,7 +174,7 @@
         &mut self,
         now: Duration,
         keys: &[UpstreamKey],
-        shape: &BatchShape,
+        shape: &BatchConfig,
     ) -> Vec<(UpstreamKey, u64)> {
         for key in keys {
             if let Some(maker) = self.makers.get_mut(*key) {
@@ -189,7 +189,7 @@
         };
         let room = |key: &UpstreamKey| {
             let kept = self.makers.get(*key).map_or(0, Maker::kept_bytes);
-            (*key, shape.result_room_bytes.saturating_sub(kept))
+            (*key, shape.result_capacity_bytes.saturating_sub(kept))
         };
         keys.iter().filter(is_free).map(room).collect()
     }
--- a/crates/fernring-gateway/src/decide/stage_plan.rs
+++ b/crates/fernring-gateway/src/decide/stage_plan.rs
@@ -43,7 +43,7 @@
         let longest = open.map(|stage| self.chain_length(stage)).max().unwrap_or(0);
         let ready = |stage: &usize| {
             self.progress[*stage] == Progress::Waiting
-                && self.stages[*stage].after.iter().all(done)
+                && self.stages[*stage].depends_on.iter().all(done)
                 && self.chain_length(*stage) + lead >= longest
         };
         let ready: Vec<_> = (0..self.stages.len()).filter(ready).collect();
@@ -75,7 +75,7 @@
 
     fn followers(&self, stage: usize) -> impl Iterator<Item = usize> {
         (0..self.stages.len()).filter(move |other| {
-            self.counts[*other] > 0 && self.stages[*other].after.contains(&stage)
+            self.counts[*other] > 0 && self.stages[*other].depends_on.contains(&stage)
         })
     }
 
@@ -113,13 +113,13 @@
 
     /// Returns the handles that a stage needs, or `None` for a stage that follows none.
     pub fn inputs(&self, stage: usize) -> Option<Vec<Arc<str>>> {
-        let after = &self.stages[stage].after;
+        let after = &self.stages[stage].depends_on;
         (!after.is_empty()).then(|| after.iter().flat_map(|s| self.handles(*s)).cloned().collect())
     }
 
     /// Returns the size of one result and the handles of each stage that a stage needs.
     pub fn inputs_by_stage(&self, stage: usize) -> Vec<(u64, &[Arc<str>])> {
-        let after = self.stages[stage].after.iter();
+        let after = self.stages[stage].depends_on.iter();
         after.map(|s| (self.stages[*s].result_bytes, self.handles(*s))).collect()
     }
 
@@ -136,7 +136,7 @@
         let mut spent = Vec::new();
         for stage in 0..self.stages.len() {
             let followers =
-                (0..self.stages.len()).filter(|s| self.stages[*s].after.contains(&stage));
+                (0..self.stages.len()).filter(|s| self.stages[*s].depends_on.contains(&stage));
             let all_done = followers.clone().all(|s| matches!(self.progress[s], Progress::Done(_)));
             if followers.count() == 0 || !all_done {
                 continue;
@@ -164,7 +164,7 @@
     }
 
     fn is_followed(&self, stage: usize) -> bool {
-        self.stages.iter().any(|other| other.after.contains(&stage))
+        self.stages.iter().any(|other| other.depends_on.contains(&stage))
     }
 
     fn handles(&self, stage: usize) -> &[Arc<str>] {
--- a/crates/fernring-gateway/src/lib.rs
+++ b/crates/fernring-gateway/src/lib.rs
@@ -23,7 +23,7 @@
 pub mod connections;
 pub mod decide;
 pub mod log;
-mod measures;
+mod telemetry;
 pub mod members;
 pub mod model;
 pub mod node;
--- a/crates/fernring-gateway/src/members/peers.rs
+++ b/crates/fernring-gateway/src/members/peers.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        connections::{CONNECT_TIMEOUT, UNACKNOWLEDGED_MAX, connect},
+        connections::{CONNECT_TIMEOUT, TCP_USER_TIMEOUT, connect},
         delegates::{Pace, Role},
         log,
         members::{HEARTBEAT_INTERVAL, Member, Members, ReaderPart},
@@ -12,7 +12,7 @@
     fernring_core::{clock::Clock, text::LogLine},
     fernring_protocol::{
         codec,
-        gateway::{GatewayBody, GatewayFrame, GatewayHeartbeat, LoadsOf},
+        gateway::{GatewayBody, GatewayFrame, GatewayHeartbeat, LoadScope},
     },
     futures_util::StreamExt,
     prost::Message,
@@ -62,7 +62,7 @@
     fn heartbeat(&self, sender: SocketAddr, heartbeat: &GatewayHeartbeat);
 
     /// Adds what the node says of itself besides who it is, with the loads that are to be told.
-    fn describe(&self, heartbeat: &mut GatewayHeartbeat, loads_of: LoadsOf);
+    fn describe(&self, heartbeat: &mut GatewayHeartbeat, loads_of: LoadScope);
 
     /// Says that a peer is heard that was silent before.
     fn joined(&self, peer: SocketAddr);
@@ -82,7 +82,7 @@
     pace: Pace,
     /// Whether the peer hasn't been heard yet.
     is_first: bool,
-    loads_of: LoadsOf,
+    loads_of: LoadScope,
 }
 
 /// The heartbeats of one round, encoded.
@@ -497,18 +497,18 @@
 
     /// Returns whose loads a peer is told of. The first delegate of a domain tells those of the domain to all but the
     /// domain's other delegates, which hear its nodes themselves.
-    fn loads_for(&self, peer: SocketAddr, pace: Pace, tells_domain: bool) -> LoadsOf {
+    fn loads_for(&self, peer: SocketAddr, pace: Pace, tells_domain: bool) -> LoadScope {
         let role = self.role.borrow();
         if role.is_mesh() || (!role.is_delegate() && pace == Pace::Near) {
-            return LoadsOf::Sender;
+            return LoadScope::Sender;
         }
         if !role.is_delegate() {
-            return LoadsOf::Nobody;
+            return LoadScope::Omitted;
         }
         if self.members.borrow().is_delegate_of(peer, &self.me.borrow().failure_domain) {
-            return LoadsOf::Sender;
+            return LoadScope::Sender;
         }
-        if tells_domain { LoadsOf::Domain } else { LoadsOf::Nobody }
+        if tells_domain { LoadScope::Domain } else { LoadScope::Omitted }
     }
 
     fn heartbeat(&self, kind: HeartbeatKind) -> GatewayHeartbeat {
@@ -531,7 +531,7 @@
                 link_mbps: me.link_mbps,
                 nodes: me.nodes as u32,
                 interval_ms: kind.pace.interval().as_millis() as u32,
-                loads_of: kind.loads_of.into(),
+                load_scope: kind.loads_of.into(),
                 ..GatewayHeartbeat::default()
             }
         };
@@ -589,7 +589,7 @@
 /// Writes all bytes to a peer that goes on taking them, however long that takes.
 async fn write_all(stream: &mut TcpStream, bytes: &mut BytesMut) -> std::io::Result<()> {
     while bytes.has_remaining() {
-        let written = timeout(UNACKNOWLEDGED_MAX, stream.write(bytes)).await??;
+        let written = timeout(TCP_USER_TIMEOUT, stream.write(bytes)).await??;
         if written == 0 {
             return Err(std::io::ErrorKind::WriteZero.into());
         }
--- a/crates/fernring-gateway/src/model.rs
+++ b/crates/fernring-gateway/src/model.rs
@@ -19,7 +19,7 @@
 
 /// What may be repeated of a route's requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// A request may run any number of times.
     Always,
     /// A request may run once.
@@ -34,7 +34,7 @@
     /// Service that does the work.
     pub service: Arc<str>,
     /// Indexes of the stages whose results it needs. Invariant: all below its own.
-    pub after: Vec<usize>,
+    pub depends_on: Vec<usize>,
     /// Approximate size of one result, in bytes.
     pub result_bytes: u64,
 }
@@ -58,7 +58,7 @@
     /// Beginning of the paths that it takes.
     pub path_prefix: String,
     /// What may be repeated.
-    pub repeat: Repeat,
+    pub retry_policy: RetryPolicy,
     /// Whether the answer is a stream of events.
     pub streaming: bool,
     /// Longest time that a request is kept waiting.
@@ -66,11 +66,11 @@
     /// Time within which an answer (a stream: its first event) is worth most.
     pub objective: Duration,
     /// Longest wait for an event that callers bear; they leave then.
-    pub patience: Duration,
+    pub event_gap_max: Duration,
     /// Rank among all requests; 0 goes first.
     pub priority: u32,
     /// The services it sends to. Invariant: not empty, and some weight is above 0.
-    pub split: Vec<WeightedService>,
+    pub traffic_split: Vec<WeightedService>,
     /// Most upstreams that one request may be sent to.
     pub attempts_max: u32,
     /// The stages, in order.
@@ -85,14 +85,14 @@
 
 impl Route {
     /// Returns how long a request may wait whose caller waits for `remaining`, if it says so.
-    pub fn wait(&self, remaining: Option<Duration>) -> Duration {
+    pub fn wait_limit(&self, remaining: Option<Duration>) -> Duration {
         remaining.unwrap_or(self.timeout).min(self.timeout)
     }
 }
 
 /// How an upstream of a stage service batches pieces of work.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct BatchShape {
+pub struct BatchConfig {
     /// Most pieces in one call.
     pub pieces_max: usize,
     /// Time that a call takes besides its pieces.
@@ -100,14 +100,14 @@
     /// Approximate time that a piece adds.
     pub piece_time: Duration,
     /// Room for results, in bytes.
-    pub result_room_bytes: u64,
+    pub result_capacity_bytes: u64,
     /// How long a result is kept.
     pub result_lifetime: Duration,
 }
 
 /// How an upstream of a model service runs requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ModelShape {
+pub struct ModelConfig {
     /// Requests that it runs at once.
     pub slots: u32,
     /// Tokens that fit into its memory.
@@ -116,7 +116,7 @@
 
 /// What a cold upstream bears.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ColdBounds {
+pub struct ColdRateLimit {
     /// Requests a second that it bears from all nodes together.
     pub per_s: f64,
     /// How many times that may be sent in any one second.
@@ -125,9 +125,9 @@
     pub slack: f64,
 }
 
-impl ColdBounds {
+impl ColdRateLimit {
     /// Returns the most requests that all nodes together may send in any span of this length.
-    pub fn per_window(&self, window: Duration) -> f64 {
+    pub fn max_in_window(&self, window: Duration) -> f64 {
         self.per_s * self.overage * window.as_secs_f64() + self.slack
     }
 }
@@ -140,9 +140,9 @@
     /// Connections that one upstream takes from all callers together.
     pub connections_max: u32,
     /// Set for a service that works on pieces of stages.
-    pub batch: Option<BatchShape>,
+    pub batch: Option<BatchConfig>,
     /// Set for a service of model engines.
-    pub model: Option<ModelShape>,
+    pub model: Option<ModelConfig>,
     /// Set for a service whose cold upstreams bear little.
     pub cold: Option<ColdStart>,
 }
@@ -153,7 +153,7 @@
     /// Requests a second that one bears. Invariant: above 0.
     pub per_s: f64,
     /// How long an upstream is cold after its start.
-    pub time: Duration,
+    pub duration: Duration,
 }
 
 /// What a caller may send, and how slowly.
@@ -232,7 +232,7 @@
 }
 
 /// Hashes a key, so that configurations hold none in clear.
-pub fn key_hash(key: &str) -> u64 {
+pub fn api_key_hash(key: &str) -> u64 {
     xxh3_64(key.as_bytes())
 }
 
@@ -296,18 +296,18 @@
 impl UpstreamRecord {
     /// Returns a short hash of this run of the upstream's process, by which nodes tell each other of it: two starts
     /// of one instance have different ones, so that load of the first isn't counted for the second.
-    pub fn run_hash(&self) -> u32 {
-        self.run_id() as u32
+    pub fn incarnation_hash(&self) -> u32 {
+        self.incarnation_id() as u32
     }
 
     /// Returns the same at a length at which two don't collide: what binds an upstream must not bind another.
-    pub fn run_id(&self) -> u64 {
-        run_id(&self.instance, self.started_ms)
+    pub fn incarnation_id(&self) -> u64 {
+        incarnation_id(&self.instance, self.started_ms)
     }
 }
 
 /// Hashes a start of an upstream.
-pub fn run_id(instance: &str, started_ms: Option<u64>) -> u64 {
+pub fn incarnation_id(instance: &str, started_ms: Option<u64>) -> u64 {
     xxh3_64_with_seed(instance.as_bytes(), started_ms.unwrap_or(0))
 }
 
@@ -366,7 +366,7 @@
 
 /// What an answer says of how much its upstream takes.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub enum SaidLimit {
+pub enum LimitHeader {
     /// Nothing: it takes what comes.
     #[default]
     None,
@@ -378,7 +378,7 @@
 
 /// What an upstream's answer says of itself.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct AnswerFields {
+pub struct ResponseFields {
     /// The identity of the request that it answers.
     pub request_id: Option<String>,
     /// Whether it bears the upstream's signature.
@@ -392,7 +392,7 @@
     /// Whether the body is encoded, so that it isn't the upstream's own bytes.
     pub is_encoded: bool,
     /// What it says of how much the upstream takes.
-    pub limit: SaidLimit,
+    pub limit: LimitHeader,
 }
 
 /// A request of the gateway's own to an upstream.
@@ -432,13 +432,13 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PieceOutcome {
     /// Its result lies at its maker under this handle.
-    Made(Arc<str>),
+    Completed(Arc<str>),
     /// Its time was over before its turn came.
     Late,
     /// A result that it needs is gone.
     InputGone,
     /// The maker has no room for the result.
-    NoRoom,
+    NoCapacity,
     /// The maker failed.
     Failed,
 }
--- a/crates/fernring-gateway/src/node.rs
+++ b/crates/fernring-gateway/src/node.rs
@@ -9,7 +9,7 @@
         following::{Following, Reply},
         ingress::{Ingress, Phase},
         log,
-        measures::{self, Readings},
+        telemetry::{self, GaugeValues},
         members::Member,
         owner::{Owner, Parts},
         peers::{PeerHandler, Peers},
@@ -29,10 +29,10 @@
     fernring_core::{clock::Clock, text::LogLine},
     fernring_protocol::{
         gateway::{
-            ConfigBytes, DirectoryList, DirectoryRecords, DirectoryRequest, GatewayBody,
-            GatewayHeartbeat, LoadsOf, Nothing, TurnAnswer, TurnQuestion,
+            CompressedConfig, DirectoryList, DirectoryRecords, DirectoryRequest, GatewayBody,
+            GatewayHeartbeat, LoadScope, Empty, PermitResponse, PermitRequest,
         },
-        packing::{pack, unpack},
+        compression::{compress, decompress},
     },
     http::{Request, Response, StatusCode},
     http_body_util::Full,
@@ -59,15 +59,15 @@
 /// Path of the metrics on the ready address.
 const METRICS_PATH: &str = "/metrics";
 /// Records up to which they are passed on as they are.
-const UNPACKED_RECORDS_MAX: usize = 500;
+const UNCOMPRESSED_RECORDS_MAX: usize = 500;
 /// How long packed records are passed on: what they say of cold upstreams is that old.
-const PACKED_TIME: Duration = Duration::from_secs(1);
+const COMPRESSED_LIFETIME: Duration = Duration::from_secs(1);
 /// How often the settings file is looked at for a change that no signal announced.
-const SETTINGS_INTERVAL: Duration = Duration::from_secs(1);
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(1);
 /// Time before the end of the grace at which the process ends, whatever is still open.
 const GRACE_MARGIN: Duration = Duration::from_millis(400);
 /// How often a shutting-down node looks whether everything is done.
-const DRAIN_INTERVAL: Duration = Duration::from_millis(50);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A gateway node.
 pub struct Node {
@@ -81,19 +81,19 @@
     ingress: Rc<Ingress>,
     serving: Rc<Serving>,
     loops: Rc<StoreLoops>,
-    packed: RefCell<Option<PackedDirectory>>,
+    compressed: RefCell<Option<CompressedDirectory>>,
     render: Box<dyn Fn() -> String>,
 }
 
 /// All upstreams' records, as they were packed for a peer.
-struct PackedDirectory {
+struct CompressedDirectory {
     end: Position,
     at: Duration,
     bytes: Bytes,
 }
 
 /// What a node is built on.
-pub struct Foundation {
+pub struct NodeDependencies {
     /// The clock.
     pub clock: Rc<dyn Clock>,
     /// The platform's formats.
@@ -101,7 +101,7 @@
     /// The platform's store.
     pub store: Rc<dyn Store>,
     /// Renders the metrics that were recorded.
-    pub render: Box<dyn Fn() -> String>,
+    pub render_metrics: Box<dyn Fn() -> String>,
 }
 
 /// The sockets that a node listens on.
@@ -153,8 +153,8 @@
 
 impl Node {
     /// Puts a node together.
-    pub fn new(settings: Settings, foundation: Foundation) -> Rc<Self> {
-        let Foundation { clock, wire, store, render } = foundation;
+    pub fn new(settings: Settings, foundation: NodeDependencies) -> Rc<Self> {
+        let NodeDependencies { clock, wire, store, render_metrics: render } = foundation;
         let failure_domain: Arc<str> = settings.node.failure_domain.as_str().into();
         let me = Member {
             incarnation: rand::random(),
@@ -246,18 +246,18 @@
             ingress,
             serving,
             loops,
-            packed: RefCell::default(),
+            compressed: RefCell::default(),
             render,
         });
         peers.set_handler(node.clone());
         node.upstreams.set_counters(Rc::new(PeerCounters(peers)));
-        node.apply_link();
+        node.apply_link_bandwidth();
         node.apply_regions();
         node
     }
 
     /// Sets what may be passed on to peers, by the settings.
-    fn apply_link(&self) {
+    fn apply_link_bandwidth(&self) {
         let link = self.settings.borrow().node.link_bytes_per_s();
         for what in [Followed::Config, Followed::Upstreams] {
             self.loops.following(what).borrow_mut().set_link(link);
@@ -316,12 +316,12 @@
     }
 
     /// Returns how far the newest order to roll out a version of a service is, if it has one.
-    pub fn rollout(&self, service: &str) -> Option<Standing> {
+    pub fn rollout_progress(&self, service: &str) -> Option<Standing> {
         self.serving.rollouts.standing(service)
     }
 
     /// Returns the number of contents that are turned away, since upstreams ended under them.
-    pub fn turned_away(&self) -> usize {
+    pub fn quarantined_count(&self) -> usize {
         self.serving.blame.turned_away()
     }
 
@@ -338,7 +338,7 @@
         self.serving.alarm.until(started + leave).await;
         self.ingress.set_phase(Phase::Closing);
         while self.ingress.open() > 0 && self.serving.now() < end {
-            sleep(DRAIN_INTERVAL).await;
+            sleep(DRAIN_POLL_INTERVAL).await;
         }
         log::info(LogLine::event("stopped").with("in_flight", self.serving.in_flight.get()));
     }
@@ -355,7 +355,7 @@
         loop {
             let is_signal = tokio::select! {
                 _ = hangup.recv() => true,
-                () = sleep(SETTINGS_INTERVAL) => false,
+                () = sleep(SETTINGS_POLL_INTERVAL) => false,
             };
             let modified = modified_at(&path);
             if is_signal || modified != seen {
@@ -381,7 +381,7 @@
         self.loops.word_bound.set(settings.evacuation.within());
         self.peers.suggest(settings.node.seeds.iter().copied());
         *self.settings.borrow_mut() = settings;
-        self.apply_link();
+        self.apply_link_bandwidth();
         self.apply_regions();
         log::info(LogLine::event("settings_taken"));
     }
@@ -390,17 +390,17 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    spawn_local(self.clone().answer_ready(stream));
+                    spawn_local(self.clone().serve_ready(stream));
                 }
                 Err(error) => {
                     log::warn(LogLine::event("accept_failed").with("error", error));
-                    sleep(DRAIN_INTERVAL).await;
+                    sleep(DRAIN_POLL_INTERVAL).await;
                 }
             }
         }
     }
 
-    async fn answer_ready(self: Rc<Self>, stream: TcpStream) {
+    async fn serve_ready(self: Rc<Self>, stream: TcpStream) {
         let service = service_fn(|request: Request<Incoming>| {
             let response = self.ready_response(request.uri().path());
             async move { Ok::<_, Infallible>(response) }
@@ -426,8 +426,8 @@
 
     fn render_metrics(&self) -> String {
         let directory = self.upstreams.directory();
-        measures::set_heard(&self.peers.heard_by_domain());
-        measures::set(Readings {
+        telemetry::set_reachable_nodes(&self.peers.heard_by_domain());
+        telemetry::set_gauges(GaugeValues {
             config_version: self.config.borrow().version(),
             config_age: self.loops.age(Followed::Config),
             nodes: self.peers.nodes(),
@@ -437,7 +437,7 @@
                 .filter(|(key, _)| self.upstreams.may_send(*key).is_ok())
                 .count(),
             in_flight: self.serving.in_flight.get(),
-            turned_away: self.serving.blame.turned_away(),
+            quarantined: self.serving.blame.turned_away(),
             caller_connections: self.ingress.open(),
             upstream_connections: self.upstreams.open_connections(),
             cold_upstreams: directory.iter().filter(|(_, u)| u.is_cold(self.serving.now())).count(),
@@ -453,10 +453,10 @@
         has_config && self.ingress.phase() == Phase::Serving
     }
 
-    fn ask(&self, peer: SocketAddr, what: Followed) {
+    fn request_records(&self, peer: SocketAddr, what: Followed) {
         let since = self.upstreams.directory().end();
         let body = match what {
-            Followed::Config => GatewayBody::ConfigRequest(Nothing {}),
+            Followed::Config => GatewayBody::ConfigRequest(Empty {}),
             Followed::Upstreams => GatewayBody::DirectoryRequest(DirectoryRequest {
                 since: since.offset,
                 era: since.era,
@@ -471,9 +471,9 @@
             return;
         };
         let config =
-            ConfigBytes { packed: held.packed.clone(), end: held.end.offset, era: held.end.era };
-        let bytes = held.packed.len();
-        self.pass_on(peer, Followed::Config, bytes, GatewayBody::Config(config));
+            CompressedConfig { compressed: held.compressed.clone(), end: held.end.offset, era: held.end.era };
+        let bytes = held.compressed.len();
+        self.send_or_defer(peer, Followed::Config, bytes, GatewayBody::Config(config));
     }
 
     fn send_directory(&self, peer: SocketAddr, since: Position) {
@@ -481,7 +481,7 @@
         let now = self.serving.now();
         let changes = directory.changes_since(now, since);
         let is_whole = changes.is_none();
-        let is_packed = is_whole && directory.len() > UNPACKED_RECORDS_MAX;
+        let is_packed = is_whole && directory.len() > UNCOMPRESSED_RECORDS_MAX;
         let records = match changes {
             _ if is_packed => Vec::new(),
             Some(changes) => changes.iter().map(directory_record).collect(),
@@ -491,54 +491,54 @@
             end: directory.end().offset,
             era: directory.end().era,
             records,
-            is_whole,
-            lapses_ms: directory.lapses_for(now).as_millis() as u32,
+            is_full: is_whole,
+            lapse_window_ms: directory.lapses_for(now).as_millis() as u32,
             age_ms: self.age_ms(Followed::Upstreams),
-            packed: if is_packed { self.packed_directory(now) } else { Bytes::new() },
+            compressed: if is_packed { self.compressed_directory(now) } else { Bytes::new() },
         };
         let bytes = records.encoded_len();
-        self.pass_on(peer, Followed::Upstreams, bytes, GatewayBody::Directory(records));
+        self.send_or_defer(peer, Followed::Upstreams, bytes, GatewayBody::Directory(records));
     }
 
     /// Returns all upstreams' records, packed. At the start of a fleet hundreds of peers ask for them within a second.
-    fn packed_directory(&self, now: Duration) -> Bytes {
+    fn compressed_directory(&self, now: Duration) -> Bytes {
         let directory = self.upstreams.directory();
         let end = directory.end();
-        let mut held = self.packed.borrow_mut();
+        let mut held = self.compressed.borrow_mut();
         if let Some(held) = &*held
             && held.end == end
-            && now < held.at + PACKED_TIME
+            && now < held.at + COMPRESSED_LIFETIME
         {
             return held.bytes.clone();
         }
         let records = directory.all_changes(now).iter().map(directory_record).collect();
-        let bytes = pack(&DirectoryList { records }.encode_to_vec());
-        *held = Some(PackedDirectory { end, at: now, bytes: bytes.clone() });
+        let bytes = compress(&DirectoryList { records }.encode_to_vec());
+        *held = Some(CompressedDirectory { end, at: now, bytes: bytes.clone() });
         bytes
     }
 
     /// Answers a peer's question with a record, or puts it off.
-    fn pass_on(&self, peer: SocketAddr, what: Followed, bytes: usize, record: GatewayBody) {
+    fn send_or_defer(&self, peer: SocketAddr, what: Followed, bytes: usize, record: GatewayBody) {
         let reply = self.loops.following(what).borrow_mut().asked(self.serving.now(), bytes);
         match (reply, what) {
             (Reply::Record, _) => self.peers.send_record(peer, record),
             (Reply::PutOff, Followed::Config) => {
-                self.peers.send(peer, GatewayBody::ConfigPutOff(Nothing {}));
+                self.peers.send(peer, GatewayBody::ConfigDeferred(Empty {}));
             }
             (Reply::PutOff, Followed::Upstreams) => {
-                self.peers.send(peer, GatewayBody::DirectoryPutOff(Nothing {}));
+                self.peers.send(peer, GatewayBody::DirectoryDeferred(Empty {}));
             }
         }
     }
 
-    fn put_off(&self, what: Followed) {
+    fn mark_deferred(&self, what: Followed) {
         let mut following = self.loops.following(what).borrow_mut();
         following.put_off(self.serving.now(), rand::random());
     }
 
-    fn take_directory(&self, mut records: DirectoryRecords) {
-        if !records.packed.is_empty() {
-            let list = unpack(&records.packed).map_err(anyhow::Error::from);
+    fn handle_directory(&self, mut records: DirectoryRecords) {
+        if !records.compressed.is_empty() {
+            let list = decompress(&records.compressed).map_err(anyhow::Error::from);
             match list.and_then(|list| Ok(DirectoryList::decode(list)?)) {
                 Ok(list) => records.records = list.records,
                 Err(error) => {
@@ -550,9 +550,9 @@
         self.loops.take_peer_upstreams(PeerRecords {
             end: Position::new(records.era, records.end),
             changes: records.records.into_iter().filter_map(change_from).collect(),
-            is_whole: records.is_whole,
-            lapses_for: Duration::from_millis(records.lapses_ms.into()),
-            age: records.age_ms.map(from_ms),
+            is_whole: records.is_full,
+            lapses_for: Duration::from_millis(records.lapse_window_ms.into()),
+            age: records.age_ms.map(duration_from_ms),
         });
     }
 
@@ -562,7 +562,7 @@
     }
 }
 
-fn from_ms(ms: u32) -> Duration {
+fn duration_from_ms(ms: u32) -> Duration {
     Duration::from_millis(ms.into())
 }
 
@@ -574,21 +574,21 @@
             GatewayBody::ConfigRequest(_) => self.send_config(sender),
             GatewayBody::Config(config) => {
                 let end = Position::new(config.era, config.end);
-                self.loops.take_peer_config(config.packed, end);
+                self.loops.take_peer_config(config.compressed, end);
             }
-            GatewayBody::ConfigPutOff(_) => self.put_off(Followed::Config),
-            GatewayBody::DirectoryPutOff(_) => self.put_off(Followed::Upstreams),
+            GatewayBody::ConfigDeferred(_) => self.mark_deferred(Followed::Config),
+            GatewayBody::DirectoryDeferred(_) => self.mark_deferred(Followed::Upstreams),
             GatewayBody::DirectoryRequest(request) => {
                 self.send_directory(sender, Position::new(request.era, request.since));
             }
-            GatewayBody::Directory(records) => self.take_directory(records),
-            GatewayBody::Work(work) => self.stages.work(sender, work),
-            GatewayBody::WorkDone(done) => self.stages.done(sender, done),
-            GatewayBody::WorkCancel(ticket) => self.stages.cancel(sender, ticket.ticket),
-            GatewayBody::Release(release) => self.stages.released(release),
-            GatewayBody::Ends(reports) => self.serving.blame.told(sender, reports),
-            GatewayBody::TurnQuestion(question) => self.upstreams.turn_asked(sender, question),
-            GatewayBody::TurnAnswer(answer) => self.upstreams.turn_answered(answer),
+            GatewayBody::Directory(records) => self.handle_directory(records),
+            GatewayBody::Work(work) => self.stages.handle_work(sender, work),
+            GatewayBody::WorkDone(done) => self.stages.handle_done(sender, done),
+            GatewayBody::WorkCancel(ticket) => self.stages.handle_cancel(sender, ticket.ticket),
+            GatewayBody::Release(release) => self.stages.handle_release(release),
+            GatewayBody::Crashes(reports) => self.serving.blame.told(sender, reports),
+            GatewayBody::PermitRequest(question) => self.upstreams.turn_asked(sender, question),
+            GatewayBody::PermitResponse(answer) => self.upstreams.turn_answered(answer),
             GatewayBody::RolloutReport(report) => self.serving.rollouts.reported(sender, report),
         }
     }
@@ -600,21 +600,21 @@
         let is_near = *heartbeat.failure_domain == *self.settings.borrow().node.failure_domain;
         let tells_on = self.peers.tells_on();
         // Delegates hear the nodes of their domain themselves.
-        let loads_of = match heartbeat.loads_of() {
-            LoadsOf::Domain if is_near && tells_on => LoadsOf::Nobody,
+        let loads_of = match heartbeat.load_scope() {
+            LoadScope::Domain if is_near && tells_on => LoadScope::Omitted,
             loads_of => loads_of,
         };
         match loads_of {
-            LoadsOf::Sender => self.upstreams.set_peer_loads(sender, loads),
-            LoadsOf::Domain => {
+            LoadScope::Sender => self.upstreams.set_peer_loads(sender, loads),
+            LoadScope::Domain => {
                 self.upstreams.set_peer_loads(sender, Vec::new());
                 let domain = heartbeat.failure_domain.as_str().into();
                 self.upstreams.set_domain_loads(now, &domain, loads);
             }
-            LoadsOf::Nobody => self.upstreams.set_peer_loads(sender, Vec::new()),
+            LoadScope::Omitted => self.upstreams.set_peer_loads(sender, Vec::new()),
         }
-        let contains_own = loads_of == LoadsOf::Domain && is_near;
-        self.stages.heard(sender, &heartbeat.stage_loads, loads_of, contains_own);
+        let contains_own = loads_of == LoadScope::Domain && is_near;
+        self.stages.handle_peer_loads(sender, &heartbeat.stage_loads, loads_of, contains_own);
         // What another domain can't reach may well be reachable here.
         if is_near {
             let tells_on = tells_on && heartbeat.is_follower;
@@ -629,19 +629,19 @@
         }
         self.serving.rollouts.told(&heartbeat.rollouts);
         self.upstreams.told_limits(&heartbeat.limits);
-        heartbeat.split_services.iter().for_each(|service| self.stages.said_split(*service));
+        heartbeat.sharded_services.iter().for_each(|service| self.stages.mark_sharded(*service));
         let known = [
             (Followed::Config, heartbeat.config_version.into(), heartbeat.config_age_ms),
             (Followed::Upstreams, directory_end, heartbeat.directory_age_ms),
         ];
         for (what, mark, age_ms) in known {
-            if self.loops.heard(what, mark, age_ms.map(from_ms)) {
-                self.ask(sender, what);
+            if self.loops.heard(what, mark, age_ms.map(duration_from_ms)) {
+                self.request_records(sender, what);
             }
         }
     }
 
-    fn describe(&self, heartbeat: &mut GatewayHeartbeat, loads_of: LoadsOf) {
+    fn describe(&self, heartbeat: &mut GatewayHeartbeat, loads_of: LoadScope) {
         heartbeat.config_version = self.config.borrow().version();
         let directory_end = self.upstreams.directory().end();
         (heartbeat.directory_era, heartbeat.directory_end) =
@@ -655,12 +655,12 @@
         heartbeat.limits = self.upstreams.limits_to_tell();
         heartbeat.rollouts = self.serving.rollouts.words();
         let link = self.settings.borrow().node.link_bytes_per_s();
-        heartbeat.split_services = self.stages.to_be_split(link);
-        heartbeat.stage_loads = self.stages.described(loads_of);
+        heartbeat.sharded_services = self.stages.services_to_shard(link);
+        heartbeat.stage_loads = self.stages.stage_loads(loads_of);
         let loads = match loads_of {
-            LoadsOf::Sender => self.upstreams.told_loads(),
-            LoadsOf::Domain => self.upstreams.domain_loads(),
-            LoadsOf::Nobody => Vec::new(),
+            LoadScope::Sender => self.upstreams.told_loads(),
+            LoadScope::Domain => self.upstreams.domain_loads(),
+            LoadScope::Omitted => Vec::new(),
         };
         (heartbeat.load_upstreams, heartbeat.load_weights) = loads.into_iter().unzip();
     }
@@ -671,12 +671,12 @@
 
     fn unfollowed(&self, peer: SocketAddr) {
         self.upstreams.set_peer_loads(peer, Vec::new());
-        self.stages.unfollowed(peer);
+        self.stages.handle_unfollowed(peer);
     }
 
     fn lost(&self, peer: SocketAddr) {
         self.upstreams.set_peer_loads(peer, Vec::new());
-        self.stages.peer_lost(peer);
+        self.stages.handle_peer_lost(peer);
     }
 }
 
@@ -697,12 +697,12 @@
         self.0.is_behind()
     }
 
-    fn ask(&self, counter: SocketAddr, question: TurnQuestion) {
-        self.0.send(counter, GatewayBody::TurnQuestion(question));
+    fn ask(&self, counter: SocketAddr, question: PermitRequest) {
+        self.0.send(counter, GatewayBody::PermitRequest(question));
     }
 
-    fn answer(&self, asker: SocketAddr, answer: TurnAnswer) {
-        self.0.send(asker, GatewayBody::TurnAnswer(answer));
+    fn answer(&self, asker: SocketAddr, answer: PermitResponse) {
+        self.0.send(asker, GatewayBody::PermitResponse(answer));
     }
 }
 
--- a/crates/fernring-gateway/src/owner/calls.rs
+++ b/crates/fernring-gateway/src/owner/calls.rs
@@ -6,12 +6,12 @@
         backlog::{RANKS, rank},
         barred::Barred,
         batching::{Batch, BatchQueue, Bound, Task},
-        connections::{BreakOff, SendFailure},
+        connections::{ConnectionLoss, SendFailure},
         endings::Break,
         log,
         makers::{Maker, overdue_after, usual_time},
-        measures,
-        model::{BatchShape, Piece, PieceOutcome, Service, UpstreamKey},
+        telemetry,
+        model::{BatchConfig, Piece, PieceOutcome, Service, UpstreamKey},
         pools::MakerPool,
         residency::Residency,
         upstreams::{Sending, Target},
@@ -38,7 +38,7 @@
         self: &Rc<Self>,
         pool: &MakerPool,
         service: &Service,
-        shape: BatchShape,
+        shape: BatchConfig,
         target: Target,
         batch: Batch,
     ) {
@@ -79,8 +79,8 @@
     }
 
     /// Finds out whether a call broke off because its maker has ended.
-    async fn has_ended(&self, target: &Target, tasks: &[Task], why: &BreakOff) -> bool {
-        let Some(how) = why.how else {
+    async fn has_ended(&self, target: &Target, tasks: &[Task], why: &ConnectionLoss) -> bool {
+        let Some(how) = why.kind else {
             return false;
         };
         let first = tasks.first().map(|task| task.content);
@@ -96,7 +96,7 @@
         call: impl Future<Output = T>,
         pool: &MakerPool,
         target: &Target,
-        shape: &BatchShape,
+        shape: &BatchConfig,
         tasks: &[Task],
     ) -> (T, bool) {
         if !self.rules.get().copies {
@@ -126,7 +126,7 @@
         waiting: usize,
         bound: Bound,
     ) {
-        measures::batch_called(&pool.service, tasks.len(), waiting);
+        telemetry::record_batch(&pool.service, tasks.len(), waiting);
         let kept = self.makers.borrow().get(target.key).map_or(0, Maker::kept_bytes);
         let line = LogLine::event("stage_call")
             .with("service", &pool.service)
@@ -150,7 +150,7 @@
         pool: &MakerPool,
         target: &Target,
         connections_max: u32,
-        shape: &BatchShape,
+        shape: &BatchConfig,
         tasks: &[Task],
     ) -> Result<Vec<PieceOutcome>, CallFailure> {
         let now = self.now();
@@ -174,7 +174,7 @@
         let trial = self.rollouts.began_call(&pool.service, target);
         let exchange = async {
             let answer = self.upstreams.send(target, sending).await?;
-            let fields = self.wire.decode_answer(answer.head.status, &answer.head.headers);
+            let fields = self.wire.decode_response(answer.head.status, &answer.head.headers);
             if !fields.wrong_instance {
                 self.upstreams.said_limit(target, now, fields.limit);
             }
@@ -238,7 +238,7 @@
             answer.body.collect().await.map_err(|e| SendFailure::Broken((&e).into()))
         };
         let released = timeout(CALL_GRACE, work).await;
-        if let Ok(Err(SendFailure::Barred(_))) = released {
+        if let Ok(Err(SendFailure::Ineligible(_))) = released {
             // Its upstream takes no more now: with the next ones.
             self.releases.borrow_mut().entry(key).or_default().extend(handles);
             return;
@@ -265,7 +265,7 @@
     Refused,
     /// Its connection broke off.
     #[error("{0}")]
-    Broken(BreakOff),
+    Broken(ConnectionLoss),
     /// Anything else.
     #[error("{0}")]
     Failed(String),
@@ -283,7 +283,7 @@
     fn from(failure: SendFailure) -> Self {
         match failure {
             SendFailure::NotSent(reason) | SendFailure::NoListener(reason) => Self::NotSent(reason),
-            SendFailure::Barred(why) => Self::Barred(why),
+            SendFailure::Ineligible(why) => Self::Barred(why),
             SendFailure::Broken(broke) => Self::Broken(broke),
         }
     }
--- a/crates/fernring-gateway/src/owner/mod.rs
+++ b/crates/fernring-gateway/src/owner/mod.rs
@@ -20,7 +20,7 @@
         directory::Effect,
         flow::Flow,
         makers::{Maker, MakerSet, usual_time},
-        model::{BatchShape, Piece, PieceInput, Service, UpstreamKey, short_hash},
+        model::{BatchConfig, Piece, PieceInput, Service, UpstreamKey, short_hash},
         peers::Peers,
         pools::{Carried, MakerPool, shall_split},
         residency::Residency,
@@ -229,7 +229,7 @@
     fn backlog_before(
         &self,
         pool: &MakerPool,
-        shape: &BatchShape,
+        shape: &BatchConfig,
         makers: &[UpstreamKey],
     ) -> Backlog {
         let makers = self.whole_makers(pool, shape, makers);
@@ -404,7 +404,7 @@
         }
     }
 
-    fn service(&self, name: &Arc<str>) -> Option<(Service, BatchShape)> {
+    fn service(&self, name: &Arc<str>) -> Option<(Service, BatchConfig)> {
         let held = self.config.borrow().current()?;
         let service = held.config.services.get(name)?;
         Some((service.clone(), service.batch?))
@@ -449,7 +449,7 @@
         }
     }
 
-    fn drop_expired(&self, pool: &MakerPool, shape: &BatchShape, makers: &[UpstreamKey]) {
+    fn drop_expired(&self, pool: &MakerPool, shape: &BatchConfig, makers: &[UpstreamKey]) {
         let now = self.now();
         let backlog = self.backlog_before(pool, shape, makers);
         let expired = match self.queues.borrow_mut().get_mut(pool) {
@@ -463,7 +463,7 @@
     }
 
     /// Lists those of some makers that could start a call, and the room that each has for results.
-    fn free_makers(&self, makers: &[UpstreamKey], shape: &BatchShape) -> Vec<(UpstreamKey, u64)> {
+    fn free_makers(&self, makers: &[UpstreamKey], shape: &BatchConfig) -> Vec<(UpstreamKey, u64)> {
         let mut free = self.makers.borrow_mut().free(self.now(), makers, shape);
         free.shuffle(&mut rand::rng());
         free
@@ -489,7 +489,7 @@
 
     /// Returns how many makers without a limit make as much as those that are usable, and those whose limit is used up now. A
     /// limit that counted as a whole maker would have requests promised that wait for its turns until they are late.
-    fn whole_makers(&self, pool: &MakerPool, shape: &BatchShape, usable: &[UpstreamKey]) -> f64 {
+    fn whole_makers(&self, pool: &MakerPool, shape: &BatchConfig, usable: &[UpstreamKey]) -> f64 {
         let call_s = usual_time(shape, shape.pieces_max).as_secs_f64();
         let directory = self.upstreams.directory();
         let share = |key: UpstreamKey| {
--- a/crates/fernring-gateway/src/owner/outcomes.rs
+++ b/crates/fernring-gateway/src/owner/outcomes.rs
@@ -67,7 +67,7 @@
             }
         };
         for (task, outcome) in tasks.into_iter().zip(outcomes) {
-            let is_repeated = matches!(outcome, PieceOutcome::NoRoom | PieceOutcome::Failed);
+            let is_repeated = matches!(outcome, PieceOutcome::NoCapacity | PieceOutcome::Failed);
             if !(is_repeated && goes_on(&task)) {
                 self.piece_ended(pool, target, task, outcome);
             }
@@ -76,10 +76,10 @@
 
     fn piece_ended(&self, pool: &MakerPool, target: &Target, task: Task, outcome: PieceOutcome) {
         match outcome {
-            PieceOutcome::Made(handle) => self.piece_made(pool, target, &task, handle),
+            PieceOutcome::Completed(handle) => self.piece_made(pool, target, &task, handle),
             PieceOutcome::Late => self.end_work(task.work, WorkEnd::Late),
             PieceOutcome::InputGone => self.end_work(task.work, WorkEnd::InputGone),
-            PieceOutcome::NoRoom => {
+            PieceOutcome::NoCapacity => {
                 self.had_no_room(pool, target, &task);
                 self.put_back(pool, task);
             }
--- a/crates/fernring-gateway/src/retries.rs
+++ b/crates/fernring-gateway/src/retries.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         budget::{Allowance, RetryBudget},
-        measures,
+        telemetry,
         peers::Peers,
     },
     std::{cell::RefCell, rc::Rc, sync::Arc, time::Duration},
@@ -32,11 +32,11 @@
     }
 
     /// Takes extra sends to a service, or none; tells whether it did.
-    pub fn take(&self, now: Duration, service: &Arc<str>, count: usize) -> bool {
+    pub fn try_spend(&self, now: Duration, service: &Arc<str>, count: usize) -> bool {
         let nodes = self.peers.nodes();
         let is_taken = self.budget.borrow_mut().take(now, service, count, nodes);
         if !is_taken {
-            measures::budget_spent(service);
+            telemetry::record_retry_denied(service);
         }
         is_taken
     }
--- a/crates/fernring-gateway/src/rollout/shell.rs
+++ b/crates/fernring-gateway/src/rollout/shell.rs
@@ -22,7 +22,7 @@
         clock::{Clock, saturating_ms},
         text::LogLine,
     },
-    fernring_protocol::gateway::{GatewayBody, RolloutReport, RolloutWord},
+    fernring_protocol::gateway::{GatewayBody, RolloutReport, RolloutOrderMessage},
     std::{
         cell::{Cell, RefCell},
         collections::{BTreeMap, HashMap},
@@ -242,7 +242,7 @@
     }
 
     /// Takes in what a peer says of orders.
-    pub fn told(&self, words: &[RolloutWord]) {
+    pub fn told(&self, words: &[RolloutOrderMessage]) {
         if words.is_empty() {
             return;
         }
@@ -276,7 +276,7 @@
     }
 
     /// Returns what is to be told to peers.
-    pub fn words(&self) -> Vec<RolloutWord> {
+    pub fn words(&self) -> Vec<RolloutOrderMessage> {
         let now = self.now();
         let orders = self.orders.borrow();
         let word = |(service, word): (&Arc<str>, &Word)| {
@@ -602,7 +602,7 @@
 
     /// Reads how far a decider of before came.
     async fn read_state(self: Rc<Self>, service: Arc<str>, word: Word) {
-        let page = self.store.newest(Topic::Rollouts, None).await;
+        let page = self.store.read_newest(Topic::Rollouts, None).await;
         let page = page.map(|newest| newest.page);
         let status = page.as_ref().ok().and_then(|page| {
             let of_service = |record| {
@@ -677,7 +677,7 @@
     fn longest_request(&self, service: &str) -> Duration {
         let held = self.config.borrow().current();
         let routes = held.iter().flat_map(|held| &held.config.routes);
-        let to_service = routes.filter(|route| route.split.iter().any(|s| &*s.service == service));
+        let to_service = routes.filter(|route| route.traffic_split.iter().any(|s| &*s.service == service));
         to_service.map(|route| route.timeout).max().unwrap_or_default()
     }
 
--- a/crates/fernring-gateway/src/serving/exchange/admitting.rs
+++ b/crates/fernring-gateway/src/serving/exchange/admitting.rs
@@ -70,7 +70,7 @@
             let call_time = shape.map_or(Duration::ZERO, |shape| {
                 usual_time(&shape, shape.pieces_max.min((pieces + ahead) as usize))
             });
-            StageNeed { after: spec.after.clone(), pieces, backlog, call_time }
+            StageNeed { after: spec.depends_on.clone(), pieces, backlog, call_time }
         };
         Need {
             rank: rank(self.priority()),
--- a/crates/fernring-gateway/src/serving/exchange/mod.rs
+++ b/crates/fernring-gateway/src/serving/exchange/mod.rs
@@ -12,11 +12,11 @@
         backlogs::Promise,
         blame::Held,
         come_back::come_back,
-        connections::AnswerBody,
+        connections::ResponseBody,
         content::ContentKey,
         context::Serving,
-        log, measures,
-        model::{Repeat, RequestFields, Route, UpstreamKey, Workspace},
+        log, telemetry,
+        model::{RetryPolicy, RequestFields, Route, UpstreamKey, Workspace},
         refusal::Refusal,
         residency::Residency,
         rollout::shell::Trial,
@@ -59,7 +59,7 @@
     /// Its head.
     pub head: Parts,
     /// Its body.
-    pub body: AnswerBody,
+    pub body: ResponseBody,
     /// The upstream.
     target: Target,
     load: LoadGuard,
@@ -209,17 +209,17 @@
         workspace: Option<Arc<Workspace>>,
         arrived_at: Duration,
     ) -> Self {
-        let waits = route.wait(request.fields.remaining);
+        let waits = route.wait_limit(request.fields.remaining);
         let service = draw_service(&route);
         let of_workspace = workspace.as_ref().map(|workspace| &workspace.residency);
         let residency =
             of_workspace.map_or_else(|| route.residency.clone(), |own| route.residency.and(own));
         Self {
-            attempts: Attempts::new(route.repeat, route.attempts_max),
+            attempts: Attempts::new(route.retry_policy, route.attempts_max),
             plan: StagePlan::new(&route.stages, &request.fields.piece_counts),
             resume_after: request.fields.last_event,
             objective_at: arrived_at + route.objective,
-            hold_until: arrived_at + waits.min(route.patience),
+            hold_until: arrived_at + waits.min(route.event_gap_max),
             end_at: arrived_at + waits,
             _in_flight: InFlight::new(serving.clone()),
             tried: Vec::new(),
@@ -251,8 +251,8 @@
     }
 
     /// Returns what may be repeated.
-    pub fn repeat(&self) -> Repeat {
-        self.route.repeat
+    pub fn repeat(&self) -> RetryPolicy {
+        self.route.retry_policy
     }
 
     /// Returns the time left.
@@ -373,7 +373,7 @@
         let took = self.serving.now().saturating_sub(self.arrived_at);
         let first_ms =
             self.passed_on.map(|p| p.first_at.saturating_sub(self.arrived_at).as_millis());
-        measures::request_ended(&self.route.name, end.name(), took);
+        telemetry::record_request(&self.route.name, end.name(), took);
         let line = LogLine::event("request_ended")
             .with("request", &self.request.id)
             .with("content", self.request.content)
@@ -433,13 +433,13 @@
 
 /// Draws one of the services that a route splits its requests over.
 fn draw_service(route: &Route) -> Arc<str> {
-    let total: u32 = route.split.iter().map(|part| part.weight).sum();
+    let total: u32 = route.traffic_split.iter().map(|part| part.weight).sum();
     let mut draw = rand::rng().random_range(0..total.max(1));
-    for part in &route.split {
+    for part in &route.traffic_split {
         if draw < part.weight {
             return part.service.clone();
         }
         draw -= part.weight;
     }
-    route.split.first().map_or_else(|| Arc::from(""), |part| part.service.clone())
+    route.traffic_split.first().map_or_else(|| Arc::from(""), |part| part.service.clone())
 }
--- a/crates/fernring-gateway/src/serving/exchange/sending.rs
+++ b/crates/fernring-gateway/src/serving/exchange/sending.rs
@@ -4,8 +4,8 @@
     super::{Exchange, GENERATION_LOAD_TOKENS, Opened, Reads},
     crate::{
         attempts::SendEnd,
-        connections::{BreakOff, SendFailure},
-        log, measures,
+        connections::{ConnectionLoss, SendFailure},
+        log, telemetry,
         model::{UpstreamFields, UpstreamKey},
         refusal::Refusal,
         rollout::orders::Admits,
@@ -38,12 +38,12 @@
 /// A send that brought no answer to pass on.
 struct Unanswered {
     end: SendEnd,
-    why: BreakOff,
+    why: ConnectionLoss,
 }
 
 impl Unanswered {
     fn without_break(end: SendEnd, reason: String) -> Self {
-        Self { end, why: BreakOff { reason, how: None } }
+        Self { end, why: ConnectionLoss { reason, kind: None } }
     }
 }
 
@@ -76,7 +76,7 @@
             match self.send(&target, left).await {
                 Ok(mut opened) => {
                     opened.reads = tokens.map(|tokens| Reads { tokens, sent_at });
-                    measures::send_ended(&self.service, "answered");
+                    telemetry::record_send(&self.service, "answered");
                     return Ok(opened);
                 }
                 Err(Unanswered { end, why }) => {
@@ -103,7 +103,7 @@
     }
 
     /// Takes in that a send brought a head but no whole answer.
-    pub fn send_broke(&mut self, opened: &Opened, why: &BreakOff) {
+    pub fn send_broke(&mut self, opened: &Opened, why: &ConnectionLoss) {
         self.attempts.ended(SendEnd::Unknown);
         if let Some(trial) = &opened.trial {
             trial.failed();
@@ -112,8 +112,8 @@
         self.note_break(&opened.target, why);
     }
 
-    fn note_break(&self, target: &Target, why: &BreakOff) {
-        if let Some(how) = why.how {
+    fn note_break(&self, target: &Target, why: &ConnectionLoss) {
+        if let Some(how) = why.kind {
             self.serving.blame.broke(target, how, Some(self.request.content));
         }
     }
@@ -156,7 +156,7 @@
     }
 
     fn take_budget(&self) -> bool {
-        self.serving.retries.take(self.serving.now(), &self.service, 1)
+        self.serving.retries.try_spend(self.serving.now(), &self.service, 1)
     }
 
     /// Chooses the upstream for the next send.
@@ -315,13 +315,13 @@
         };
         let answer = match sent {
             None => {
-                let why = BreakOff::silent("no answer in time");
+                let why = ConnectionLoss::silent("no answer in time");
                 return Err(failed(Unanswered { end: SendEnd::Unknown, why }));
             }
             Some(Err(SendFailure::NotSent(why) | SendFailure::NoListener(why))) => {
                 return Err(Unanswered::without_break(SendEnd::NotSent, why));
             }
-            Some(Err(SendFailure::Barred(why))) => {
+            Some(Err(SendFailure::Ineligible(why))) => {
                 return Err(Unanswered::without_break(SendEnd::Barred, why.to_string()));
             }
             Some(Err(SendFailure::Broken(why))) => {
@@ -351,7 +351,7 @@
     /// Finds what is wrong with the head of an answer to a request that left at `sent_at`.
     fn check_head(&self, opened: &mut Opened, sent_at: Duration) -> Option<(SendEnd, String)> {
         let status = opened.head.status;
-        let fields = self.serving.wire.decode_answer(status, &opened.head.headers);
+        let fields = self.serving.wire.decode_response(status, &opened.head.headers);
         if fields.wrong_instance {
             return Some((SendEnd::WrongInstance, "another instance is there".to_owned()));
         }
@@ -406,7 +406,7 @@
     }
 
     fn log_send(&self, target: &Target, end: SendEnd, why: &str) {
-        measures::send_ended(&self.service, end.name());
+        telemetry::record_send(&self.service, end.name());
         let line = LogLine::event("send_failed")
             .with("request", &self.request.id)
             .with("content", self.request.content)
--- a/crates/fernring-gateway/src/serving/exchange/staging.rs
+++ b/crates/fernring-gateway/src/serving/exchange/staging.rs
@@ -110,7 +110,7 @@
                 };
                 self.promises.remove(&stage);
                 let stages = &serving.stages;
-                running.push(async move { (stage, stages.make(work).await) });
+                running.push(async move { (stage, stages.run_stage(work).await) });
             }
             let Some((stage, end)) = running.next().await else {
                 debug_assert!(self.plan.is_done());
--- a/crates/fernring-gateway/src/serving/ingress.rs
+++ b/crates/fernring-gateway/src/serving/ingress.rs
@@ -203,7 +203,7 @@
     async fn carry_requests(self: &Rc<Self>, stream: TcpStream) -> anyhow::Result<()> {
         stream.set_nodelay(true)?;
         socket2::SockRef::from(&stream)
-            .set_tcp_user_timeout(Some(crate::connections::UNACKNOWLEDGED_MAX))?;
+            .set_tcp_user_timeout(Some(crate::connections::TCP_USER_TIMEOUT))?;
         let doing = Cell::new(Doing::Idle(self.serving.now()));
         let state = Rc::new(ConnectionState { doing, clock: self.serving.clock.clone() });
         let limits = self.limits();
--- a/crates/fernring-gateway/src/serving/relay.rs
+++ b/crates/fernring-gateway/src/serving/relay.rs
@@ -2,11 +2,11 @@
 
 use {
     crate::{
-        connections::{AnswerBody, BreakOff},
+        connections::{ResponseBody, ConnectionLoss},
         events::{EventSplitter, last_number},
         exchange::{Ended, Exchange, Opened, StreamFailure},
         log,
-        model::Repeat,
+        model::RetryPolicy,
     },
     bytes::Bytes,
     fernring_core::text::LogLine,
@@ -34,7 +34,7 @@
     /// Starts to pass on a stream whose head has come.
     pub fn new(exchange: Exchange, opened: Opened) -> Self {
         let last_event = exchange.resume_after();
-        let is_resumable = exchange.repeat() == Repeat::Resume && opened.status().is_success();
+        let is_resumable = exchange.repeat() == RetryPolicy::Resume && opened.status().is_success();
         let splitter = EventSplitter::default();
         Self { exchange, opened, splitter, last_event, is_resumable, is_done: false }
     }
@@ -78,7 +78,7 @@
             Some(None) => Ok(None),
             Some(Some(Err(error))) => self.resume(error).await,
             None if self.exchange.time_left().is_zero() => Err(StreamFailure::TimedOut),
-            None => self.resume(BreakOff::silent("silent")).await,
+            None => self.resume(ConnectionLoss::silent("silent")).await,
         }
     }
 
@@ -93,7 +93,7 @@
         Ok(whole)
     }
 
-    async fn resume(&mut self, why: BreakOff) -> Result<Option<Bytes>, StreamFailure> {
+    async fn resume(&mut self, why: ConnectionLoss) -> Result<Option<Bytes>, StreamFailure> {
         let line = LogLine::event("stream_broken").with("request", self.exchange.request_id());
         let line = line.with("content", self.exchange.content());
         let line = line.with("upstream", self.opened.instance()).with("reason", &why.reason);
@@ -119,7 +119,7 @@
     }
 }
 
-async fn next_bytes(body: &mut AnswerBody) -> Option<Result<Bytes, BreakOff>> {
+async fn next_bytes(body: &mut ResponseBody) -> Option<Result<Bytes, ConnectionLoss>> {
     loop {
         match body.frame().await? {
             Ok(frame) => match frame.into_data() {
--- a/crates/fernring-gateway/src/serving/serve.rs
+++ b/crates/fernring-gateway/src/serving/serve.rs
@@ -4,13 +4,13 @@
     crate::{
         attempts::NotRun,
         caller_body::CallerBody,
-        config::HeldConfig,
-        connections::BreakOff,
+        config::ActiveConfig,
+        connections::ConnectionLoss,
         content::ContentKey,
         context::Serving,
         exchange::{CallerRequest, Ended, Exchange, InFlight, Opened},
-        log, measures,
-        model::{Route, Workspace, key_hash},
+        log, telemetry,
+        model::{Route, Workspace, api_key_hash},
         refusal::{RETRY_AFTER_NOT_READY, Refusal},
         relay::Relay,
     },
@@ -70,7 +70,7 @@
     }
 
     fn log_refusal(&self, id: Option<&str>, refusal: &Refusal) {
-        measures::request_refused(refusal.code.number());
+        telemetry::record_request_refused(refusal.code.number());
         let line = LogLine::event("request_refused")
             .with("request", id.unwrap_or("-"))
             .with("code", refusal.code.number())
@@ -98,7 +98,7 @@
         let Some(request_id) = id.clone() else {
             return Err(refuse(Refusal::incorrect(ResultCode::BadRequest, "no request id")));
         };
-        let end_at = arrived_at + route.wait(fields.remaining);
+        let end_at = arrived_at + route.wait_limit(fields.remaining);
         let reading = read_body(body, held.config.limits.body_bytes_max);
         let body = self.alarm.within(end_at, reading).await;
         let body = body.unwrap_or_else(|| Err(Refusal::slow_body()));
@@ -172,9 +172,9 @@
             }
             Some(Err(error)) => match error.downcast_ref::<hyper::Error>() {
                 Some(error) => error.into(),
-                None => BreakOff { reason: error.to_string(), how: None },
+                None => ConnectionLoss { reason: error.to_string(), kind: None },
             },
-            None => BreakOff::silent("the answer was not whole in time"),
+            None => ConnectionLoss::silent("the answer was not whole in time"),
         };
         exchange.send_broke(&opened, &why);
         Err(why.reason)
@@ -220,7 +220,7 @@
     Ok(())
 }
 
-fn find_route(held: &HeldConfig, head: &request::Parts) -> Result<Arc<Route>, Refusal> {
+fn find_route(held: &ActiveConfig, head: &request::Parts) -> Result<Arc<Route>, Refusal> {
     let named = head.headers.get(HOST).and_then(|host| host.to_str().ok());
     let host = head.uri.host().or(named).unwrap_or_default();
     let host = host.rsplit_once(':').map_or(host, |(host, _port)| host);
@@ -229,14 +229,14 @@
 }
 
 fn find_workspace(
-    held: &HeldConfig,
+    held: &ActiveConfig,
     route: &Route,
     key: Option<&str>,
 ) -> Result<Option<Arc<Workspace>>, Refusal> {
     let Some(workspaces) = &held.config.workspaces else {
         return Ok(None);
     };
-    let found = key.and_then(|key| workspaces.get(&key_hash(key)).cloned());
+    let found = key.and_then(|key| workspaces.get(&api_key_hash(key)).cloned());
     if found.is_none() && !route.is_public {
         return Err(Refusal::incorrect(ResultCode::UnknownKeyHolder, "the key is unknown"));
     }
--- a/crates/fernring-gateway/src/settings.rs
+++ b/crates/fernring-gateway/src/settings.rs
@@ -112,12 +112,12 @@
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
     /// What its link carries, in Mbit/s: half of it at most is used to pass records on to other nodes.
-    #[serde(default = "smallest_link_mbps")]
+    #[serde(default = "default_link_mbps")]
     pub link_mbps: f64,
 }
 
 /// The smallest link that is in use, for a node whose own isn't known.
-fn smallest_link_mbps() -> f64 {
+fn default_link_mbps() -> f64 {
     SMALLEST_LINK_BYTES_PER_S / BYTES_PER_S_OF_MBPS
 }
 
@@ -285,7 +285,7 @@
     },
     /// A value is not allowed.
     #[error("{origin}: {key}: {problem}")]
-    NotAllowed {
+    InvalidValue {
         /// The file.
         origin: String,
         /// The key.
@@ -316,7 +316,7 @@
         error: Box::new(error),
     })?;
     let not_allowed =
-        |key, problem| Err(SettingsError::NotAllowed { origin: origin.to_owned(), key, problem });
+        |key, problem| Err(SettingsError::InvalidValue { origin: origin.to_owned(), key, problem });
     if !(0.001..=1e6).contains(&settings.node.link_mbps) {
         return not_allowed("node.link_mbps", "must lie between 0.001 and 1000000");
     }
--- a/crates/fernring-gateway/src/stages.rs
+++ b/crates/fernring-gateway/src/stages.rs
@@ -5,7 +5,7 @@
         backlog::Backlog,
         backlogs::Backlogs,
         content::ContentKey,
-        log, measures,
+        log, telemetry,
         model::PieceInput,
         owner::{Owner, Work, WorkEnd},
         peers::Peers,
@@ -16,7 +16,7 @@
     bytes::Bytes,
     fernring_core::{clock::Clock, text::LogLine},
     fernring_protocol::gateway::{
-        GatewayBody, LoadsOf, ReleaseResults, StageDone, StageLoad, StageWork, WorkTicket,
+        GatewayBody, LoadScope, ReleaseResults, StageDone, StageLoad, StageWork, WorkTicket,
     },
     std::{
         cell::{Cell, RefCell},
@@ -30,10 +30,10 @@
 };
 
 /// Owners that a stage is asked of, one after the other, when they are lost.
-const OWNERS_MAX: u32 = 3;
+const OWNER_ATTEMPTS_MAX: u32 = 3;
 
 #[derive(Debug)]
-struct Pending {
+struct PendingStage {
     owner: SocketAddr,
     reply: oneshot::Sender<WorkEnd>,
 }
@@ -45,34 +45,34 @@
     owner: Rc<Owner>,
     upstreams: Rc<Upstreams>,
     backlogs: Rc<Backlogs>,
-    pending: RefCell<HashMap<u64, Pending>>,
+    pending: RefCell<HashMap<u64, PendingStage>>,
     /// Works of peers that are under way here, by who asked and their number there.
-    foreign: RefCell<HashMap<(SocketAddr, u64), u64>>,
+    peer_work: RefCell<HashMap<(SocketAddr, u64), u64>>,
     next_ticket: Cell<u64>,
     /// The owner that each service was last asked of, and since when, for the log.
-    owners: RefCell<HashMap<MakerPool, (SocketAddr, Duration)>>,
+    last_owners: RefCell<HashMap<MakerPool, (SocketAddr, Duration)>>,
     /// The services that are split between owners.
-    splits: RefCell<Splits>,
+    shards: RefCell<Splits>,
 }
 
 /// Cancels a stage whose request is given up.
 struct CancelGuard<'a> {
     stages: &'a Stages,
-    cancel: Option<Cancel>,
+    cancel: Option<CancelTarget>,
 }
 
 #[derive(Debug, Clone, Copy)]
-enum Cancel {
-    Here(u64),
-    There { owner: SocketAddr, ticket: u64 },
+enum CancelTarget {
+    Local(u64),
+    Remote { owner: SocketAddr, ticket: u64 },
 }
 
 impl Drop for CancelGuard<'_> {
     fn drop(&mut self) {
         match self.cancel {
             None => {}
-            Some(Cancel::Here(work)) => self.stages.owner.cancel(work),
-            Some(Cancel::There { owner, ticket }) => {
+            Some(CancelTarget::Local(work)) => self.stages.owner.cancel(work),
+            Some(CancelTarget::Remote { owner, ticket }) => {
                 self.stages.pending.borrow_mut().remove(&ticket);
                 self.stages.peers.send(owner, GatewayBody::WorkCancel(WorkTicket { ticket }));
             }
@@ -95,19 +95,19 @@
             upstreams,
             backlogs: Rc::default(),
             pending: RefCell::default(),
-            foreign: RefCell::default(),
+            peer_work: RefCell::default(),
             next_ticket: Cell::new(1),
-            owners: RefCell::default(),
-            splits: RefCell::default(),
+            last_owners: RefCell::default(),
+            shards: RefCell::default(),
         }
     }
 
     /// Returns the owner of a service, and says so if it isn't the one of before: nodes that name different ones at the
     /// same time split the service's calls.
-    fn owner_of(&self, pool: &MakerPool) -> SocketAddr {
+    fn resolve_owner(&self, pool: &MakerPool) -> SocketAddr {
         let owner = self.owner_address(pool);
         let now = self.clock.now().monotonic;
-        let mut owners = self.owners.borrow_mut();
+        let mut owners = self.last_owners.borrow_mut();
         let before = owners.get(pool).copied();
         if before.is_none_or(|(before, _)| before != owner) {
             owners.insert(pool.clone(), (owner, now));
@@ -160,7 +160,7 @@
         residency: &Residency,
     ) -> Option<MakerPool> {
         let whole = MakerPool::whole(service.clone());
-        if !self.is_by_domain(service, residency) {
+        if !self.is_sharded(service, residency) {
             return Some(whole);
         }
         let mut makers = self.owner.makers_by_domain(service);
@@ -174,28 +174,28 @@
     }
 
     /// Tells whether the pieces of a request are handed to the makers of one failure domain.
-    fn is_by_domain(&self, service: &str, residency: &Residency) -> bool {
+    fn is_sharded(&self, service: &str, residency: &Residency) -> bool {
         let now = self.clock.now().monotonic;
-        residency.is_restricted() || self.splits.borrow().is_split(now, service)
+        residency.is_restricted() || self.shards.borrow().is_split(now, service)
     }
 
     /// Lists the services, by their short hashes, that are to be split by what this node carries of them.
-    pub fn to_be_split(&self, link_bytes_per_s: f64) -> Vec<u32> {
+    pub fn services_to_shard(&self, link_bytes_per_s: f64) -> Vec<u32> {
         let services = self.owner.to_be_split(|pool| self.owns(pool), link_bytes_per_s);
-        services.iter().for_each(|service| self.said_split(*service));
+        services.iter().for_each(|service| self.mark_sharded(*service));
         services
     }
 
     /// Takes in that an owner says that a service, by its short hash, should be split.
-    pub fn said_split(&self, service: u32) {
+    pub fn mark_sharded(&self, service: u32) {
         let now = self.clock.now().monotonic;
-        if self.splits.borrow_mut().said(now, service) {
+        if self.shards.borrow_mut().said(now, service) {
             log::info(LogLine::event("service_split").with("service_hash", service));
         }
     }
 
     /// Returns what is to be said of stage services in heartbeats.
-    pub fn described(&self, loads_of: LoadsOf) -> Vec<StageLoad> {
+    pub fn stage_loads(&self, loads_of: LoadScope) -> Vec<StageLoad> {
         let mut own = self.owner.backlogs();
         own.retain(|(pool, _)| self.owns(pool));
         self.backlogs.described(self.clock.now().monotonic, own, loads_of)
@@ -203,11 +203,11 @@
 
     /// Takes in what a peer says of stage services. `contains_own` tells whether sums of its domain contain what
     /// this node has told.
-    pub fn heard(
+    pub fn handle_peer_loads(
         &self,
         peer: SocketAddr,
         loads: &[StageLoad],
-        loads_of: LoadsOf,
+        loads_of: LoadScope,
         contains_own: bool,
     ) {
         let now = self.clock.now().monotonic;
@@ -215,10 +215,10 @@
     }
 
     /// Has the pieces of a stage made. Dropping the future cancels them.
-    pub async fn make(&self, mut work: Work) -> WorkEnd {
+    pub async fn run_stage(&self, mut work: Work) -> WorkEnd {
         let started = self.clock.now().monotonic;
-        for _ in 0..OWNERS_MAX {
-            let owner = self.owner_of(&work.pool);
+        for _ in 0..OWNER_ATTEMPTS_MAX {
+            let owner = self.resolve_owner(&work.pool);
             let (sender, receiver) = oneshot::channel();
             let cancel = self.ask(owner, &work, sender);
             let mut guard = CancelGuard { stages: self, cancel: Some(cancel) };
@@ -247,7 +247,7 @@
 
     fn log_end(&self, work: &Work, owner: SocketAddr, started: Duration, end: &WorkEnd) {
         let now = self.clock.now().monotonic;
-        measures::stage_ended(&work.pool.service, end.name(), now.saturating_sub(started));
+        telemetry::record_stage(&work.pool.service, end.name(), now.saturating_sub(started));
         let line = LogLine::event("stage_ended")
             .with("request", &work.request_id)
             .with("stage", work.stage)
@@ -266,8 +266,8 @@
         if handles.is_empty() {
             return;
         }
-        if !self.is_by_domain(service, residency) {
-            self.release_at(self.peers.owner(service), service, handles);
+        if !self.is_sharded(service, residency) {
+            self.send_release(self.peers.owner(service), service, handles);
             return;
         }
         let mut by_owner: HashMap<SocketAddr, Vec<Arc<str>>> = HashMap::new();
@@ -277,11 +277,11 @@
             by_owner.entry(self.owner_address(&pool)).or_default().push(handle);
         }
         for (owner, handles) in by_owner {
-            self.release_at(owner, service, handles);
+            self.send_release(owner, service, handles);
         }
     }
 
-    fn release_at(&self, owner: SocketAddr, service: &Arc<str>, handles: Vec<Arc<str>>) {
+    fn send_release(&self, owner: SocketAddr, service: &Arc<str>, handles: Vec<Arc<str>>) {
         if owner == self.peers.address() {
             self.owner.release(service, handles);
             return;
@@ -292,13 +292,13 @@
     }
 
     /// Takes in that nothing more is heard of a peer that owns nothing.
-    pub fn unfollowed(&self, peer: SocketAddr) {
+    pub fn handle_unfollowed(&self, peer: SocketAddr) {
         self.backlogs.lost(peer);
     }
 
     /// Takes in that a peer is lost: what it owned is to be asked for elsewhere, and nobody
     /// there waits any more.
-    pub fn peer_lost(&self, peer: SocketAddr) {
+    pub fn handle_peer_lost(&self, peer: SocketAddr) {
         self.backlogs.lost(peer);
         let lost: Vec<_> = {
             let mut pending = self.pending.borrow_mut();
@@ -310,40 +310,40 @@
             drop(pending.reply.send(WorkEnd::OwnerLost));
         }
         let asked: Vec<_> =
-            self.foreign.borrow().keys().filter(|(asker, _)| *asker == peer).copied().collect();
+            self.peer_work.borrow().keys().filter(|(asker, _)| *asker == peer).copied().collect();
         for (asker, ticket) in asked {
-            self.cancel(asker, ticket);
+            self.handle_cancel(asker, ticket);
         }
         self.owner.release_of(peer);
     }
 
     /// Takes in pieces that a peer asks for.
-    pub fn work(self: &Rc<Self>, sender: SocketAddr, message: StageWork) {
+    pub fn handle_work(self: &Rc<Self>, sender: SocketAddr, message: StageWork) {
         let ticket = message.ticket;
-        let work = self.work_from(sender, message);
+        let work = self.decode_work(sender, message);
         let (reply, receiver) = oneshot::channel();
         let id = self.owner.submit(work, reply);
-        self.foreign.borrow_mut().insert((sender, ticket), id);
+        self.peer_work.borrow_mut().insert((sender, ticket), id);
         let stages = self.clone();
         spawn_local(async move {
             let end = receiver.await;
-            if stages.foreign.borrow_mut().remove(&(sender, ticket)).is_none() {
+            if stages.peer_work.borrow_mut().remove(&(sender, ticket)).is_none() {
                 return;
             }
-            let done = done_message(ticket, end.unwrap_or(WorkEnd::Failed));
+            let done = encode_done(ticket, end.unwrap_or(WorkEnd::Failed));
             stages.peers.send(sender, GatewayBody::WorkDone(done));
         });
     }
 
     /// Takes in that a peer gives up pieces.
-    pub fn cancel(&self, sender: SocketAddr, ticket: u64) {
-        if let Some(work) = self.foreign.borrow_mut().remove(&(sender, ticket)) {
+    pub fn handle_cancel(&self, sender: SocketAddr, ticket: u64) {
+        if let Some(work) = self.peer_work.borrow_mut().remove(&(sender, ticket)) {
             self.owner.cancel(work);
         }
     }
 
     /// Takes in what became of pieces that a peer was asked for.
-    pub fn done(&self, sender: SocketAddr, done: StageDone) {
+    pub fn handle_done(&self, sender: SocketAddr, done: StageDone) {
         let Some(pending) = self.pending.borrow_mut().remove(&done.ticket) else {
             return;
         };
@@ -363,24 +363,24 @@
     }
 
     /// Takes in results that a peer gives up.
-    pub fn released(&self, release: ReleaseResults) {
+    pub fn handle_release(&self, release: ReleaseResults) {
         let handles = release.handles.iter().map(|handle| Arc::from(handle.as_str()));
         self.owner.release(&release.service, handles);
     }
 
-    fn ask(&self, owner: SocketAddr, work: &Work, reply: oneshot::Sender<WorkEnd>) -> Cancel {
+    fn ask(&self, owner: SocketAddr, work: &Work, reply: oneshot::Sender<WorkEnd>) -> CancelTarget {
         if owner == self.peers.address() {
-            return Cancel::Here(self.owner.submit(work.clone(), reply));
+            return CancelTarget::Local(self.owner.submit(work.clone(), reply));
         }
         let ticket = self.next_ticket.get();
         self.next_ticket.set(ticket + 1);
-        self.pending.borrow_mut().insert(ticket, Pending { owner, reply });
-        let message = self.work_message(ticket, work);
+        self.pending.borrow_mut().insert(ticket, PendingStage { owner, reply });
+        let message = self.encode_work(ticket, work);
         self.peers.send(owner, GatewayBody::Work(message));
-        Cancel::There { owner, ticket }
+        CancelTarget::Remote { owner, ticket }
     }
 
-    fn work_message(&self, ticket: u64, work: &Work) -> StageWork {
+    fn encode_work(&self, ticket: u64, work: &Work) -> StageWork {
         let now = self.clock.now().monotonic;
         let (key, inputs) = match &work.input {
             PieceInput::Key(key) => (Some(key.to_string()), Vec::new()),
@@ -392,7 +392,7 @@
         StageWork {
             ticket,
             service: work.pool.service.to_string(),
-            makers_of: work.pool.failure_domain.as_deref().unwrap_or_default().to_owned(),
+            worker_domain: work.pool.failure_domain.as_deref().unwrap_or_default().to_owned(),
             request_id: work.request_id.to_string(),
             stage: work.stage,
             pieces: work.pieces,
@@ -402,13 +402,13 @@
             due_ms: due_ms as i32,
             priority: work.priority,
             result_bytes: work.result_bytes,
-            near: work.near.as_deref().unwrap_or_default().to_owned(),
-            content: Bytes::copy_from_slice(work.content.bytes()),
+            consumer_domain: work.near.as_deref().unwrap_or_default().to_owned(),
+            fingerprint: Bytes::copy_from_slice(work.content.bytes()),
             allowed_regions: work.residency.regions().map(|region| region.to_string()).collect(),
         }
     }
 
-    fn work_from(&self, sender: SocketAddr, message: StageWork) -> Work {
+    fn decode_work(&self, sender: SocketAddr, message: StageWork) -> Work {
         let now = self.clock.now().monotonic;
         let input = match message.key {
             Some(key) => PieceInput::Key(key.into()),
@@ -420,7 +420,7 @@
         Work {
             pool: MakerPool {
                 service: message.service.into(),
-                failure_domain: (!message.makers_of.is_empty()).then(|| message.makers_of.into()),
+                failure_domain: (!message.worker_domain.is_empty()).then(|| message.worker_domain.into()),
             },
             request_id: message.request_id.as_str().into(),
             stage: message.stage,
@@ -430,22 +430,22 @@
             deadline_at: now + Duration::from_millis(u64::from(message.remaining_ms)),
             priority: message.priority,
             result_bytes: message.result_bytes,
-            residency: residency_from(message.allowed_regions),
+            residency: decode_residency(message.allowed_regions),
             asker: sender,
             // A node of before says nothing; what it asks for is alike to nobody's.
-            content: ContentKey::from_bytes(&message.content)
+            content: ContentKey::from_bytes(&message.fingerprint)
                 .unwrap_or_else(|| ContentKey::of(None, "", message.request_id.as_bytes())),
-            near: (!message.near.is_empty()).then(|| message.near.into()),
+            near: (!message.consumer_domain.is_empty()).then(|| message.consumer_domain.into()),
         }
     }
 }
 
 /// Reads the regions that a peer names. It asks for nothing that is allowed nowhere, so none stand for any.
-fn residency_from(regions: Vec<String>) -> Residency {
+fn decode_residency(regions: Vec<String>) -> Residency {
     if regions.is_empty() { Residency::default() } else { Residency::within(regions) }
 }
 
-fn done_message(ticket: u64, end: WorkEnd) -> StageDone {
+fn encode_done(ticket: u64, end: WorkEnd) -> StageDone {
     let (outcome, handles) = match end {
         WorkEnd::Made(handles) => (0, handles),
         WorkEnd::Late => (1, Vec::new()),
--- a/crates/fernring-gateway/src/store/index.rs
+++ b/crates/fernring-gateway/src/store/index.rs
@@ -18,14 +18,14 @@
     pub(super) fn add(&mut self, key: UpstreamKey, record: &UpstreamRecord) {
         self.by_service.entry(record.service.clone()).or_default().push(key);
         self.by_address.entry(record.address).or_default().push(key);
-        self.by_run.entry(record.run_hash()).or_default().push(key);
+        self.by_run.entry(record.incarnation_hash()).or_default().push(key);
     }
 
     /// Removes an upstream that was added with this record.
     pub(super) fn remove(&mut self, key: UpstreamKey, record: &UpstreamRecord) {
         remove(&mut self.by_service, &record.service, key);
         remove(&mut self.by_address, &record.address, key);
-        remove(&mut self.by_run, &record.run_hash(), key);
+        remove(&mut self.by_run, &record.incarnation_hash(), key);
     }
 
     /// Lists the upstreams of a service.
--- a/crates/fernring-gateway/src/store/records.rs
+++ b/crates/fernring-gateway/src/store/records.rs
@@ -13,7 +13,7 @@
     },
     fernring_core::clock::saturating_ms,
     fernring_protocol::gateway::{
-        DirectoryRecord, EvacuationWord, RolloutReport, RolloutStanding, RolloutWord, RouteReport,
+        DirectoryRecord, EvacuationOrderMessage, RolloutReport, RolloutPhase, RolloutOrderMessage, RouteReport,
         VersionAnswers,
     },
     std::{sync::Arc, time::Duration},
@@ -36,7 +36,7 @@
         }
         Entry::Unusable => {
             let removed = DirectoryRecord { instance, offset, era, ..Default::default() };
-            return DirectoryRecord { is_removed: true, is_unusable: true, ..removed };
+            return DirectoryRecord { is_removed: true, is_unreadable: true, ..removed };
         }
     };
     DirectoryRecord {
@@ -49,7 +49,7 @@
         is_draining: record.state == UpstreamState::Draining,
         is_removed: false,
         started_ms: record.started_ms,
-        is_unusable: false,
+        is_unreadable: false,
         era,
         sequence: record.sequence,
         cold_ms: record.cold_for.unwrap_or_default().as_millis() as u32,
@@ -62,7 +62,7 @@
     let instance: Arc<str> = record.instance.into();
     let at = Position::new(record.era, record.offset);
     if record.is_removed {
-        let entry = if record.is_unusable { Entry::Unusable } else { Entry::Removed };
+        let entry = if record.is_unreadable { Entry::Unusable } else { Entry::Removed };
         return Some(Change { instance, at, entry });
     }
     let state = match record.is_draining {
@@ -85,8 +85,8 @@
 }
 
 /// Encodes an operator's word on a failure domain for a peer.
-pub(crate) fn evacuation_word((failure_domain, word): (&Arc<str>, &Word)) -> EvacuationWord {
-    EvacuationWord {
+pub(crate) fn evacuation_word((failure_domain, word): (&Arc<str>, &Word)) -> EvacuationOrderMessage {
+    EvacuationOrderMessage {
         failure_domain: failure_domain.to_string(),
         is_in_force: word.is_in_force,
         offset: word.at.offset,
@@ -95,7 +95,7 @@
 }
 
 /// Decodes a word that a peer passes on, and on which failure domain.
-pub(crate) fn evacuation_from(word: &EvacuationWord) -> (Arc<str>, Word) {
+pub(crate) fn evacuation_from(word: &EvacuationOrderMessage) -> (Arc<str>, Word) {
     let at = Position::new(word.era, word.offset);
     (word.failure_domain.as_str().into(), Word { at, is_in_force: word.is_in_force })
 }
@@ -106,44 +106,44 @@
     service: &str,
     word: &OrderWord,
     is_withdrawn: bool,
-) -> RolloutWord {
+) -> RolloutOrderMessage {
     let age_ms = |at: Duration| saturating_ms(now.saturating_sub(at)) as u32;
-    let told = RolloutWord {
+    let told = RolloutOrderMessage {
         service: service.to_owned(),
         destination: word.order.destination.to_string(),
         offset: word.at.offset,
         era: word.at.era,
         duration_ms: saturating_ms(word.order.duration),
-        left_ms: saturating_ms(word.deadline_at.saturating_sub(now)),
+        remaining_ms: saturating_ms(word.deadline_at.saturating_sub(now)),
         is_withdrawn,
-        ..RolloutWord::default()
+        ..RolloutOrderMessage::default()
     };
     let with =
-        |standing: RolloutStanding| RolloutWord { standing: standing.into(), ..told.clone() };
+        |standing: RolloutPhase| RolloutOrderMessage { phase: standing.into(), ..told.clone() };
     match word.standing {
-        Standing::Unknown => with(RolloutStanding::Unknown),
-        Standing::Completed => with(RolloutStanding::Completed),
-        Standing::RolledBack => with(RolloutStanding::RolledBack),
-        Standing::Running { share, serial, said_at } => RolloutWord {
+        Standing::Unknown => with(RolloutPhase::Unknown),
+        Standing::Completed => with(RolloutPhase::Completed),
+        Standing::RolledBack => with(RolloutPhase::RolledBack),
+        Standing::Running { share, serial, said_at } => RolloutOrderMessage {
             share,
             serial,
-            said_ms: age_ms(said_at),
-            ..with(RolloutStanding::Running)
+            decision_age_ms: age_ms(said_at),
+            ..with(RolloutPhase::Running)
         },
     }
 }
 
 /// Decodes what a peer says of a service's order.
-pub(crate) fn rollout_word_from(now: Duration, word: &RolloutWord) -> (Arc<str>, OrderWord) {
+pub(crate) fn rollout_word_from(now: Duration, word: &RolloutOrderMessage) -> (Arc<str>, OrderWord) {
     let ago = |ms: u32| now.saturating_sub(Duration::from_millis(ms.into()));
-    let standing = match word.standing() {
-        RolloutStanding::Unknown => Standing::Unknown,
-        RolloutStanding::Completed => Standing::Completed,
-        RolloutStanding::RolledBack => Standing::RolledBack,
-        RolloutStanding::Running => Standing::Running {
+    let standing = match word.phase() {
+        RolloutPhase::Unknown => Standing::Unknown,
+        RolloutPhase::Completed => Standing::Completed,
+        RolloutPhase::RolledBack => Standing::RolledBack,
+        RolloutPhase::Running => Standing::Running {
             share: word.share.clamp(0.0, 1.0),
             serial: word.serial,
-            said_at: ago(word.said_ms),
+            said_at: ago(word.decision_age_ms),
         },
     };
     let order = Order {
@@ -151,7 +151,7 @@
         duration: Duration::from_millis(word.duration_ms),
     };
     let at = Position::new(word.era, word.offset);
-    let deadline_at = now + Duration::from_millis(word.left_ms);
+    let deadline_at = now + Duration::from_millis(word.remaining_ms);
     (word.service.as_str().into(), OrderWord { order, at, deadline_at, standing })
 }
 
@@ -164,7 +164,7 @@
 ) -> RolloutReport {
     let answers = |answers: &Answers| VersionAnswers {
         failed: answers.failed,
-        times: answers.times.to_vec(),
+        latency_counts: answers.times.to_vec(),
     };
     let routes = counts.routes.iter().map(|(route, of_route)| RouteReport {
         route: route.to_string(),
@@ -178,7 +178,7 @@
         incarnation: 0,
         requests: counts.requests,
         exposed: counts.exposed,
-        at_others: counts.at_others,
+        in_flight_others: counts.at_others,
         is_drained,
         routes: routes.collect(),
     }
@@ -187,7 +187,7 @@
 /// Decodes what a node counts of an order.
 pub(crate) fn rollout_counts(report: RolloutReport) -> Counts {
     let answers = |answers: VersionAnswers| {
-        let time = |class: usize| answers.times.get(class).copied().unwrap_or(0);
+        let time = |class: usize| answers.latency_counts.get(class).copied().unwrap_or(0);
         Answers { failed: answers.failed, times: std::array::from_fn::<_, TIME_CLASSES, _>(time) }
     };
     let routes = report.routes.into_iter().map(|route| {
@@ -198,7 +198,7 @@
     Counts {
         requests: report.requests,
         exposed: report.exposed,
-        at_others: report.at_others,
+        at_others: report.in_flight_others,
         routes: routes.collect(),
     }
 }
--- a/crates/fernring-gateway/src/store/store_loops/joining.rs
+++ b/crates/fernring-gateway/src/store/store_loops/joining.rs
@@ -33,7 +33,7 @@
     pub async fn join(self: Rc<Self>) {
         let mut pause = PAUSE_FIRST;
         loop {
-            match self.store.newest(Topic::Nodes, None).await {
+            match self.store.read_newest(Topic::Nodes, None).await {
                 Ok(newest) => {
                     let recorded = self.take_nodes(&newest.page);
                     if recorded > WRITERS_MAX {
@@ -68,7 +68,7 @@
     async fn read_other_nodes(&self, mut after: Arc<str>) {
         sleep(START_TIME).await;
         while self.peers.reader_part() != ReaderPart::None {
-            match self.store.newest(Topic::Nodes, Some(&after)).await {
+            match self.store.read_newest(Topic::Nodes, Some(&after)).await {
                 Ok(newest) => {
                     self.take_nodes(&newest.page);
                     let Some(next) = newest.next else {
@@ -104,7 +104,7 @@
     /// Takes in the era of the store that an answer or a peer names. In a later one than was known, what this node wrote may
     /// be lost, and it writes it again.
     pub fn hear_era(self: &Rc<Self>, era: u64) {
-        self.store.note_era(era);
+        self.store.record_era(era);
         let Some(before) = self.joined_in.get().filter(|before| *before < self.store.era()) else {
             return;
         };
--- a/crates/fernring-gateway/src/store/store_loops/listing.rs
+++ b/crates/fernring-gateway/src/store/store_loops/listing.rs
@@ -4,7 +4,7 @@
     super::{Followed, StoreLoops},
     crate::{
         directory::{Change, Effect, Entry},
-        log, measures,
+        log, telemetry,
         position::Position,
         wire::{KeyedRecord, Page, Topic},
     },
@@ -67,7 +67,7 @@
         };
         // Whole readings bring it again and again; it is said once.
         if !self.upstreams.directory().is_refused(&record.key, at) {
-            measures::record_refused(Topic::Upstreams.name());
+            telemetry::record_rejected_record(Topic::Upstreams.name());
             let line = LogLine::event("upstream_refused").with("instance", &record.key);
             log::warn(line.with("record", at).with("error", error));
         }
@@ -143,7 +143,7 @@
     if let Entry::Present(record) = &change.entry
         && record.cold_for.is_none()
     {
-        measures::record_refused(Topic::Upstreams.name());
+        telemetry::record_rejected_record(Topic::Upstreams.name());
         let line = LogLine::event("cold_time_refused").with("instance", &change.instance);
         log::warn(line.with("record", change.at));
     }
--- a/crates/fernring-gateway/src/store/store_loops/mod.rs
+++ b/crates/fernring-gateway/src/store/store_loops/mod.rs
@@ -18,7 +18,7 @@
         config::ConfigState,
         following::Following,
         freshness::read_wait,
-        log, measures,
+        log, telemetry,
         members::ReaderPart,
         owner::Owner,
         peers::Peers,
@@ -222,10 +222,10 @@
         reading: &mut WholeReading,
     ) -> Result<Option<Page>, StoreError> {
         let is_first = !reading.has_begun();
-        let page = self.store.newest(what.topic(), reading.next()).await?;
+        let page = self.store.read_newest(what.topic(), reading.next()).await?;
         let whole = reading.take(page)?;
         if whole.is_none() {
-            measures::store_called(what.topic().name(), "answered");
+            telemetry::record_store_call(what.topic().name(), "answered");
             if let Some(first) = reading.pages().filter(|_| is_first) {
                 self.take_preview(what, first);
             }
@@ -291,7 +291,7 @@
             sleep(sure_for.max(SILENCE_CHECK_MIN)).await;
             let is_in_doubt = self.following(what).borrow().freshness().is_in_doubt(self.now());
             let has_time = wait.is_zero() || self.part() == ReaderPart::Alone;
-            if is_in_doubt && !has_time && !self.store.receives(what.topic()) {
+            if is_in_doubt && !has_time && !self.store.is_receiving(what.topic()) {
                 return;
             }
         }
@@ -364,7 +364,7 @@
     }
 
     fn answered(&self, what: Followed) {
-        measures::store_called(what.topic().name(), "answered");
+        telemetry::record_store_call(what.topic().name(), "answered");
         if what == Followed::Config {
             return;
         }
@@ -376,7 +376,7 @@
     }
 
     fn did_not_answer(&self, topic: Topic, error: &StoreError) {
-        measures::store_called(topic.name(), "failed");
+        telemetry::record_store_call(topic.name(), "failed");
         let line = LogLine::event("store_call_failed").with("topic", topic.name());
         log::warn(line.with("error", error));
         if topic == Topic::Upstreams {
@@ -424,7 +424,7 @@
 /// Says that a page held records without a readable key. Only a read of changes brings them, so each is said once.
 fn note_unreadable(topic: Topic, page: &Page) {
     if page.unreadable > 0 {
-        measures::record_refused(topic.name());
+        telemetry::record_rejected_record(topic.name());
         let line = LogLine::event("records_unreadable").with("topic", topic.name());
         log::warn(line.with("records", page.unreadable).with("end", page.end));
     }
--- a/crates/fernring-gateway/src/store/store_loops/operators.rs
+++ b/crates/fernring-gateway/src/store/store_loops/operators.rs
@@ -5,13 +5,13 @@
     crate::{
         directory::Upstream,
         evacuations::Word,
-        log, measures,
+        log, telemetry,
         position::Position,
         wire::{EvacuationRecord, Malformed, Page, Topic},
     },
     bytes::Bytes,
     fernring_core::text::LogLine,
-    fernring_protocol::packing::{pack, unpack},
+    fernring_protocol::compression::{compress, decompress},
     std::sync::Arc,
 };
 
@@ -50,7 +50,7 @@
         self.rollouts.take_records(rollouts, is_whole, page.end_position());
         for (record, at) in configs {
             if let Some(value) = &record.value {
-                self.take_config(value, pack(value), at.next(), "store");
+                self.take_config(value, compress(value), at.next(), "store");
             }
         }
     }
@@ -94,7 +94,7 @@
         };
         let (from, to) = (self.config.borrow().version(), config.version);
         let packed_bytes = packed.len();
-        if !self.config.borrow_mut().offer(config, packed, end) {
+        if !self.config.borrow_mut().apply_if_newer(config, packed, end) {
             return;
         }
         let mut following = self.following(Followed::Config).borrow_mut();
@@ -131,7 +131,7 @@
     /// Takes in a packed configuration that a peer passes on, with the store's number after it. It confirms nothing:
     /// if it can't be read, what is known here may well be out of date.
     pub fn take_peer_config(&self, packed: Bytes, end: Position) {
-        match unpack(&packed) {
+        match decompress(&packed) {
             Ok(record) => self.take_config(&record, packed, end, "peer"),
             Err(error) => config_refused("peer", &error),
         }
@@ -140,7 +140,7 @@
 
 /// Says that an operator's word can't be read.
 fn evacuation_refused(failure_domain: &str, at: Position, error: &Malformed) {
-    measures::record_refused(Topic::Config.name());
+    telemetry::record_rejected_record(Topic::Config.name());
     let line = LogLine::event("evacuation_refused").with("failure_domain", failure_domain);
     log::warn(line.with("record", at).with("error", error));
 }
--- a/crates/fernring-gateway/src/measures.rs
+++ b/crates/fernring-gateway/src/telemetry.rs
@@ -15,28 +15,28 @@
 
 /// Most values of a label that operators' configuration names. Further ones are counted
 /// together, so that a configuration with thousands of routes doesn't fill the memory.
-const LABELS_MAX: usize = 64;
+const LABEL_VALUES_MAX: usize = 64;
 /// The value that further ones are counted under.
-const OTHER: &str = "other";
+const OTHER_LABEL: &str = "other";
 
 thread_local! {
     static LABELS: RefCell<HashSet<Arc<str>>> = RefCell::default();
 }
 
 /// Returns a name as a label's value, or [`OTHER`] if there are too many.
-fn bounded(name: &Arc<str>) -> Arc<str> {
+fn bounded_label(name: &Arc<str>) -> Arc<str> {
     LABELS.with_borrow_mut(|labels| {
-        if labels.contains(name) || (labels.len() < LABELS_MAX && labels.insert(name.clone())) {
+        if labels.contains(name) || (labels.len() < LABEL_VALUES_MAX && labels.insert(name.clone())) {
             name.clone()
         } else {
-            OTHER.into()
+            OTHER_LABEL.into()
         }
     })
 }
 
 /// Counts a request's end, by the outcome's code (1000 for an answer), and its time.
-pub(crate) fn request_ended(pipeline: &Arc<str>, outcome: &'static str, took: Duration) {
-    let pipeline = bounded(pipeline);
+pub(crate) fn record_request(pipeline: &Arc<str>, outcome: &'static str, took: Duration) {
+    let pipeline = bounded_label(pipeline);
     let labels = [("pipeline", pipeline.to_string()), ("outcome", outcome.to_owned())];
     counter!("fernring_gateway_requests_total", &labels).increment(1);
     histogram!("fernring_gateway_request_seconds", "pipeline" => pipeline.to_string())
@@ -44,62 +44,62 @@
 }
 
 /// Counts a request that was refused before it had a pipeline, or by its own fault.
-pub(crate) fn request_refused(code: u16) {
+pub(crate) fn record_request_refused(code: u16) {
     counter!("fernring_gateway_refused_total", "code" => code.to_string()).increment(1);
 }
 
 /// Counts a send to an upstream, by how it ended.
-pub(crate) fn send_ended(service: &Arc<str>, end: &'static str) {
-    let labels = [("service", bounded(service).to_string()), ("end", end.to_owned())];
+pub(crate) fn record_send(service: &Arc<str>, end: &'static str) {
+    let labels = [("service", bounded_label(service).to_string()), ("end", end.to_owned())];
     counter!("fernring_gateway_sends_total", &labels).increment(1);
 }
 
 /// Counts a stage's end, and its time.
-pub(crate) fn stage_ended(service: &Arc<str>, outcome: &'static str, took: Duration) {
-    let service = bounded(service).to_string();
+pub(crate) fn record_stage(service: &Arc<str>, outcome: &'static str, took: Duration) {
+    let service = bounded_label(service).to_string();
     let labels = [("service", service.clone()), ("outcome", outcome.to_owned())];
     counter!("fernring_gateway_stages_total", &labels).increment(1);
     histogram!("fernring_gateway_stage_seconds", "service" => service).record(took.as_secs_f64());
 }
 
 /// Counts a call on pieces: how many it held, and how many wait for the next.
-pub(crate) fn batch_called(service: &Arc<str>, pieces: usize, waiting: usize) {
-    let service = bounded(service).to_string();
+pub(crate) fn record_batch(service: &Arc<str>, pieces: usize, waiting: usize) {
+    let service = bounded_label(service).to_string();
     histogram!("fernring_gateway_batch_pieces", "service" => service.clone()).record(pieces as f64);
     gauge!("fernring_gateway_waiting_pieces", "service" => service).set(waiting as f64);
 }
 
 /// Counts a call to the store.
-pub(crate) fn store_called(topic: &'static str, outcome: &'static str) {
+pub(crate) fn record_store_call(topic: &'static str, outcome: &'static str) {
     counter!("fernring_gateway_store_calls_total", "topic" => topic, "outcome" => outcome)
         .increment(1);
 }
 
 /// Counts a record of the store that can't be read, once for each time that it was written.
-pub(crate) fn record_refused(topic: &'static str) {
+pub(crate) fn record_rejected_record(topic: &'static str) {
     counter!("fernring_gateway_records_refused_total", "topic" => topic).increment(1);
 }
 
 /// Counts an upstream that ended with requests in hand.
-pub(crate) fn upstream_ended() {
+pub(crate) fn record_upstream_crash() {
     counter!("fernring_gateway_upstreams_ended_total").increment(1);
 }
 
 /// Counts a send that the retry budget did not allow.
-pub(crate) fn budget_spent(service: &Arc<str>) {
-    let service = bounded(service).to_string();
+pub(crate) fn record_retry_denied(service: &Arc<str>) {
+    let service = bounded_label(service).to_string();
     counter!("fernring_gateway_budget_refused_total", "service" => service).increment(1);
 }
 
 /// Counts a question whether an upstream that names a limit may be sent to.
-pub(crate) fn turn_asked(is_granted: bool) {
+pub(crate) fn record_permit(is_granted: bool) {
     let outcome = if is_granted { "granted" } else { "denied" };
     counter!("fernring_gateway_limited_turns_total", "outcome" => outcome).increment(1);
 }
 
 /// What is read off a node when its metrics are rendered.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Readings {
+pub(crate) struct GaugeValues {
     /// Version of the configuration in force.
     pub(crate) config_version: u64,
     /// Time since the configuration was last read or confirmed, if it ever was.
@@ -113,7 +113,7 @@
     /// Requests in flight.
     pub(crate) in_flight: isize,
     /// Contents that are turned away, since upstreams ended under them.
-    pub(crate) turned_away: usize,
+    pub(crate) quarantined: usize,
     /// Connections of callers.
     pub(crate) caller_connections: usize,
     /// Connections to upstreams.
@@ -129,15 +129,15 @@
 }
 
 /// Sets the number of live peers that are heard, by failure domain.
-pub(crate) fn set_heard(by_domain: &BTreeMap<Arc<str>, usize>) {
+pub(crate) fn set_reachable_nodes(by_domain: &BTreeMap<Arc<str>, usize>) {
     for (domain, count) in by_domain {
-        let domain = bounded(domain).to_string();
+        let domain = bounded_label(domain).to_string();
         gauge!("fernring_gateway_heard_nodes", "failure_domain" => domain).set(*count as f64);
     }
 }
 
 /// Sets the gauges.
-pub(crate) fn set(readings: Readings) {
+pub(crate) fn set_gauges(readings: GaugeValues) {
     gauge!("fernring_gateway_config_version").set(readings.config_version as f64);
     if let Some(age) = readings.config_age {
         gauge!("fernring_gateway_config_age_seconds").set(age.as_secs_f64());
@@ -146,7 +146,7 @@
     gauge!("fernring_gateway_delegate").set(f64::from(u8::from(readings.is_delegate)));
     gauge!("fernring_gateway_upstreams").set(readings.upstreams as f64);
     gauge!("fernring_gateway_requests_in_flight").set(readings.in_flight as f64);
-    gauge!("fernring_gateway_turned_away").set(readings.turned_away as f64);
+    gauge!("fernring_gateway_turned_away").set(readings.quarantined as f64);
     gauge!("fernring_gateway_connections", "side" => "callers")
         .set(readings.caller_connections as f64);
     gauge!("fernring_gateway_connections", "side" => "upstreams")
--- a/crates/fernring-gateway/src/upstreams/access.rs
+++ b/crates/fernring-gateway/src/upstreams/access.rs
@@ -8,7 +8,7 @@
         connections::SendFailure,
         directory::Upstream,
         evacuations::Evacuations,
-        model::{ColdBounds, ColdStart, UpstreamKey},
+        model::{ColdRateLimit, ColdStart, UpstreamKey},
         residency::{Regions, Residency},
         settings::ColdSettings,
     },
@@ -36,7 +36,7 @@
 
 impl Cold {
     fn asker(&self, upstream: &Upstream) -> Asker {
-        let upstream = u64::from(upstream.record.run_hash());
+        let upstream = u64::from(upstream.record.incarnation_hash());
         Asker { node: self.node, upstream, nodes: self.nodes.most() }
     }
 }
@@ -118,7 +118,7 @@
         }
     }
 
-    pub(super) fn asked(&self, key: UpstreamKey) -> Result<Option<ColdBounds>, Barred> {
+    pub(super) fn asked(&self, key: UpstreamKey) -> Result<Option<ColdRateLimit>, Barred> {
         let directory = self.directory.borrow();
         let upstream = directory.get(key).ok_or(Barred::Gone)?;
         self.may_send_to(key, upstream, self.cold_start(&upstream.record.service))
@@ -134,7 +134,7 @@
         key: UpstreamKey,
         upstream: &Upstream,
         cold_start: Option<ColdStart>,
-    ) -> Result<Option<ColdBounds>, Barred> {
+    ) -> Result<Option<ColdRateLimit>, Barred> {
         if !upstream.takes_work() {
             return Err(Barred::Leaving);
         }
@@ -162,14 +162,14 @@
         key: UpstreamKey,
         upstream: &Upstream,
         start: ColdStart,
-    ) -> Option<ColdBounds> {
+    ) -> Option<ColdRateLimit> {
         let cold = self.cold.borrow();
         let now = self.clock.now().monotonic;
         let no_listener = cold.no_listener.get(key);
         let record_at = upstream.at;
-        let is_suspected = no_listener.is_some_and(|no| no.is_cold(now, record_at, start.time));
+        let is_suspected = no_listener.is_some_and(|no| no.is_cold(now, record_at, start.duration));
         let ColdSettings { overage, slack } = cold.settings;
-        let bounds = ColdBounds { per_s: start.per_s, overage, slack };
+        let bounds = ColdRateLimit { per_s: start.per_s, overage, slack };
         (is_suspected || upstream.is_cold(now)).then_some(bounds)
     }
 
--- a/crates/fernring-gateway/src/upstreams/health.rs
+++ b/crates/fernring-gateway/src/upstreams/health.rs
@@ -29,7 +29,7 @@
     /// long it is avoided now.
     pub fn failed(&self, now: Duration, key: UpstreamKey) -> Duration {
         if let Some(pool) = self.pools.borrow().get(key) {
-            pool.forget_idle();
+            pool.close_idle();
         }
         let mut health = self.health.borrow_mut();
         let Some(entry) = health.entry(key) else {
@@ -59,7 +59,7 @@
         let until = |health: &Health| health.unreachable_until.max(health.told_on_until);
         let named = health.iter().filter(|(_, health)| now < until(health));
         let instances = named.filter_map(|(key, _)| directory.get(key));
-        instances.map(|upstream| upstream.record.run_hash()).collect()
+        instances.map(|upstream| upstream.record.incarnation_hash()).collect()
     }
 
     /// Takes in the upstreams that took no connection of a peer in the same failure domain. `tells_on` says whether
--- a/crates/fernring-gateway/src/upstreams/limited.rs
+++ b/crates/fernring-gateway/src/upstreams/limited.rs
@@ -9,12 +9,12 @@
         backlog::RANKS,
         barred::Barred,
         limits::{LimitChange, LimitWord, Limits},
-        log, measures,
-        model::{SaidLimit, UpstreamKey, UpstreamRecord},
+        log, telemetry,
+        model::{LimitHeader, UpstreamKey, UpstreamRecord},
         turns_granted::{Denied, Grants, drained_together, part_of},
     },
     fernring_core::text::LogLine,
-    fernring_protocol::gateway::{self, TurnAnswer, TurnQuestion},
+    fernring_protocol::gateway::{self, PermitResponse, PermitRequest},
     std::{
         collections::{HashMap, HashSet},
         net::SocketAddr,
@@ -51,10 +51,10 @@
     fn is_behind(&self) -> bool;
 
     /// Sends a question.
-    fn ask(&self, counter: SocketAddr, question: TurnQuestion);
+    fn ask(&self, counter: SocketAddr, question: PermitRequest);
 
     /// Sends an answer.
-    fn answer(&self, asker: SocketAddr, answer: TurnAnswer);
+    fn answer(&self, asker: SocketAddr, answer: PermitResponse);
 }
 
 /// That an upstream takes no more for some time, as this node was told.
@@ -74,7 +74,7 @@
     /// What this node has granted.
     grants: HashMap<u64, Grants>,
     /// Questions that wait for their answers.
-    pending: HashMap<u64, oneshot::Sender<TurnAnswer>>,
+    pending: HashMap<u64, oneshot::Sender<PermitResponse>>,
     /// Starts whose last answer named a limit that is no number: said once, not with each answer.
     refused: HashSet<u64>,
     last_ticket: u64,
@@ -103,10 +103,10 @@
         self.limits.of(run).is_some() && until.is_some_and(|until| now < until)
     }
 
-    fn message(&self, now: Duration, run: u64) -> gateway::LimitWord {
+    fn message(&self, now: Duration, run: u64) -> gateway::AnnouncedLimit {
         let word = self.limits.word(run);
-        gateway::LimitWord {
-            run,
+        gateway::AnnouncedLimit {
+            incarnation_id: run,
             per_s: word.and_then(|word| word.per_s),
             age_ms: word.map_or(u32::MAX, |word| age_ms(now, word.at)),
         }
@@ -120,10 +120,10 @@
     }
 
     /// Takes in what an answer of an upstream says of how much it takes, whose request left at `sent_at`.
-    pub fn said_limit(&self, target: &Target, sent_at: Duration, said: SaidLimit) {
+    pub fn said_limit(&self, target: &Target, sent_at: Duration, said: LimitHeader) {
         let (now, run) = (self.clock.now().monotonic, target.run_id());
         let mut limited = self.limited.borrow_mut();
-        if said == SaidLimit::Unreadable {
+        if said == LimitHeader::Unreadable {
             // What was known stays.
             if limited.refused.insert(run) {
                 let line = LogLine::event("upstream_limit_refused");
@@ -138,7 +138,7 @@
     }
 
     /// Takes in what a peer tells of upstreams' limits.
-    pub fn told_limits(&self, words: &[gateway::LimitWord]) {
+    pub fn told_limits(&self, words: &[gateway::AnnouncedLimit]) {
         let now = self.clock.now().monotonic;
         for word in words {
             let at = now.saturating_sub(Duration::from_millis(word.age_ms.into()));
@@ -146,15 +146,15 @@
                 continue;
             }
             let told = LimitWord { per_s: word.per_s, at };
-            let change = self.limited.borrow_mut().limits.told(word.run, told);
+            let change = self.limited.borrow_mut().limits.told(word.incarnation_id, told);
             if let Some(change) = change {
-                log_limit(word.run, change, "peer");
+                log_limit(word.incarnation_id, change, "peer");
             }
         }
     }
 
     /// Lists what peers are to be told of upstreams' limits.
-    pub fn limits_to_tell(&self) -> Vec<gateway::LimitWord> {
+    pub fn limits_to_tell(&self) -> Vec<gateway::AnnouncedLimit> {
         let now = self.clock.now().monotonic;
         let mut limited = self.limited.borrow_mut();
         let mut runs: Vec<_> = limited.limits.to_tell(now).map(|(run, _)| run).collect();
@@ -173,7 +173,7 @@
 
     /// Returns the requests a second that an upstream takes from all nodes, if it names a limit.
     pub fn limit_of(&self, record: &UpstreamRecord) -> Option<f64> {
-        self.limited.borrow().limits.of(record.run_id())
+        self.limited.borrow().limits.of(record.incarnation_id())
     }
 
     /// Tells whether this node knows that an upstream takes no more of a rank now.
@@ -184,7 +184,7 @@
         rank: usize,
     ) -> bool {
         let limited = self.limited.borrow();
-        !limited.closed.is_empty() && limited.is_closed(now, record.run_id(), rank)
+        !limited.closed.is_empty() && limited.is_closed(now, record.incarnation_id(), rank)
     }
 
     /// Tells whether an upstream takes no word of results that are given up now.
@@ -206,7 +206,7 @@
             .filter(|(key, upstream)| self.may_send_to(*key, upstream, cold_start).is_ok());
         let mut drained = Vec::new();
         for (_, upstream) in able {
-            let run = upstream.record.run_id();
+            let run = upstream.record.incarnation_id();
             if !limited.is_closed(now, run, rank) {
                 return None;
             }
@@ -240,7 +240,7 @@
             None => self.grant(run, rank),
             Some((counters, counter)) => self.ask(&**counters, counter, run, rank).await,
         };
-        measures::turn_asked(asked.is_ok());
+        telemetry::record_permit(asked.is_ok());
         let now = self.clock.now().monotonic;
         asked.map_err(|denied| {
             self.limited.borrow_mut().close(now, run, rank, denied);
@@ -280,7 +280,7 @@
             let ticket = limited.last_ticket;
             limited.pending.retain(|_, waiting| !waiting.is_closed());
             limited.pending.insert(ticket, sender);
-            TurnQuestion { ticket, word: limited.message(now, run), rank: rank as u32 }
+            PermitRequest { ticket, limit: limited.message(now, run), rank: rank as u32 }
         };
         counters.ask(counter, question);
         let Ok(Ok(answer)) = timeout(ANSWER_WAIT, receiver).await else {
@@ -290,12 +290,12 @@
                 drained_after: UNANSWERED_PAUSE,
             });
         };
-        self.told_limits(&[answer.word]);
+        self.told_limits(&[answer.limit]);
         match answer.is_granted {
             true => Ok(()),
             false => Err(Denied {
-                ask_again_after: Duration::from_millis(answer.ask_again_ms.into()),
-                drained_after: Duration::from_millis(answer.drained_ms.into()),
+                ask_again_after: Duration::from_millis(answer.retry_after_ms.into()),
+                drained_after: Duration::from_millis(answer.queue_drain_ms.into()),
             }),
         }
     }
@@ -323,19 +323,19 @@
     }
 
     /// Takes in a peer's question, and answers it.
-    pub fn turn_asked(&self, asker: SocketAddr, question: TurnQuestion) {
-        self.told_limits(&[question.word]);
-        let run = question.word.run;
+    pub fn turn_asked(&self, asker: SocketAddr, question: PermitRequest) {
+        self.told_limits(&[question.limit]);
+        let run = question.limit.incarnation_id;
         let granted = self.grant(run, question.rank as usize);
         let denied = granted.err();
         let ms = |time: Duration| time.as_millis().min(u32::MAX.into()) as u32;
         let limited = self.limited.borrow();
-        let answer = TurnAnswer {
+        let answer = PermitResponse {
             ticket: question.ticket,
-            word: limited.message(self.clock.now().monotonic, run),
+            limit: limited.message(self.clock.now().monotonic, run),
             is_granted: denied.is_none(),
-            ask_again_ms: denied.map_or(0, |denied| ms(denied.ask_again_after)),
-            drained_ms: denied.map_or(0, |denied| ms(denied.drained_after)),
+            retry_after_ms: denied.map_or(0, |denied| ms(denied.ask_again_after)),
+            queue_drain_ms: denied.map_or(0, |denied| ms(denied.drained_after)),
         };
         if let Some(counters) = &limited.counters {
             counters.answer(asker, answer);
@@ -343,7 +343,7 @@
     }
 
     /// Takes in the answer to a question.
-    pub fn turn_answered(&self, answer: TurnAnswer) {
+    pub fn turn_answered(&self, answer: PermitResponse) {
         let waiting = self.limited.borrow_mut().pending.remove(&answer.ticket);
         // Whoever asked may have left meanwhile; the turn is lost then.
         let _unused = waiting.map(|waiting| waiting.send(answer));
@@ -355,7 +355,7 @@
             return;
         }
         let directory = self.directory.borrow();
-        let runs: HashSet<_> = directory.iter().map(|(_, u)| u.record.run_id()).collect();
+        let runs: HashSet<_> = directory.iter().map(|(_, u)| u.record.incarnation_id()).collect();
         let Limited { limits, closed, grants, refused, .. } = &mut *limited;
         refused.retain(|run| runs.contains(run));
         limits.retain(now, |run| runs.contains(&run));
--- a/crates/fernring-gateway/src/upstreams/loads.rs
+++ b/crates/fernring-gateway/src/upstreams/loads.rs
@@ -120,7 +120,7 @@
         let loads = self.own_loads.borrow();
         let named = loads.iter().filter(|(_, load)| **load >= 0.5).filter_map(|(key, load)| {
             let upstream = directory.get(key)?;
-            Some((upstream.record.run_hash(), *load as u32))
+            Some((upstream.record.incarnation_hash(), *load as u32))
         });
         named.collect()
     }
--- a/crates/fernring-gateway/src/upstreams/mod.rs
+++ b/crates/fernring-gateway/src/upstreams/mod.rs
@@ -18,11 +18,11 @@
     crate::{
         cold::MostNodes,
         config::ConfigState,
-        connections::{Answer, Pool, SendFailure},
+        connections::{UpstreamResponse, ConnectionPool, SendFailure},
         directory::{Change, Directory, Effect, Upstream},
         endings::Run,
         evacuations::Evacuations,
-        model::{UpstreamKey, run_id},
+        model::{UpstreamKey, incarnation_id},
         position::Position,
         residency::{Regions, Residency},
         selection::Candidate,
@@ -56,7 +56,7 @@
 impl Target {
     /// Returns a hash of the start that is meant, like [`crate::model::UpstreamRecord::run_id`].
     pub fn run_id(&self) -> u64 {
-        run_id(&self.instance, self.started_ms)
+        incarnation_id(&self.instance, self.started_ms)
     }
 
     /// Returns the start that is meant.
@@ -87,7 +87,7 @@
     evacuations: RefCell<Evacuations>,
     regions: RefCell<Regions>,
     versions: RefCell<VersionRules>,
-    pools: RefCell<SecondaryMap<UpstreamKey, Pool>>,
+    pools: RefCell<SecondaryMap<UpstreamKey, ConnectionPool>>,
     health: RefCell<SecondaryMap<UpstreamKey, Health>>,
     own_loads: RefCell<SecondaryMap<UpstreamKey, f64>>,
     peer_loads: RefCell<PeerLoads>,
@@ -184,7 +184,7 @@
 
     /// Returns the number of connections to all upstreams.
     pub fn open_connections(&self) -> usize {
-        self.pools.borrow().values().map(Pool::open).sum()
+        self.pools.borrow().values().map(ConnectionPool::open_count).sum()
     }
 
     /// Gives access to the directory.
@@ -256,7 +256,7 @@
     }
 
     /// Forgets all that is kept of an upstream and returns its connections.
-    fn forget(&self, key: UpstreamKey) -> Option<Pool> {
+    fn forget(&self, key: UpstreamKey) -> Option<ConnectionPool> {
         self.health.borrow_mut().remove(key);
         let mut cold = self.cold.borrow_mut();
         cold.turns.remove(key);
@@ -292,7 +292,7 @@
                 return None;
             }
             let failed = health.get(key).is_some_and(|health| now < health.avoid_until);
-            let peers = totals.get(&record.run_hash()).copied().unwrap_or(0.0);
+            let peers = totals.get(&record.incarnation_hash()).copied().unwrap_or(0.0);
             Some(Candidate {
                 key,
                 identity: xxh3_64(record.instance.as_bytes()),
@@ -345,7 +345,7 @@
     ///
     /// # Errors
     /// If no answer came.
-    pub async fn send(&self, target: &Target, sending: Sending) -> Result<Answer, SendFailure> {
+    pub async fn send(&self, target: &Target, sending: Sending) -> Result<UpstreamResponse, SendFailure> {
         let Sending { request, rank, residency, connections_max } = sending;
         let pool = self.pool(target)?;
         let has_turn = Cell::new(false);
@@ -372,7 +372,7 @@
         &self,
         target: &Target,
         sending: Sending,
-    ) -> Result<Answer, SendFailure> {
+    ) -> Result<UpstreamResponse, SendFailure> {
         let Sending { request, rank, connections_max, .. } = sending;
         let has_turn = Cell::new(false);
         let check = async || {
@@ -391,17 +391,17 @@
         (f64::from(connections_max) * CONNECTIONS_PART / self.nodes.get() as f64) as usize
     }
 
-    fn pool(&self, target: &Target) -> Result<Pool, SendFailure> {
+    fn pool(&self, target: &Target) -> Result<ConnectionPool, SendFailure> {
         if self.directory.borrow().get(target.key).is_none() {
             return Err(SendFailure::NotSent("the upstream is gone".to_owned()));
         }
         let mut pools = self.pools.borrow_mut();
         let entry = pools.entry(target.key);
         let entry = entry.ok_or_else(|| SendFailure::NotSent("the upstream is gone".to_owned()))?;
-        let pool = entry.or_insert_with(|| Pool::new(target.address, self.clock.clone()));
+        let pool = entry.or_insert_with(|| ConnectionPool::new(target.address, self.clock.clone()));
         if pool.address() != target.address {
             // Its record names another address now; what runs at the old one may end.
-            *pool = Pool::new(target.address, self.clock.clone());
+            *pool = ConnectionPool::new(target.address, self.clock.clone());
         }
         Ok(pool.clone())
     }
--- a/crates/fernring-gateway/src/wire.rs
+++ b/crates/fernring-gateway/src/wire.rs
@@ -5,7 +5,7 @@
     crate::{
         directory::Entry,
         model::{
-            AnswerFields, BadField, Call, Piece, PieceOutcome, RequestFields, RolloutState,
+            ResponseFields, BadField, Call, Piece, PieceOutcome, RequestFields, RolloutState,
             ServingConfig, UpstreamFields,
         },
         position::Position,
@@ -73,7 +73,7 @@
     fn encode_upstream(&self, headers: &mut HeaderMap, fields: &UpstreamFields);
 
     /// Reads an answer's own fields.
-    fn decode_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerFields;
+    fn decode_response(&self, status: StatusCode, headers: &HeaderMap) -> ResponseFields;
 
     /// Puts into a refusal when to come back.
     fn encode_retry_after(&self, headers: &mut HeaderMap, after: Duration);
@@ -223,7 +223,7 @@
     ///
     /// # Errors
     /// If the store does not answer as asked.
-    async fn newest(&self, topic: Topic, after: Option<&str>) -> Result<NewestPage, StoreError>;
+    async fn read_newest(&self, topic: Topic, after: Option<&str>) -> Result<NewestPage, StoreError>;
 
     /// Reads the records from a number on, and waits up to `wait` for one if there is none.
     ///
@@ -253,8 +253,8 @@
     fn era(&self) -> u64;
 
     /// Takes in an era that another node knows of; answers of an earlier one are dropped from now on.
-    fn note_era(&self, era: u64);
+    fn record_era(&self, era: u64);
 
     /// Tells whether an answer on a topic has begun to come and hasn't ended.
-    fn receives(&self, topic: Topic) -> bool;
+    fn is_receiving(&self, topic: Topic) -> bool;
 }
--- a/crates/fernring-gateway/tests/testsuite/attempts.rs
+++ b/crates/fernring-gateway/tests/testsuite/attempts.rs
@@ -3,14 +3,14 @@
 use {
     fernring_gateway::{
         attempts::{Attempts, SendEnd},
-        model::Repeat,
+        model::RetryPolicy,
     },
     proptest::prelude::*,
 };
 
 #[test]
 fn a_request_that_may_run_once_is_not_sent_again_after_it_may_have_run() {
-    let mut attempts = Attempts::new(Repeat::Never, 5);
+    let mut attempts = Attempts::new(RetryPolicy::Never, 5);
     attempts.ended(SendEnd::Unknown);
     assert!(!attempts.may_send());
     assert!(attempts.not_run().is_none());
@@ -18,7 +18,7 @@
 
 #[test]
 fn a_refusal_that_says_so_allows_another_send_and_the_promise() {
-    let mut attempts = Attempts::new(Repeat::Never, 2);
+    let mut attempts = Attempts::new(RetryPolicy::Never, 2);
     attempts.ended(SendEnd::Refused);
     assert!(attempts.may_send() && attempts.next_is_extra());
     assert!(attempts.not_run().is_some());
@@ -26,7 +26,7 @@
 
 #[test]
 fn sends_that_reached_nobody_do_not_count() {
-    let mut attempts = Attempts::new(Repeat::Never, 1);
+    let mut attempts = Attempts::new(RetryPolicy::Never, 1);
     for _ in 0..10 {
         attempts.ended(SendEnd::NotSent);
         attempts.ended(SendEnd::WrongInstance);
@@ -36,7 +36,7 @@
 
 #[test]
 fn no_more_upstreams_than_allowed_are_sent_to() {
-    let mut attempts = Attempts::new(Repeat::Always, 2);
+    let mut attempts = Attempts::new(RetryPolicy::Always, 2);
     attempts.ended(SendEnd::Unknown);
     assert!(attempts.may_send());
     attempts.ended(SendEnd::Refused);
@@ -60,7 +60,7 @@
         ends in prop::collection::vec(any_end(), 0..20),
         sends_max in 1u32..5,
     ) {
-        let mut attempts = Attempts::new(Repeat::Never, sends_max);
+        let mut attempts = Attempts::new(RetryPolicy::Never, sends_max);
         let mut may_have_run = 0;
         for end in ends {
             if !attempts.may_send() {
--- a/crates/fernring-gateway/tests/testsuite/backlogs.rs
+++ b/crates/fernring-gateway/tests/testsuite/backlogs.rs
@@ -2,7 +2,7 @@
 
 use {
     fernring_gateway::{backlog::Backlog, backlogs::Backlogs, pools::MakerPool},
-    fernring_protocol::gateway::LoadsOf,
+    fernring_protocol::gateway::LoadScope,
     std::{net::SocketAddr, rc::Rc, time::Duration},
 };
 
@@ -35,15 +35,15 @@
     here.heard(
         NOW,
         peer(1),
-        &owner.described(NOW, vec![(service.clone(), backlog(20))], LoadsOf::Sender),
-        LoadsOf::Sender,
+        &owner.described(NOW, vec![(service.clone(), backlog(20))], LoadScope::Sender),
+        LoadScope::Sender,
         false,
     );
     here.heard(
         NOW,
         peer(2),
-        &other.described(NOW, Vec::new(), LoadsOf::Sender),
-        LoadsOf::Sender,
+        &other.described(NOW, Vec::new(), LoadScope::Sender),
+        LoadScope::Sender,
         false,
     );
     assert_eq!(ahead(&here, NOW), Some(25));
@@ -62,8 +62,8 @@
     here.heard(
         NOW,
         peer(1),
-        &here.described(NOW, vec![(first(), backlog(20))], LoadsOf::Sender),
-        LoadsOf::Sender,
+        &here.described(NOW, vec![(first(), backlog(20))], LoadScope::Sender),
+        LoadScope::Sender,
         false,
     );
     assert_eq!(ahead(&here, NOW + Duration::from_millis(500)), Some(20));
@@ -76,8 +76,8 @@
     here.heard(
         NOW,
         peer(1),
-        &here.described(NOW, vec![(first(), backlog(20))], LoadsOf::Sender),
-        LoadsOf::Sender,
+        &here.described(NOW, vec![(first(), backlog(20))], LoadScope::Sender),
+        LoadScope::Sender,
         false,
     );
     let own = here.of(NOW, &first(), Some(backlog(7)));
@@ -88,23 +88,23 @@
 fn promises_of_a_domain_are_added_up_by_a_delegate_and_counted_once() {
     let service = first();
     let [owner, follower, delegate, far] = [(); 4].map(|()| Rc::new(Backlogs::default()));
-    let owned = owner.described(NOW, vec![(service.clone(), backlog(20))], LoadsOf::Nobody);
+    let owned = owner.described(NOW, vec![(service.clone(), backlog(20))], LoadScope::Omitted);
     for node in [&follower, &delegate, &far] {
-        node.heard(NOW, peer(1), &owned, LoadsOf::Nobody, false);
+        node.heard(NOW, peer(1), &owned, LoadScope::Omitted, false);
     }
     let _theirs = follower.promise(&service, 0, 5);
     let _ours = delegate.promise(&service, 1, 2);
-    let told = follower.described(NOW, Vec::new(), LoadsOf::Sender);
-    delegate.heard(NOW, peer(2), &told, LoadsOf::Sender, false);
+    let told = follower.described(NOW, Vec::new(), LoadScope::Sender);
+    delegate.heard(NOW, peer(2), &told, LoadScope::Sender, false);
     assert_eq!(ahead(&delegate, NOW), Some(27));
-    let sums = delegate.described(NOW, Vec::new(), LoadsOf::Domain);
-    far.heard(NOW, peer(3), &sums, LoadsOf::Domain, false);
+    let sums = delegate.described(NOW, Vec::new(), LoadScope::Domain);
+    far.heard(NOW, peer(3), &sums, LoadScope::Domain, false);
     assert_eq!(ahead(&far, NOW), Some(27));
-    follower.heard(NOW, peer(3), &sums, LoadsOf::Domain, true);
+    follower.heard(NOW, peer(3), &sums, LoadScope::Domain, true);
     assert_eq!(ahead(&follower, NOW), Some(27), "what it promised itself isn't counted twice");
     // Heartbeats in between that tell no loads leave the sums as they are.
-    far.heard(NOW, peer(3), &[], LoadsOf::Nobody, false);
+    far.heard(NOW, peer(3), &[], LoadScope::Omitted, false);
     assert_eq!(ahead(&far, NOW), Some(27));
-    let passed_on = far.described(NOW, Vec::new(), LoadsOf::Domain);
+    let passed_on = far.described(NOW, Vec::new(), LoadScope::Domain);
     assert!(passed_on.is_empty(), "sums of other domains aren't passed on");
 }
--- a/crates/fernring-gateway/tests/testsuite/batching.rs
+++ b/crates/fernring-gateway/tests/testsuite/batching.rs
@@ -5,7 +5,7 @@
         backlog::{Backlog, RANKS},
         batching::{BatchQueue, Bound, Makers, Taker, Task},
         content::ContentKey,
-        model::{BatchShape, Piece, PieceInput},
+        model::{BatchConfig, Piece, PieceInput},
         residency::Residency,
         settings::DecideSettings,
     },
@@ -27,12 +27,12 @@
     ranks
 }
 
-fn shape() -> BatchShape {
-    BatchShape {
+fn shape() -> BatchConfig {
+    BatchConfig {
         pieces_max: 4,
         call_time: Duration::from_millis(150),
         piece_time: Duration::from_millis(10),
-        result_room_bytes: 10_000,
+        result_capacity_bytes: 10_000,
         result_lifetime: Duration::from_secs(4),
     }
 }
@@ -95,7 +95,7 @@
     let mut queue = queue([task(1, 50), task(2, 900)]);
     let taken = queue.take(
         NOW,
-        &BatchShape { pieces_max: 1, ..shape() },
+        &BatchConfig { pieces_max: 1, ..shape() },
         at("a", 10_000),
         &RULES,
         no_makers,
@@ -109,7 +109,7 @@
     let mut queue = queue([low, task(2, 900)]);
     let taken = queue.take(
         NOW,
-        &BatchShape { pieces_max: 1, ..shape() },
+        &BatchConfig { pieces_max: 1, ..shape() },
         at("a", 10_000),
         &RULES,
         no_makers,
@@ -170,7 +170,7 @@
 fn a_maker_takes_what_is_read_near_it_before_what_is_read_elsewhere() {
     let read_in =
         |work, domain: &str, due_ms| Task { near: Some(domain.into()), ..task(work, due_ms) };
-    let one = BatchShape { pieces_max: 1, ..shape() };
+    let one = BatchConfig { pieces_max: 1, ..shape() };
     let mut queue_at_hand = queue([read_in(1, "b", 900), read_in(2, "a", 1_050)]);
     assert_eq!(queue_at_hand.take(NOW, &one, at("a", 10_000), &RULES, no_makers).tasks[0].work, 2);
     let mut urgent = queue([read_in(1, "b", 900), read_in(2, "a", 3_000)]);
@@ -198,7 +198,7 @@
 /// of a work that were made apart would take room until the last one is made.
 #[test]
 fn a_work_goes_into_a_call_whole_unless_much_of_the_call_would_stay_empty() {
-    let eight = BatchShape { pieces_max: 8, ..shape() };
+    let eight = BatchConfig { pieces_max: 8, ..shape() };
     let crowd = || queue((1..=4).flat_map(|work| (0..3).map(move |_| task(work, 900 + work * 10))));
     let works = |batch: &fernring_gateway::batching::Batch| -> Vec<u64> {
         batch.tasks.iter().map(|task| task.work).collect()
--- a/crates/fernring-gateway/tests/testsuite/cold.rs
+++ b/crates/fernring-gateway/tests/testsuite/cold.rs
@@ -6,7 +6,7 @@
 use {
     fernring_gateway::{
         cold::{Asker, MostNodes, NoListener, Turns},
-        model::ColdBounds,
+        model::ColdRateLimit,
         position::Position,
     },
     rand::{RngExt, SeedableRng, rngs::StdRng},
@@ -14,7 +14,7 @@
 };
 
 const SECOND: Duration = Duration::from_secs(1);
-const BOUNDS: ColdBounds = ColdBounds { per_s: 9.1, overage: 1.5, slack: 5.0 };
+const BOUNDS: ColdRateLimit = ColdRateLimit { per_s: 9.1, overage: 1.5, slack: 5.0 };
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -64,7 +64,7 @@
             let tries = (0..400).map(|step| start + ms(step * 10));
             most = most.max(crowd.most_in_a_second(upstream, tries));
         }
-        let bound = BOUNDS.per_window(SECOND);
+        let bound = BOUNDS.max_in_window(SECOND);
         println!("{count} nodes: at most {most} of {bound}");
         assert!((most as f64) <= bound, "{count} nodes: {most}");
         assert!(most >= 2, "{count} nodes: an upstream is never used");
--- a/crates/fernring-gateway/tests/testsuite/config.rs
+++ b/crates/fernring-gateway/tests/testsuite/config.rs
@@ -3,7 +3,7 @@
 use {
     fernring_gateway::{
         config::ConfigState,
-        model::{Repeat, Route, ServingConfig, WeightedService},
+        model::{RetryPolicy, Route, ServingConfig, WeightedService},
         residency::Residency,
     },
     std::{sync::Arc, time::Duration},
@@ -14,13 +14,13 @@
         name: path_prefix.into(),
         host: host.to_owned(),
         path_prefix: path_prefix.to_owned(),
-        repeat: Repeat::Always,
+        retry_policy: RetryPolicy::Always,
         streaming: false,
         timeout: Duration::from_secs(1),
         objective: Duration::from_secs(1),
-        patience: Duration::from_secs(2),
+        event_gap_max: Duration::from_secs(2),
         priority: 0,
-        split: vec![WeightedService { service: "s".into(), weight: 1 }],
+        traffic_split: vec![WeightedService { service: "s".into(), weight: 1 }],
         attempts_max: 1,
         stages: Vec::new(),
         is_public: false,
@@ -37,14 +37,14 @@
 fn a_configuration_never_goes_back() {
     let mut state = ConfigState::default();
     assert!(state.current().is_none());
-    assert!(state.offer(version(0), "first".into(), 1.into()), "the first may have any version");
-    assert!(state.offer(version(7), "seven".into(), 5.into()));
-    assert!(!state.offer(version(3), "three".into(), 3.into()));
-    assert!(!state.offer(version(7), "seven again".into(), 6.into()));
+    assert!(state.apply_if_newer(version(0), "first".into(), 1.into()), "the first may have any version");
+    assert!(state.apply_if_newer(version(7), "seven".into(), 5.into()));
+    assert!(!state.apply_if_newer(version(3), "three".into(), 3.into()));
+    assert!(!state.apply_if_newer(version(7), "seven again".into(), 6.into()));
     assert_eq!(state.end(), 5.into(), "what is read next is what comes after the record in force");
-    assert!(state.offer(version(90), "ninety".into(), 9.into()), "versions rise in uneven steps");
+    assert!(state.apply_if_newer(version(90), "ninety".into(), 9.into()), "versions rise in uneven steps");
     assert_eq!(state.version(), 90);
-    assert_eq!(state.current().unwrap().packed, "ninety");
+    assert_eq!(state.current().unwrap().compressed, "ninety");
 }
 
 #[test]
--- a/crates/fernring-gateway/tests/testsuite/directory.rs
+++ b/crates/fernring-gateway/tests/testsuite/directory.rs
@@ -505,9 +505,9 @@
                 assert_eq!(there, found(&|record| record.address == address), "seed {seed}");
             }
             for (_, record) in &all {
-                let run = record.run_hash();
+                let run = record.incarnation_hash();
                 let there: BTreeSet<_> = directory.of_run(run).iter().copied().collect();
-                assert_eq!(there, found(&|other| other.run_hash() == run), "seed {seed}");
+                assert_eq!(there, found(&|other| other.incarnation_hash() == run), "seed {seed}");
             }
         }
     }
--- a/crates/fernring-gateway/tests/testsuite/limits.rs
+++ b/crates/fernring-gateway/tests/testsuite/limits.rs
@@ -3,7 +3,7 @@
 use {
     fernring_gateway::{
         limits::{LimitWord, Limits},
-        model::SaidLimit,
+        model::LimitHeader,
     },
     rand::{RngExt, SeedableRng, rngs::StdRng},
     std::time::Duration,
@@ -17,7 +17,7 @@
 
 fn known(per_s: f64, at_ms: u64) -> Limits {
     let mut limits = Limits::default();
-    limits.heard(ms(at_ms), RUN, ms(at_ms - 10), SaidLimit::PerSecond(per_s)).unwrap();
+    limits.heard(ms(at_ms), RUN, ms(at_ms - 10), LimitHeader::PerSecond(per_s)).unwrap();
     limits
 }
 
@@ -25,9 +25,9 @@
 fn an_answer_without_a_limit_lifts_it_if_its_request_left_later() {
     let mut limits = known(3.0, 1_000);
     // It overtook, or its head was written before.
-    assert_eq!(limits.heard(ms(1_500), RUN, ms(990), SaidLimit::None), None);
+    assert_eq!(limits.heard(ms(1_500), RUN, ms(990), LimitHeader::None), None);
     assert_eq!(limits.of(RUN), Some(3.0));
-    let change = limits.heard(ms(1_600), RUN, ms(1_001), SaidLimit::None).unwrap();
+    let change = limits.heard(ms(1_600), RUN, ms(1_001), LimitHeader::None).unwrap();
     assert_eq!((change.before, change.now), (Some(3.0), None));
     assert_eq!(limits.of(RUN), None);
 }
@@ -35,21 +35,21 @@
 #[test]
 fn a_word_that_allows_less_counts_at_once_and_one_that_allows_more_if_it_is_newer() {
     let mut limits = known(3.0, 1_000);
-    limits.heard(ms(1_100), RUN, ms(500), SaidLimit::PerSecond(1.0)).unwrap();
+    limits.heard(ms(1_100), RUN, ms(500), LimitHeader::PerSecond(1.0)).unwrap();
     assert_eq!(limits.of(RUN), Some(1.0));
-    assert_eq!(limits.heard(ms(1_200), RUN, ms(1_050), SaidLimit::PerSecond(3.0)), None);
+    assert_eq!(limits.heard(ms(1_200), RUN, ms(1_050), LimitHeader::PerSecond(3.0)), None);
     assert_eq!(limits.of(RUN), Some(1.0));
-    limits.heard(ms(1_300), RUN, ms(1_101), SaidLimit::PerSecond(3.0)).unwrap();
+    limits.heard(ms(1_300), RUN, ms(1_101), LimitHeader::PerSecond(3.0)).unwrap();
     assert_eq!(limits.of(RUN), Some(3.0));
 }
 
 #[test]
 fn what_is_no_number_changes_nothing() {
     let mut limits = known(3.0, 1_000);
-    assert_eq!(limits.heard(ms(2_000), RUN, ms(1_900), SaidLimit::Unreadable), None);
+    assert_eq!(limits.heard(ms(2_000), RUN, ms(1_900), LimitHeader::Unreadable), None);
     assert_eq!(limits.of(RUN), Some(3.0));
     let mut none = Limits::default();
-    assert_eq!(none.heard(ms(2_000), RUN, ms(1_900), SaidLimit::Unreadable), None);
+    assert_eq!(none.heard(ms(2_000), RUN, ms(1_900), LimitHeader::Unreadable), None);
     assert!(none.is_empty());
 }
 
@@ -84,24 +84,24 @@
     for seed in 0..50 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut nodes: Vec<Limits> = (0..5).map(|_| Limits::default()).collect();
-        let mut on_the_way: Vec<(Duration, usize, Duration, SaidLimit)> = Vec::new();
-        let mut says = SaidLimit::PerSecond(2.0);
+        let mut on_the_way: Vec<(Duration, usize, Duration, LimitHeader)> = Vec::new();
+        let mut says = LimitHeader::PerSecond(2.0);
         for step in 0..600 {
             let now = ms(step * 20);
             // It stops changing, and answers come quickly again.
             let is_calm = step > 450;
             if !is_calm && rng.random_range(0..40) == 0 {
                 says = match rng.random_range(0..3) {
-                    0 => SaidLimit::None,
-                    1 => SaidLimit::PerSecond(1.0),
-                    _ => SaidLimit::PerSecond(8.0),
+                    0 => LimitHeader::None,
+                    1 => LimitHeader::PerSecond(1.0),
+                    _ => LimitHeader::PerSecond(8.0),
                 };
             }
             let delay = if is_calm { 5 } else { rng.random_range(1..2_000) };
             on_the_way.push((now + ms(delay), rng.random_range(0..5), now, says));
             let (arrived, waiting) = on_the_way.into_iter().partition(|(at, ..)| *at <= now);
             on_the_way = waiting;
-            let arrived: Vec<(Duration, usize, Duration, SaidLimit)> = arrived;
+            let arrived: Vec<(Duration, usize, Duration, LimitHeader)> = arrived;
             for (_, node, sent_at, said) in arrived {
                 nodes[node].heard(now, RUN, sent_at, said);
             }
@@ -112,7 +112,7 @@
             }
         }
         let said = match says {
-            SaidLimit::PerSecond(per_s) => Some(per_s),
+            LimitHeader::PerSecond(per_s) => Some(per_s),
             _ => None,
         };
         for node in &nodes {
--- a/crates/fernring-gateway/tests/testsuite/makers.rs
+++ b/crates/fernring-gateway/tests/testsuite/makers.rs
@@ -3,7 +3,7 @@
 use {
     fernring_gateway::{
         makers::{Kept, MakerSet, overdue_after, usual_time},
-        model::{BatchShape, UpstreamKey},
+        model::{BatchConfig, UpstreamKey},
     },
     slotmap::SlotMap,
     std::time::Duration,
@@ -11,11 +11,11 @@
 
 const NOW: Duration = Duration::from_secs(100);
 const CALL: Duration = Duration::from_millis(200);
-const SHAPE: BatchShape = BatchShape {
+const SHAPE: BatchConfig = BatchConfig {
     pieces_max: 8,
     call_time: CALL,
     piece_time: Duration::from_millis(10),
-    result_room_bytes: 1_000,
+    result_capacity_bytes: 1_000,
     result_lifetime: Duration::from_secs(4),
 };
 
--- a/crates/fernring-gateway/tests/testsuite/refusal.rs
+++ b/crates/fernring-gateway/tests/testsuite/refusal.rs
@@ -4,7 +4,7 @@
     fernring_core::code::ResultCode,
     fernring_gateway::{
         attempts::{Attempts, SendEnd},
-        model::Repeat,
+        model::RetryPolicy,
         refusal::{RETRY_AFTER_NOT_READY, Refusal},
     },
     http::StatusCode,
@@ -12,7 +12,7 @@
 
 #[test]
 fn only_a_request_that_has_not_run_is_refused_with_the_promise() {
-    let mut attempts = Attempts::new(Repeat::Never, 1);
+    let mut attempts = Attempts::new(RetryPolicy::Never, 1);
     let not_run = attempts.not_run().expect("nothing was sent");
     let refusal = Refusal::not_run(not_run, ResultCode::NoUpstream, RETRY_AFTER_NOT_READY, "");
     assert_eq!(refusal.status(), StatusCode::SERVICE_UNAVAILABLE);
--- a/crates/fernring-gateway/tests/testsuite/stage_plan.rs
+++ b/crates/fernring-gateway/tests/testsuite/stage_plan.rs
@@ -6,7 +6,7 @@
 };
 
 fn stage(after: &[usize]) -> StageSpec {
-    StageSpec { service: "s".into(), after: after.to_vec(), result_bytes: 10 }
+    StageSpec { service: "s".into(), depends_on: after.to_vec(), result_bytes: 10 }
 }
 
 /// A large stage beside a chain of three.
--- a/crates/fernring-gateway/tests/testsuite/turns_granted.rs
+++ b/crates/fernring-gateway/tests/testsuite/turns_granted.rs
@@ -8,7 +8,7 @@
     fernring_gateway::{
         backlog::RANKS,
         cold::{Asker, Turns},
-        model::ColdBounds,
+        model::ColdRateLimit,
         turns_granted::{Denied, Grants, drained_together, part_of},
     },
     rand::{RngExt, SeedableRng, rngs::StdRng},
@@ -169,7 +169,7 @@
 fn drawn(seed: u64, load: Load) -> Sent {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut turns: Vec<_> = (0..load.nodes).map(|_| (rng.random(), Turns::default())).collect();
-    let bounds = ColdBounds { per_s: load.limit_per_s, overage: 1.5, slack: 5.0 };
+    let bounds = ColdRateLimit { per_s: load.limit_per_s, overage: 1.5, slack: 5.0 };
     play(&mut rng, load, |_, now, node, _, _| {
         let (node, turns) = &mut turns[node];
         turns.take(
--- a/crates/fernring-gateway/tests/testsuite/upstreams.rs
+++ b/crates/fernring-gateway/tests/testsuite/upstreams.rs
@@ -183,7 +183,7 @@
     upstreams.apply(NOW, vec![started(0, 10)]);
     let before = key(&upstreams, "i");
     let _load = upstreams.load(before, 7.0);
-    let hash = upstreams.directory().get(before).unwrap().record.run_hash();
+    let hash = upstreams.directory().get(before).unwrap().record.incarnation_hash();
     upstreams.set_peer_loads(SocketAddr::from(([10, 0, 0, 9], 1)), vec![(hash, 20.0)]);
     upstreams.failed(NOW, before);
     assert_eq!(load_of(&upstreams, "i"), 27.0);
--- a/crates/fernring-protocol/src/packing.rs
+++ b/crates/fernring-protocol/src/compression.rs
@@ -19,21 +19,21 @@
 };
 
 /// What unpacked bytes may be at most, so that a few packed ones can't fill a node's memory.
-const UNPACKED_MAX_BYTES: u64 = FRAME_MAX_BYTES as u64;
+const DECOMPRESSED_MAX_BYTES: u64 = FRAME_MAX_BYTES as u64;
 
 /// Bytes that can't be unpacked.
 #[derive(Debug, Error)]
-pub enum UnpackError {
+pub enum DecompressError {
     /// They weren't packed, or are cut.
     #[error("not packed, or cut: {0}")]
     Malformed(#[from] std::io::Error),
     /// They hold more than a node takes.
-    #[error("over {UNPACKED_MAX_BYTES} bytes")]
+    #[error("over {DECOMPRESSED_MAX_BYTES} bytes")]
     TooLarge,
 }
 
 /// Packs bytes.
-pub fn pack(bytes: &[u8]) -> Bytes {
+pub fn compress(bytes: &[u8]) -> Bytes {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
     let packed = encoder.write_all(bytes).and_then(|()| encoder.finish());
     packed.expect("a vector takes all bytes").into()
@@ -43,12 +43,12 @@
 ///
 /// # Errors
 /// If they weren't packed by [`pack`], or hold more than a frame may.
-pub fn unpack(packed: &[u8]) -> Result<Bytes, UnpackError> {
+pub fn decompress(packed: &[u8]) -> Result<Bytes, DecompressError> {
     let mut bytes = Vec::new();
-    let mut decoder = DeflateDecoder::new(packed).take(UNPACKED_MAX_BYTES + 1);
+    let mut decoder = DeflateDecoder::new(packed).take(DECOMPRESSED_MAX_BYTES + 1);
     decoder.read_to_end(&mut bytes)?;
-    match bytes.len() as u64 > UNPACKED_MAX_BYTES {
-        true => Err(UnpackError::TooLarge),
+    match bytes.len() as u64 > DECOMPRESSED_MAX_BYTES {
+        true => Err(DecompressError::TooLarge),
         false => Ok(bytes.into()),
     }
 }
--- a/crates/fernring-protocol/src/gateway.rs
+++ b/crates/fernring-protocol/src/gateway.rs
@@ -22,10 +22,10 @@
     Heartbeat(GatewayHeartbeat),
     /// Asks for the configuration.
     #[prost(message, tag = "3")]
-    ConfigRequest(Nothing),
+    ConfigRequest(Empty),
     /// The configuration in force.
     #[prost(message, tag = "4")]
-    Config(ConfigBytes),
+    Config(CompressedConfig),
     /// Asks for the upstreams' records.
     #[prost(message, tag = "5")]
     DirectoryRequest(DirectoryRequest),
@@ -46,19 +46,19 @@
     Release(ReleaseResults),
     /// The configuration isn't sent now, since too much was sent just before.
     #[prost(message, tag = "11")]
-    ConfigPutOff(Nothing),
+    ConfigDeferred(Empty),
     /// The same of the upstreams' records.
     #[prost(message, tag = "12")]
-    DirectoryPutOff(Nothing),
+    DirectoryDeferred(Empty),
     /// Upstreams that ended, and what they had in hand.
     #[prost(message, tag = "13")]
-    Ends(EndReports),
+    Crashes(CrashReports),
     /// Asks whether a request may be sent to an upstream that names a limit.
     #[prost(message, tag = "14")]
-    TurnQuestion(TurnQuestion),
+    PermitRequest(PermitRequest),
     /// Whether it may.
     #[prost(message, tag = "15")]
-    TurnAnswer(TurnAnswer),
+    PermitResponse(PermitResponse),
     /// What a node counts of a roll-out, for who decides on it.
     #[prost(message, tag = "16")]
     RolloutReport(RolloutReport),
@@ -66,7 +66,7 @@
 
 /// A message without content.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct Nothing {}
+pub struct Empty {}
 
 /// What a node says of itself.
 #[derive(Clone, PartialEq, Message)]
@@ -120,11 +120,11 @@
     #[prost(uint32, tag = "16")]
     pub interval_ms: u32,
     /// Whose loads and promises it tells.
-    #[prost(enumeration = "LoadsOf", tag = "17")]
-    pub loads_of: i32,
+    #[prost(enumeration = "LoadScope", tag = "17")]
+    pub load_scope: i32,
     /// All that is known of evacuated failure domains.
     #[prost(message, repeated, tag = "18")]
-    pub evacuations: Vec<EvacuationWord>,
+    pub evacuations: Vec<EvacuationOrderMessage>,
     /// Era of the store that `directory_end` belongs to.
     #[prost(uint64, tag = "19")]
     pub directory_era: u64,
@@ -133,19 +133,19 @@
     pub store_era: u64,
     /// Short hashes of the services that are to be split between owners, by what the node carries of them.
     #[prost(fixed32, repeated, tag = "21")]
-    pub split_services: Vec<u32>,
+    pub sharded_services: Vec<u32>,
     /// What upstreams say that they take.
     #[prost(message, repeated, tag = "22")]
-    pub limits: Vec<LimitWord>,
+    pub limits: Vec<AnnouncedLimit>,
     /// What is known of orders to roll out versions.
     #[prost(message, repeated, tag = "23")]
-    pub rollouts: Vec<RolloutWord>,
+    pub rollouts: Vec<RolloutOrderMessage>,
 }
 
 /// How far a roll-out is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration)]
 #[repr(i32)]
-pub enum RolloutStanding {
+pub enum RolloutPhase {
     /// The order was found in the store, and its state isn't read yet.
     Unknown = 0,
     /// It is under way.
@@ -158,7 +158,7 @@
 
 /// What is known of a service's newest order to roll out a version.
 #[derive(Clone, PartialEq, Message)]
-pub struct RolloutWord {
+pub struct RolloutOrderMessage {
     /// The service.
     #[prost(string, tag = "1")]
     pub service: String,
@@ -176,13 +176,13 @@
     pub duration_ms: u64,
     /// Time until it is to be done, in milliseconds.
     #[prost(uint64, tag = "6")]
-    pub left_ms: u64,
+    pub remaining_ms: u64,
     /// Whether it was taken back.
     #[prost(bool, tag = "7")]
     pub is_withdrawn: bool,
     /// How far it is.
-    #[prost(enumeration = "RolloutStanding", tag = "8")]
-    pub standing: i32,
+    #[prost(enumeration = "RolloutPhase", tag = "8")]
+    pub phase: i32,
     /// Part of the requests that the version gets, while it is under way.
     #[prost(double, tag = "9")]
     pub share: f64,
@@ -191,7 +191,7 @@
     pub serial: u64,
     /// Time since the decider's word, in milliseconds.
     #[prost(uint32, tag = "11")]
-    pub said_ms: u32,
+    pub decision_age_ms: u32,
 }
 
 /// What a node counts of a roll-out since the order.
@@ -217,7 +217,7 @@
     pub exposed: u64,
     /// Requests in hand at other versions.
     #[prost(uint64, tag = "7")]
-    pub at_others: u64,
+    pub in_flight_others: u64,
     /// Whether the node sends to the ordered version alone, and has nothing in hand at others.
     #[prost(bool, tag = "8")]
     pub is_drained: bool,
@@ -248,15 +248,15 @@
     pub failed: u64,
     /// The others, by the class of the time that they took.
     #[prost(uint32, repeated, tag = "2")]
-    pub times: Vec<u32>,
+    pub latency_counts: Vec<u32>,
 }
 
 /// The newest word of an upstream on how much it takes from all nodes together.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct LimitWord {
+pub struct AnnouncedLimit {
     /// Hash of its start.
     #[prost(fixed64, tag = "1")]
-    pub run: u64,
+    pub incarnation_id: u64,
     /// Requests a second; absent if it names no limit any more.
     #[prost(double, optional, tag = "2")]
     pub per_s: Option<f64>,
@@ -267,13 +267,13 @@
 
 /// Asks whether a request may be sent to an upstream that names a limit.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct TurnQuestion {
+pub struct PermitRequest {
     /// The asking node's number for it.
     #[prost(uint64, tag = "1")]
     pub ticket: u64,
     /// The upstream, and what the asking node knows of it.
     #[prost(message, required, tag = "2")]
-    pub word: LimitWord,
+    pub limit: AnnouncedLimit,
     /// Rank of the request.
     #[prost(uint32, tag = "3")]
     pub rank: u32,
@@ -281,27 +281,27 @@
 
 /// Whether a request may be sent to an upstream that names a limit.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct TurnAnswer {
+pub struct PermitResponse {
     /// The asking node's number for it.
     #[prost(uint64, tag = "1")]
     pub ticket: u64,
     /// The upstream, and what the answering node knows of it.
     #[prost(message, required, tag = "2")]
-    pub word: LimitWord,
+    pub limit: AnnouncedLimit,
     /// Whether it may.
     #[prost(bool, tag = "3")]
     pub is_granted: bool,
     /// If not, when the asking node may ask again, in milliseconds.
     #[prost(uint32, tag = "4")]
-    pub ask_again_ms: u32,
+    pub retry_after_ms: u32,
     /// If not, when as many requests should be done as are asked for in a second now, in milliseconds.
     #[prost(uint32, tag = "5")]
-    pub drained_ms: u32,
+    pub queue_drain_ms: u32,
 }
 
 /// An operator's newest word on a failure domain.
 #[derive(Clone, PartialEq, Message)]
-pub struct EvacuationWord {
+pub struct EvacuationOrderMessage {
     /// The failure domain.
     #[prost(string, tag = "1")]
     pub failure_domain: String,
@@ -319,13 +319,13 @@
 /// Whose loads and promises a heartbeat tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration)]
 #[repr(i32)]
-pub enum LoadsOf {
+pub enum LoadScope {
     /// The sender's own.
     Sender = 0,
     /// Those of all nodes of its failure domain, added up.
     Domain = 1,
     /// Nobody's: what was told before holds on.
-    Nobody = 2,
+    Omitted = 2,
 }
 
 /// What a node says of one stage service.
@@ -333,7 +333,7 @@
 pub struct StageLoad {
     /// Short hash of the service's name.
     #[prost(fixed32, tag = "1")]
-    pub service: u32,
+    pub service_hash: u32,
     /// Whether the node owns the service; if not, only `promised` is set.
     #[prost(bool, tag = "2")]
     pub is_owner: bool,
@@ -351,7 +351,7 @@
     pub late: u32,
     /// Pieces that the node has promised to requests and not asked for yet, by rank.
     #[prost(uint32, repeated, tag = "7")]
-    pub promised: Vec<u32>,
+    pub reserved: Vec<u32>,
 }
 
 /// Asks for the upstreams' records.
@@ -367,11 +367,11 @@
 
 /// The configuration in force.
 #[derive(Clone, PartialEq, Message)]
-pub struct ConfigBytes {
+pub struct CompressedConfig {
     /// Its record in the store, packed ([`crate::packing`]). Field 1 held it as it is, and field 2 an age, which
     /// nodes that don't know of packing would take for a confirmation of what they have.
     #[prost(bytes = "bytes", tag = "4")]
-    pub packed: bytes::Bytes,
+    pub compressed: bytes::Bytes,
     /// The store's number after the record; 0 if it isn't known.
     #[prost(uint64, tag = "3")]
     pub end: u64,
@@ -391,10 +391,10 @@
     pub records: Vec<DirectoryRecord>,
     /// Whether these are all records; if not, those since the number that was asked for.
     #[prost(bool, tag = "3")]
-    pub is_whole: bool,
+    pub is_full: bool,
     /// Time for which removals may still be lapses, in milliseconds.
     #[prost(uint32, tag = "4")]
-    pub lapses_ms: u32,
+    pub lapse_window_ms: u32,
     /// Time since the store has shown that these are its newest, in milliseconds.
     #[prost(uint32, optional, tag = "5")]
     pub age_ms: Option<u32>,
@@ -403,7 +403,7 @@
     pub era: u64,
     /// In place of `records`, where they are many: [`DirectoryList`], packed ([`crate::packing`]).
     #[prost(bytes = "bytes", tag = "7")]
-    pub packed: bytes::Bytes,
+    pub compressed: bytes::Bytes,
 }
 
 /// Records of upstreams, to be packed.
@@ -446,7 +446,7 @@
     pub started_ms: Option<u64>,
     /// With `is_removed`: whether something lies there that can't be read, so that it is no lapse.
     #[prost(bool, tag = "10")]
-    pub is_unusable: bool,
+    pub is_unreadable: bool,
     /// How much longer it is cold, in milliseconds.
     #[prost(uint32, tag = "11")]
     pub cold_ms: u32,
@@ -500,13 +500,13 @@
     pub result_bytes: u64,
     /// Failure domain in which the results will be read; empty if that doesn't matter.
     #[prost(string, tag = "12")]
-    pub near: String,
+    pub consumer_domain: String,
     /// Digest of what the request asks.
     #[prost(bytes = "bytes", tag = "13")]
-    pub content: bytes::Bytes,
+    pub fingerprint: bytes::Bytes,
     /// Failure domain whose makers are asked, while the service is split; empty for all.
     #[prost(string, tag = "14")]
-    pub makers_of: String,
+    pub worker_domain: String,
     /// Regions in which the request may be served; none if any will do.
     #[prost(string, repeated, tag = "15")]
     pub allowed_regions: Vec<String>,
@@ -536,10 +536,10 @@
 
 /// Upstreams that ended, and requests that got whole answers after some had ended under them.
 #[derive(Clone, PartialEq, Message)]
-pub struct EndReports {
+pub struct CrashReports {
     /// The ends.
     #[prost(message, repeated, tag = "1")]
-    pub ends: Vec<EndReport>,
+    pub crashes: Vec<CrashReport>,
     /// The answers.
     #[prost(message, repeated, tag = "2")]
     pub cleared: Vec<ClearReport>,
@@ -547,7 +547,7 @@
 
 /// The end of one start of an upstream.
 #[derive(Clone, PartialEq, Message)]
-pub struct EndReport {
+pub struct CrashReport {
     /// Its identity.
     #[prost(string, tag = "1")]
     pub instance: String,
@@ -559,7 +559,7 @@
     pub age_ms: u32,
     /// Digests of what it had in hand.
     #[prost(bytes = "bytes", repeated, tag = "4")]
-    pub contents: Vec<bytes::Bytes>,
+    pub fingerprints: Vec<bytes::Bytes>,
 }
 
 /// A whole answer to a request.
@@ -567,7 +567,7 @@
 pub struct ClearReport {
     /// Digest of what the request asks.
     #[prost(bytes = "bytes", tag = "1")]
-    pub content: bytes::Bytes,
+    pub fingerprint: bytes::Bytes,
     /// Time since the answer, in milliseconds.
     #[prost(uint32, tag = "2")]
     pub age_ms: u32,
--- a/crates/fernring-protocol/src/lib.rs
+++ b/crates/fernring-protocol/src/lib.rs
@@ -13,7 +13,7 @@
 
 pub mod gateway;
 pub mod messages;
-pub mod packing;
+pub mod compression;
 
 pub use messages::Frame;
 
--- a/crates/fernring-protocol/tests/testsuite/packing.rs
+++ b/crates/fernring-protocol/tests/testsuite/compression.rs
@@ -4,7 +4,7 @@
     fernring_protocol::{
         FRAME_MAX_BYTES,
         gateway::{DirectoryList, DirectoryRecord},
-        packing::{UnpackError, pack, unpack},
+        compression::{DecompressError, compress, decompress},
     },
     proptest::prelude::*,
     prost::Message,
@@ -13,29 +13,29 @@
 proptest! {
     #[test]
     fn what_is_packed_is_unpacked(bytes in proptest::collection::vec(any::<u8>(), 0..5_000)) {
-        prop_assert_eq!(unpack(&pack(&bytes)).unwrap(), bytes);
+        prop_assert_eq!(decompress(&compress(&bytes)).unwrap(), bytes);
     }
 
     #[test]
     fn what_was_not_packed_never_panics(bytes in proptest::collection::vec(any::<u8>(), 0..500)) {
-        drop(unpack(&bytes));
+        drop(decompress(&bytes));
     }
 }
 
 #[test]
 fn what_is_cut_is_refused() {
-    let packed = pack("a route, and another route, ".repeat(100).as_bytes());
+    let packed = compress("a route, and another route, ".repeat(100).as_bytes());
     for end in 0..packed.len() {
-        assert!(matches!(unpack(&packed[..end]), Err(UnpackError::Malformed(_))), "{end}");
+        assert!(matches!(decompress(&packed[..end]), Err(DecompressError::Malformed(_))), "{end}");
     }
 }
 
 #[test]
 fn a_few_bytes_do_not_fill_the_memory() {
-    let packed = pack(&vec![0; FRAME_MAX_BYTES + 1]);
+    let packed = compress(&vec![0; FRAME_MAX_BYTES + 1]);
     assert!(packed.len() < FRAME_MAX_BYTES / 100);
-    assert!(matches!(unpack(&packed), Err(UnpackError::TooLarge)));
-    assert_eq!(unpack(&pack(&vec![0; FRAME_MAX_BYTES])).unwrap().len(), FRAME_MAX_BYTES);
+    assert!(matches!(decompress(&packed), Err(DecompressError::TooLarge)));
+    assert_eq!(decompress(&compress(&vec![0; FRAME_MAX_BYTES])).unwrap().len(), FRAME_MAX_BYTES);
 }
 
 /// Records of ten thousand upstreams were passed on as they are, a megabyte to each of hundreds of nodes that start.
@@ -55,7 +55,7 @@
     };
     let list = DirectoryList { records: (0..10_000).map(record).collect() };
     let bytes = list.encode_to_vec();
-    let packed = pack(&bytes);
+    let packed = compress(&bytes);
     assert!(packed.len() * 2 < bytes.len(), "{} of {}", packed.len(), bytes.len());
-    assert_eq!(DirectoryList::decode(unpack(&packed).unwrap()).unwrap(), list);
+    assert_eq!(DirectoryList::decode(decompress(&packed).unwrap()).unwrap(), list);
 }
--- a/crates/fernring-protocol/tests/testsuite/main.rs
+++ b/crates/fernring-protocol/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
 //! Tests of what goes between nodes, a file a module.
 
 mod frames;
-mod packing;
+mod compression;
--- a/crates/fernring/src/cmd/gateway.rs
+++ b/crates/fernring/src/cmd/gateway.rs
@@ -8,7 +8,7 @@
     fernring_adapter::{PlatformStore, PlatformWire, SETTINGS_VARIABLE},
     fernring_core::clock::SystemClock,
     fernring_gateway::{
-        node::{Foundation, Listeners, Node, stop_signal},
+        node::{NodeDependencies, Listeners, Node, stop_signal},
         settings::{Settings, load},
     },
     metrics_exporter_prometheus::{Matcher, PrometheusBuilder, PrometheusHandle},
@@ -58,11 +58,11 @@
         .context("could not start the runtime")?;
     let recorder = metrics_recorder()?;
     let clock = Rc::new(SystemClock::new());
-    let foundation = Foundation {
+    let foundation = NodeDependencies {
         clock: clock.clone(),
         wire: Rc::new(PlatformWire),
         store: Rc::new(PlatformStore::new(settings.store.address, clock)),
-        render: Box::new(move || recorder.render()),
+        render_metrics: Box::new(move || recorder.render()),
     };
     LocalSet::new().block_on(&runtime, async {
         let mut settings = settings;
