--- a/crates/fernring-gateway/src/blame/mod.rs
+++ b/crates/fernring-gateway/src/blame/mod.rs
@@ -22,7 +22,7 @@
     },
     bytes::Bytes,
     fernring_core::{clock::Clock, text::LogLine},
-    fernring_protocol::gateway::{ClearReport, CrashReport, CrashReports, GatewayBody},
+    fernring_protocol::gateway::{ClearanceReport, CrashReport, CrashReports, GatewayBody},
     std::{
         cell::{Cell, RefCell},
         collections::{BTreeMap, HashMap},
@@ -429,7 +429,7 @@
         });
         let cleared = cleared
             .into_iter()
-            .map(|fact| ClearReport { fingerprint: bytes(&fact.content), age_ms: age_ms(fact.at) });
+            .map(|fact| ClearanceReport { fingerprint: bytes(&fact.content), age_ms: age_ms(fact.at) });
         GatewayBody::Crashes(CrashReports { crashes: ends.collect(), cleared: cleared.collect() })
     }
 
--- a/crates/fernring-gateway/src/store/records.rs
+++ b/crates/fernring-gateway/src/store/records.rs
@@ -13,7 +13,7 @@
     },
     fernring_core::clock::saturating_ms,
     fernring_protocol::gateway::{
-        DirectoryRecord, EvacuationOrderMessage, RolloutReport, RolloutPhase, RolloutOrderMessage, RouteReport,
+        DirectoryRecord, EvacuationOrderMessage, RolloutReport, RolloutProgressReport, RolloutOrderMessage, RouteReport,
         VersionAnswers,
     },
     std::{sync::Arc, time::Duration},
@@ -119,16 +119,16 @@
         ..RolloutOrderMessage::default()
     };
     let with =
-        |standing: RolloutPhase| RolloutOrderMessage { phase: standing.into(), ..told.clone() };
+        |standing: RolloutProgressReport| RolloutOrderMessage { progress: standing.into(), ..told.clone() };
     match word.standing {
-        Standing::Unknown => with(RolloutPhase::Unknown),
-        Standing::Completed => with(RolloutPhase::Completed),
-        Standing::RolledBack => with(RolloutPhase::RolledBack),
+        Standing::Unknown => with(RolloutProgressReport::Unknown),
+        Standing::Completed => with(RolloutProgressReport::Completed),
+        Standing::RolledBack => with(RolloutProgressReport::RolledBack),
         Standing::Running { share, serial, said_at } => RolloutOrderMessage {
             share,
             serial,
             decision_age_ms: age_ms(said_at),
-            ..with(RolloutPhase::Running)
+            ..with(RolloutProgressReport::Running)
         },
     }
 }
@@ -136,11 +136,11 @@
 /// Decodes what a peer says of a service's order.
 pub(crate) fn rollout_word_from(now: Duration, word: &RolloutOrderMessage) -> (Arc<str>, OrderWord) {
     let ago = |ms: u32| now.saturating_sub(Duration::from_millis(ms.into()));
-    let standing = match word.phase() {
-        RolloutPhase::Unknown => Standing::Unknown,
-        RolloutPhase::Completed => Standing::Completed,
-        RolloutPhase::RolledBack => Standing::RolledBack,
-        RolloutPhase::Running => Standing::Running {
+    let standing = match word.progress() {
+        RolloutProgressReport::Unknown => Standing::Unknown,
+        RolloutProgressReport::Completed => Standing::Completed,
+        RolloutProgressReport::RolledBack => Standing::RolledBack,
+        RolloutProgressReport::Running => Standing::Running {
             share: word.share.clamp(0.0, 1.0),
             serial: word.serial,
             said_at: ago(word.decision_age_ms),
@@ -178,7 +178,7 @@
         incarnation: 0,
         requests: counts.requests,
         exposed: counts.exposed,
-        in_flight_others: counts.at_others,
+        in_flight_at_others: counts.at_others,
         is_drained,
         routes: routes.collect(),
     }
@@ -198,7 +198,7 @@
     Counts {
         requests: report.requests,
         exposed: report.exposed,
-        at_others: report.in_flight_others,
+        at_others: report.in_flight_at_others,
         routes: routes.collect(),
     }
 }
--- a/crates/fernring-gateway/src/upstreams/limited.rs
+++ b/crates/fernring-gateway/src/upstreams/limited.rs
@@ -103,9 +103,9 @@
         self.limits.of(run).is_some() && until.is_some_and(|until| now < until)
     }
 
-    fn message(&self, now: Duration, run: u64) -> gateway::AnnouncedLimit {
+    fn message(&self, now: Duration, run: u64) -> gateway::LimitReport {
         let word = self.limits.word(run);
-        gateway::AnnouncedLimit {
+        gateway::LimitReport {
             incarnation_id: run,
             per_s: word.and_then(|word| word.per_s),
             age_ms: word.map_or(u32::MAX, |word| age_ms(now, word.at)),
@@ -138,7 +138,7 @@
     }
 
     /// Takes in what a peer tells of upstreams' limits.
-    pub fn told_limits(&self, words: &[gateway::AnnouncedLimit]) {
+    pub fn told_limits(&self, words: &[gateway::LimitReport]) {
         let now = self.clock.now().monotonic;
         for word in words {
             let at = now.saturating_sub(Duration::from_millis(word.age_ms.into()));
@@ -154,7 +154,7 @@
     }
 
     /// Lists what peers are to be told of upstreams' limits.
-    pub fn limits_to_tell(&self) -> Vec<gateway::AnnouncedLimit> {
+    pub fn limits_to_tell(&self) -> Vec<gateway::LimitReport> {
         let now = self.clock.now().monotonic;
         let mut limited = self.limited.borrow_mut();
         let mut runs: Vec<_> = limited.limits.to_tell(now).map(|(run, _)| run).collect();
--- a/crates/fernring-protocol/src/gateway.rs
+++ b/crates/fernring-protocol/src/gateway.rs
@@ -136,7 +136,7 @@
     pub sharded_services: Vec<u32>,
     /// What upstreams say that they take.
     #[prost(message, repeated, tag = "22")]
-    pub limits: Vec<AnnouncedLimit>,
+    pub limits: Vec<LimitReport>,
     /// What is known of orders to roll out versions.
     #[prost(message, repeated, tag = "23")]
     pub rollouts: Vec<RolloutOrderMessage>,
@@ -145,7 +145,7 @@
 /// How far a roll-out is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration)]
 #[repr(i32)]
-pub enum RolloutPhase {
+pub enum RolloutProgressReport {
     /// The order was found in the store, and its state isn't read yet.
     Unknown = 0,
     /// It is under way.
@@ -181,8 +181,8 @@
     #[prost(bool, tag = "7")]
     pub is_withdrawn: bool,
     /// How far it is.
-    #[prost(enumeration = "RolloutPhase", tag = "8")]
-    pub phase: i32,
+    #[prost(enumeration = "RolloutProgressReport", tag = "8")]
+    pub progress: i32,
     /// Part of the requests that the version gets, while it is under way.
     #[prost(double, tag = "9")]
     pub share: f64,
@@ -217,7 +217,7 @@
     pub exposed: u64,
     /// Requests in hand at other versions.
     #[prost(uint64, tag = "7")]
-    pub in_flight_others: u64,
+    pub in_flight_at_others: u64,
     /// Whether the node sends to the ordered version alone, and has nothing in hand at others.
     #[prost(bool, tag = "8")]
     pub is_drained: bool,
@@ -253,7 +253,7 @@
 
 /// The newest word of an upstream on how much it takes from all nodes together.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct AnnouncedLimit {
+pub struct LimitReport {
     /// Hash of its start.
     #[prost(fixed64, tag = "1")]
     pub incarnation_id: u64,
@@ -273,7 +273,7 @@
     pub ticket: u64,
     /// The upstream, and what the asking node knows of it.
     #[prost(message, required, tag = "2")]
-    pub limit: AnnouncedLimit,
+    pub limit: LimitReport,
     /// Rank of the request.
     #[prost(uint32, tag = "3")]
     pub rank: u32,
@@ -287,7 +287,7 @@
     pub ticket: u64,
     /// The upstream, and what the answering node knows of it.
     #[prost(message, required, tag = "2")]
-    pub limit: AnnouncedLimit,
+    pub limit: LimitReport,
     /// Whether it may.
     #[prost(bool, tag = "3")]
     pub is_granted: bool,
@@ -542,7 +542,7 @@
     pub crashes: Vec<CrashReport>,
     /// The answers.
     #[prost(message, repeated, tag = "2")]
-    pub cleared: Vec<ClearReport>,
+    pub cleared: Vec<ClearanceReport>,
 }
 
 /// The end of one start of an upstream.
@@ -564,7 +564,7 @@
 
 /// A whole answer to a request.
 #[derive(Clone, PartialEq, Message)]
-pub struct ClearReport {
+pub struct ClearanceReport {
     /// Digest of what the request asks.
     #[prost(bytes = "bytes", tag = "1")]
     pub fingerprint: bytes::Bytes,
