--- a/crates/fernring-protocol/src/compression.rs
+++ b/crates/fernring-protocol/src/compression.rs
@@ -1,13 +1,15 @@
-//! Records packed for the way between nodes (raw deflate, RFC 1951). A configuration is text that repeats itself: one with 4,200
-//! routes goes from 769 to 63 KB, in 1.6 ms of a core to pack and 1.1 ms to unpack (synthetic names, release build).
+//! Compression of records that nodes send to each other (raw deflate, RFC 1951).
+//!
+//! Configurations are repetitive text: one with 4,200 routes shrinks from 769 to 63 KB, which takes
+//! 1.6 ms of a core to compress and 1.1 ms to decompress (synthetic names, release build).
 //!
 //! ```
-//! use fernring_protocol::packing::{pack, unpack};
+//! use fernring_protocol::compression::{compress, decompress};
 //!
 //! let text = "a route, ".repeat(1_000);
-//! let packed = pack(text.as_bytes());
-//! assert!(packed.len() < text.len() / 10);
-//! assert_eq!(unpack(&packed).unwrap(), text);
+//! let compressed = compress(text.as_bytes());
+//! assert!(compressed.len() < text.len() / 10);
+//! assert_eq!(decompress(&compressed).unwrap(), text);
 //! ```
 
 use {
@@ -18,34 +20,35 @@
     thiserror::Error,
 };
 
-/// What unpacked bytes may be at most, so that a few packed ones can't fill a node's memory.
+/// Largest size of decompressed bytes, so that a small message can't fill a node's memory.
 const DECOMPRESSED_MAX_BYTES: u64 = FRAME_MAX_BYTES as u64;
 
-/// Bytes that can't be unpacked.
+/// Bytes that can't be decompressed.
 #[derive(Debug, Error)]
 pub enum DecompressError {
-    /// They weren't packed, or are cut.
-    #[error("not packed, or cut: {0}")]
+    /// The bytes are no compressed data, or are truncated.
+    #[error("not compressed, or truncated: {0}")]
     Malformed(#[from] std::io::Error),
-    /// They hold more than a node takes.
+    /// The decompressed bytes would exceed the size of the largest frame.
     #[error("over {DECOMPRESSED_MAX_BYTES} bytes")]
     TooLarge,
 }
 
-/// Packs bytes.
+/// Compresses bytes.
 pub fn compress(bytes: &[u8]) -> Bytes {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
-    let packed = encoder.write_all(bytes).and_then(|()| encoder.finish());
-    packed.expect("a vector takes all bytes").into()
+    let compressed = encoder.write_all(bytes).and_then(|()| encoder.finish());
+    compressed.expect("writing to a vector cannot fail").into()
 }
 
-/// Unpacks bytes.
+/// Decompresses bytes.
 ///
 /// # Errors
-/// If they weren't packed by [`pack`], or hold more than a frame may.
-pub fn decompress(packed: &[u8]) -> Result<Bytes, DecompressError> {
+/// Returns an error if the bytes weren't compressed by [`compress`], or exceed [`FRAME_MAX_BYTES`]
+/// when decompressed.
+pub fn decompress(compressed: &[u8]) -> Result<Bytes, DecompressError> {
     let mut bytes = Vec::new();
-    let mut decoder = DeflateDecoder::new(packed).take(DECOMPRESSED_MAX_BYTES + 1);
+    let mut decoder = DeflateDecoder::new(compressed).take(DECOMPRESSED_MAX_BYTES + 1);
     decoder.read_to_end(&mut bytes)?;
     match bytes.len() as u64 > DECOMPRESSED_MAX_BYTES {
         true => Err(DecompressError::TooLarge),
--- a/crates/fernring-protocol/src/gateway.rs
+++ b/crates/fernring-protocol/src/gateway.rs
@@ -1,15 +1,15 @@
-//! Messages between gateway nodes. Each goes one way; an answer is a message of its own. Field
-//! numbers are stable: never reused, never changed.
+//! Messages between gateway nodes. Each message is one-way; a reply is a message of its own. Field
+//! numbers are stable: they are never reused or changed.
 
 use prost::{Enumeration, Message, Oneof};
 
-/// One message.
+/// A message with its sender.
 #[derive(Clone, PartialEq, Message)]
 pub struct GatewayFrame {
-    /// Where answers go: the sender's peer address, `ip:port`.
+    /// Address for replies: the sender's peer address, `ip:port`.
     #[prost(string, tag = "1")]
     pub sender: String,
-    /// What is said.
+    /// The message itself.
     #[prost(oneof = "GatewayBody", tags = "2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16")]
     pub body: Option<GatewayBody>,
 }
@@ -17,64 +17,64 @@
 /// The body of a [`GatewayFrame`].
 #[derive(Clone, PartialEq, Oneof)]
 pub enum GatewayBody {
-    /// What the sender says of itself.
+    /// State of the sender, sent at regular intervals.
     #[prost(message, tag = "2")]
     Heartbeat(GatewayHeartbeat),
-    /// Asks for the configuration.
+    /// Requests the configuration.
     #[prost(message, tag = "3")]
     ConfigRequest(Empty),
     /// The configuration in force.
     #[prost(message, tag = "4")]
     Config(CompressedConfig),
-    /// Asks for the upstreams' records.
+    /// Requests the upstreams' records.
     #[prost(message, tag = "5")]
     DirectoryRequest(DirectoryRequest),
     /// The upstreams' records.
     #[prost(message, tag = "6")]
     Directory(DirectoryRecords),
-    /// Pieces of a stage for their owner.
+    /// Pieces of a stage, sent to the node that owns the stage's service.
     #[prost(message, tag = "7")]
     Work(StageWork),
-    /// What became of them.
+    /// Outcome of the pieces of a stage.
     #[prost(message, tag = "8")]
     WorkDone(StageDone),
-    /// Nobody waits for them any more.
+    /// Cancels pieces that no request needs any more.
     #[prost(message, tag = "9")]
     WorkCancel(WorkTicket),
-    /// Results that are not needed any more.
+    /// Releases results that are no longer needed.
     #[prost(message, tag = "10")]
     Release(ReleaseResults),
-    /// The configuration isn't sent now, since too much was sent just before.
+    /// The configuration is not sent now, because the node has just sent too much to others.
     #[prost(message, tag = "11")]
     ConfigDeferred(Empty),
-    /// The same of the upstreams' records.
+    /// The upstreams' records are not sent now, because the node has just sent too much to others.
     #[prost(message, tag = "12")]
     DirectoryDeferred(Empty),
-    /// Upstreams that ended, and what they had in hand.
+    /// Upstreams that crashed, with the requests that were in flight there.
     #[prost(message, tag = "13")]
     Crashes(CrashReports),
-    /// Asks whether a request may be sent to an upstream that names a limit.
+    /// Requests a permit to send one request to an upstream that announces a limit.
     #[prost(message, tag = "14")]
     PermitRequest(PermitRequest),
-    /// Whether it may.
+    /// Grants or denies a permit.
     #[prost(message, tag = "15")]
     PermitResponse(PermitResponse),
-    /// What a node counts of a roll-out, for who decides on it.
+    /// A node's request counts of a roll-out, for the roll-out's controller.
     #[prost(message, tag = "16")]
     RolloutReport(RolloutReport),
 }
 
-/// A message without content.
+/// A message without fields.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct Empty {}
 
-/// What a node says of itself.
+/// State of a node, as it reports it to its peers.
 #[derive(Clone, PartialEq, Message)]
 pub struct GatewayHeartbeat {
-    /// This run of the process.
+    /// Incarnation of the node's process.
     #[prost(fixed64, tag = "1")]
     pub incarnation: u64,
-    /// Failure domain.
+    /// Failure domain of the node.
     #[prost(string, tag = "2")]
     pub failure_domain: String,
     /// Whether the node is shutting down.
@@ -83,281 +83,288 @@
     /// Version of the configuration in force.
     #[prost(uint64, tag = "4")]
     pub config_version: u64,
-    /// Number up to which the upstreams' records were taken in.
+    /// Offset in the store up to which the upstreams' records were applied.
     #[prost(uint64, tag = "5")]
     pub directory_end: u64,
-    /// Short hashes of the instances of upstreams that have work of the node in hand.
+    /// Short hashes of the incarnations of upstreams that have requests of the node in flight.
     #[prost(fixed32, repeated, tag = "6")]
     pub load_upstreams: Vec<u32>,
-    /// The work, in the same order.
+    /// Load on these upstreams, in the same order.
     #[prost(uint32, repeated, tag = "7")]
     pub load_weights: Vec<u32>,
-    /// Addresses of peers that the node has heard; sent to those it has not heard yet.
+    /// Addresses of reachable peers; sent to peers that the node hasn't received a heartbeat from
+    /// yet.
     #[prost(string, repeated, tag = "8")]
     pub peers: Vec<String>,
-    /// Short hashes of the instances of upstreams that took no connection of late.
+    /// Short hashes of the incarnations of upstreams that recently refused or timed out
+    /// connections.
     #[prost(fixed32, repeated, tag = "9")]
     pub unreachable: Vec<u32>,
-    /// Time since the node itself read the store, which then had no newer configuration, in milliseconds.
+    /// Time since the node itself read the store and found no newer configuration, in milliseconds.
     #[prost(uint32, optional, tag = "10")]
     pub config_age_ms: Option<u32>,
-    /// The same of the upstreams' records.
+    /// Time since the node itself read the store and found no newer upstream records, in
+    /// milliseconds.
     #[prost(uint32, optional, tag = "11")]
     pub directory_age_ms: Option<u32>,
-    /// What waits at the stage services that the node owns, and what it has promised.
+    /// Load of the stage services that the node owns, and its reservations at others.
     #[prost(message, repeated, tag = "12")]
     pub stage_loads: Vec<StageLoad>,
-    /// Whether the node is no delegate of its failure domain. Nodes that don't know of delegates are ones.
+    /// Whether the node is not a delegate of its failure domain. Nodes of a version without this
+    /// field are delegates.
     #[prost(bool, tag = "13")]
     pub is_follower: bool,
-    /// What its link carries, in Mbit/s.
+    /// Bandwidth of the node's link, in Mbit/s.
     #[prost(uint32, tag = "14")]
     pub link_mbps: u32,
-    /// Live nodes that it hears, itself included.
+    /// Number of live nodes that are reachable from the node, itself included.
     #[prost(uint32, tag = "15")]
     pub nodes: u32,
-    /// Pause until its next heartbeat to this peer, in milliseconds; 0 for the usual one.
+    /// Time until the node's next heartbeat to this peer, in milliseconds; 0 for the default
+    /// interval.
     #[prost(uint32, tag = "16")]
     pub interval_ms: u32,
-    /// Whose loads and promises it tells.
+    /// Whose loads and reservations the heartbeat contains.
     #[prost(enumeration = "LoadScope", tag = "17")]
     pub load_scope: i32,
-    /// All that is known of evacuated failure domains.
+    /// Newest known order on each failure domain, in force or withdrawn.
     #[prost(message, repeated, tag = "18")]
     pub evacuations: Vec<EvacuationOrderMessage>,
     /// Era of the store that `directory_end` belongs to.
     #[prost(uint64, tag = "19")]
     pub directory_era: u64,
-    /// The latest era of the store that is known.
+    /// Latest known era of the store.
     #[prost(uint64, tag = "20")]
     pub store_era: u64,
-    /// Short hashes of the services that are to be split between owners, by what the node carries of them.
+    /// Short hashes of the services that should be sharded by failure domain, judged by the traffic
+    /// that the node carries for them as their owner.
     #[prost(fixed32, repeated, tag = "21")]
     pub sharded_services: Vec<u32>,
-    /// What upstreams say that they take.
+    /// Limits that upstreams announce.
     #[prost(message, repeated, tag = "22")]
     pub limits: Vec<LimitReport>,
-    /// What is known of orders to roll out versions.
+    /// Known orders to roll out versions, with their progress.
     #[prost(message, repeated, tag = "23")]
     pub rollouts: Vec<RolloutOrderMessage>,
 }
 
-/// How far a roll-out is.
+/// Progress of a roll-out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration)]
 #[repr(i32)]
 pub enum RolloutProgressReport {
-    /// The order was found in the store, and its state isn't read yet.
+    /// The order was found in the store; its progress has not been read yet.
     Unknown = 0,
-    /// It is under way.
+    /// The roll-out is running.
     Running = 1,
-    /// The ordered version serves alone.
+    /// The destination version gets all requests.
     Completed = 2,
-    /// The ordered version gets nothing.
+    /// The destination version gets no requests.
     RolledBack = 3,
 }
 
-/// What is known of a service's newest order to roll out a version.
+/// The newest known order to roll out a version of a service, and its progress.
 #[derive(Clone, PartialEq, Message)]
 pub struct RolloutOrderMessage {
     /// The service.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// The version.
+    /// The destination version.
     #[prost(string, tag = "2")]
     pub destination: String,
-    /// Number of the order in the store.
+    /// Offset of the order in the store.
     #[prost(uint64, tag = "3")]
     pub offset: u64,
-    /// Era of the store that the number belongs to.
+    /// Era of the store that `offset` belongs to.
     #[prost(uint64, tag = "4")]
     pub era: u64,
-    /// Time in which it is to be done, in milliseconds.
+    /// Time from the order to its deadline, in milliseconds.
     #[prost(uint64, tag = "5")]
     pub duration_ms: u64,
-    /// Time until it is to be done, in milliseconds.
+    /// Time left until the deadline, in milliseconds.
     #[prost(uint64, tag = "6")]
     pub remaining_ms: u64,
-    /// Whether it was taken back.
+    /// Whether the order was withdrawn.
     #[prost(bool, tag = "7")]
     pub is_withdrawn: bool,
-    /// How far it is.
+    /// Progress of the roll-out.
     #[prost(enumeration = "RolloutProgressReport", tag = "8")]
     pub progress: i32,
-    /// Part of the requests that the version gets, while it is under way.
+    /// Share of the requests that the destination version gets while the roll-out is running.
     #[prost(double, tag = "9")]
     pub share: f64,
-    /// Rises with each word of a decider.
+    /// Number of the controller's decision; rises with each decision.
     #[prost(uint64, tag = "10")]
     pub serial: u64,
-    /// Time since the decider's word, in milliseconds.
+    /// Time since the controller's decision, in milliseconds.
     #[prost(uint32, tag = "11")]
     pub decision_age_ms: u32,
 }
 
-/// What a node counts of a roll-out since the order.
+/// A node's request counts of a roll-out since its order.
 #[derive(Clone, PartialEq, Message)]
 pub struct RolloutReport {
     /// The service.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// Number of the order in the store.
+    /// Offset of the order in the store.
     #[prost(uint64, tag = "2")]
     pub offset: u64,
-    /// Era of the store that the number belongs to.
+    /// Era of the store that `offset` belongs to.
     #[prost(uint64, tag = "3")]
     pub era: u64,
-    /// The run of the node's process.
+    /// Incarnation of the node's process.
     #[prost(fixed64, tag = "4")]
     pub incarnation: u64,
     /// Requests sent to the service.
     #[prost(uint64, tag = "5")]
     pub requests: u64,
-    /// Sends to the ordered version.
+    /// Sends to the destination version.
     #[prost(uint64, tag = "6")]
     pub exposed: u64,
-    /// Requests in hand at other versions.
+    /// Requests in flight at other versions.
     #[prost(uint64, tag = "7")]
     pub in_flight_at_others: u64,
-    /// Whether the node sends to the ordered version alone, and has nothing in hand at others.
+    /// Whether the node sends only to the destination version and has nothing in flight at others.
     #[prost(bool, tag = "8")]
     pub is_drained: bool,
-    /// Answers by route.
+    /// Responses by route.
     #[prost(message, repeated, tag = "9")]
     pub routes: Vec<RouteReport>,
 }
 
-/// Answers on one route.
+/// Responses on one route, by version.
 #[derive(Clone, PartialEq, Message)]
 pub struct RouteReport {
-    /// Name of the route; empty for calls on pieces.
+    /// Name of the route; empty for batch calls of stage services.
     #[prost(string, tag = "1")]
     pub route: String,
-    /// Those of the ordered version.
+    /// Responses of the destination version.
     #[prost(message, required, tag = "2")]
     pub ordered: VersionAnswers,
-    /// Those of the others.
+    /// Responses of all other versions.
     #[prost(message, required, tag = "3")]
     pub others: VersionAnswers,
 }
 
-/// Answers of one version.
+/// Counts of a version's responses.
 #[derive(Clone, PartialEq, Message)]
 pub struct VersionAnswers {
-    /// Failures.
+    /// Number of failed requests.
     #[prost(uint64, tag = "1")]
     pub failed: u64,
-    /// The others, by the class of the time that they took.
+    /// Number of successful responses in each latency bucket.
     #[prost(uint32, repeated, tag = "2")]
     pub latency_counts: Vec<u32>,
 }
 
-/// The newest word of an upstream on how much it takes from all nodes together.
+/// The newest known limit that an upstream announced for all nodes together.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct LimitReport {
-    /// Hash of its start.
+    /// Incarnation of the upstream's process.
     #[prost(fixed64, tag = "1")]
     pub incarnation_id: u64,
-    /// Requests a second; absent if it names no limit any more.
+    /// Requests per second; absent if the upstream no longer announces a limit.
     #[prost(double, optional, tag = "2")]
     pub per_s: Option<f64>,
-    /// Time since it was said, in milliseconds.
+    /// Time since the upstream announced the limit, in milliseconds.
     #[prost(uint32, tag = "3")]
     pub age_ms: u32,
 }
 
-/// Asks whether a request may be sent to an upstream that names a limit.
+/// Requests a permit to send one request to an upstream that announces a limit.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct PermitRequest {
-    /// The asking node's number for it.
+    /// Ticket number, chosen by the requesting node.
     #[prost(uint64, tag = "1")]
     pub ticket: u64,
-    /// The upstream, and what the asking node knows of it.
+    /// The upstream, and the limit that the requesting node knows of.
     #[prost(message, required, tag = "2")]
     pub limit: LimitReport,
-    /// Rank of the request.
+    /// Priority rank of the request; 0 goes first.
     #[prost(uint32, tag = "3")]
     pub rank: u32,
 }
 
-/// Whether a request may be sent to an upstream that names a limit.
+/// Grants or denies a permit to send one request to an upstream that announces a limit.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct PermitResponse {
-    /// The asking node's number for it.
+    /// Ticket number of the permit request.
     #[prost(uint64, tag = "1")]
     pub ticket: u64,
-    /// The upstream, and what the answering node knows of it.
+    /// The upstream, and the limit that the issuing node knows of.
     #[prost(message, required, tag = "2")]
     pub limit: LimitReport,
-    /// Whether it may.
+    /// Whether the permit is granted.
     #[prost(bool, tag = "3")]
     pub is_granted: bool,
-    /// If not, when the asking node may ask again, in milliseconds.
+    /// If denied: time until the requesting node may ask again, in milliseconds.
     #[prost(uint32, tag = "4")]
     pub retry_after_ms: u32,
-    /// If not, when as many requests should be done as are asked for in a second now, in milliseconds.
+    /// If denied: time that the upstream takes at its limit to serve the requests that currently
+    /// arrive in one second, in milliseconds.
     #[prost(uint32, tag = "5")]
     pub queue_drain_ms: u32,
 }
 
-/// An operator's newest word on a failure domain.
+/// An operator's newest order on a failure domain.
 #[derive(Clone, PartialEq, Message)]
 pub struct EvacuationOrderMessage {
     /// The failure domain.
     #[prost(string, tag = "1")]
     pub failure_domain: String,
-    /// Whether it is evacuated; if not, that was taken back.
+    /// Whether the domain is evacuated; `false` if the evacuation was withdrawn.
     #[prost(bool, tag = "2")]
     pub is_in_force: bool,
-    /// Number of the word in the store.
+    /// Offset of the order in the store.
     #[prost(uint64, tag = "3")]
     pub offset: u64,
-    /// Era of the store that the number belongs to.
+    /// Era of the store that `offset` belongs to.
     #[prost(uint64, tag = "4")]
     pub era: u64,
 }
 
-/// Whose loads and promises a heartbeat tells.
+/// Whose loads and reservations a heartbeat contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration)]
 #[repr(i32)]
 pub enum LoadScope {
-    /// The sender's own.
+    /// Those of the sender.
     Sender = 0,
-    /// Those of all nodes of its failure domain, added up.
+    /// The sums over all nodes of the sender's failure domain.
     Domain = 1,
-    /// Nobody's: what was told before holds on.
+    /// None; those reported before stay valid.
     Omitted = 2,
 }
 
-/// What a node says of one stage service.
+/// Load of one stage service, as a node reports it.
 #[derive(Clone, PartialEq, Message)]
 pub struct StageLoad {
     /// Short hash of the service's name.
     #[prost(fixed32, tag = "1")]
     pub service_hash: u32,
-    /// Whether the node owns the service; if not, only `promised` is set.
+    /// Whether the node owns the service; if not, only `reserved` is set.
     #[prost(bool, tag = "2")]
     pub is_owner: bool,
-    /// Pieces a second that its makers finish together while more wait.
+    /// Pieces per second that the service's workers complete together while more pieces wait.
     #[prost(float, tag = "3")]
     pub rate_per_s: f32,
-    /// Pieces a second that came of late, by rank.
+    /// Recent arrival rate of pieces, in pieces per second, by priority rank.
     #[prost(float, repeated, tag = "4")]
     pub arrivals_per_s: Vec<f32>,
-    /// Pieces that wait and can be in time, by rank.
+    /// Waiting pieces that can still complete in time, by priority rank.
     #[prost(uint32, repeated, tag = "5")]
     pub waiting: Vec<u32>,
-    /// Pieces that wait and can't be in time.
+    /// Waiting pieces that can no longer complete in time.
     #[prost(uint32, tag = "6")]
     pub late: u32,
-    /// Pieces that the node has promised to requests and not asked for yet, by rank.
+    /// Pieces that the node has reserved for requests and not submitted yet, by priority rank.
     #[prost(uint32, repeated, tag = "7")]
     pub reserved: Vec<u32>,
 }
 
-/// Asks for the upstreams' records.
+/// Requests the upstreams' records.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct DirectoryRequest {
-    /// Number up to which they are known; 0 for all.
+    /// Offset up to which the requesting node has applied the records; 0 to get all of them.
     #[prost(uint64, tag = "1")]
     pub since: u64,
     /// Era of the store that `since` belongs to.
@@ -368,11 +375,13 @@
 /// The configuration in force.
 #[derive(Clone, PartialEq, Message)]
 pub struct CompressedConfig {
-    /// Its record in the store, packed ([`crate::packing`]). Field 1 held it as it is, and field 2 an age, which
-    /// nodes that don't know of packing would take for a confirmation of what they have.
+    /// The record from the store, compressed ([`crate::compression`]). Former versions used field 1
+    /// for the uncompressed record and field 2 for its age; these must not be set, since nodes that
+    /// don't know the compressed field would take an age as a confirmation of the configuration
+    /// that they have.
     #[prost(bytes = "bytes", tag = "4")]
     pub compressed: bytes::Bytes,
-    /// The store's number after the record; 0 if it isn't known.
+    /// Offset in the store after the record; 0 if unknown.
     #[prost(uint64, tag = "3")]
     pub end: u64,
     /// Era of the store that `end` belongs to.
@@ -383,30 +392,32 @@
 /// Records of upstreams.
 #[derive(Clone, PartialEq, Message)]
 pub struct DirectoryRecords {
-    /// Number up to which they were taken in.
+    /// Offset in the store up to which the sender has applied records.
     #[prost(uint64, tag = "1")]
     pub end: u64,
-    /// The records.
+    /// The records; empty if `compressed` is set.
     #[prost(message, repeated, tag = "2")]
     pub records: Vec<DirectoryRecord>,
-    /// Whether these are all records; if not, those since the number that was asked for.
+    /// Whether these are the records of all upstreams; if not, those since the requested offset.
     #[prost(bool, tag = "3")]
     pub is_full: bool,
-    /// Time for which removals may still be lapses, in milliseconds.
+    /// Time for which a missing record may still be a lapse (its upstream could not renew it) and
+    /// not a removal, in milliseconds.
     #[prost(uint32, tag = "4")]
     pub lapse_window_ms: u32,
-    /// Time since the store has shown that these are its newest, in milliseconds.
+    /// Time since the store confirmed that there were no newer records, in milliseconds.
     #[prost(uint32, optional, tag = "5")]
     pub age_ms: Option<u32>,
     /// Era of the store that `end` belongs to.
     #[prost(uint64, tag = "6")]
     pub era: u64,
-    /// In place of `records`, where they are many: [`DirectoryList`], packed ([`crate::packing`]).
+    /// Replaces `records` if there are many: a [`DirectoryList`], compressed
+    /// ([`crate::compression`]).
     #[prost(bytes = "bytes", tag = "7")]
     pub compressed: bytes::Bytes,
 }
 
-/// Records of upstreams, to be packed.
+/// Records of upstreams, in the form that is compressed.
 #[derive(Clone, PartialEq, Message)]
 pub struct DirectoryList {
     /// The records.
@@ -414,158 +425,162 @@
     pub records: Vec<DirectoryRecord>,
 }
 
-/// The record of one upstream.
+/// Record of one upstream, or of its removal.
 #[derive(Clone, PartialEq, Message)]
 pub struct DirectoryRecord {
-    /// Its identity, which a process that starts again may keep.
+    /// Instance name; stays the same if the process restarts under this name.
     #[prost(string, tag = "1")]
     pub instance: String,
-    /// Its number in the store.
+    /// Offset of the record in the store.
     #[prost(uint64, tag = "2")]
     pub offset: u64,
-    /// Service.
+    /// Service of the upstream.
     #[prost(string, tag = "3")]
     pub service: String,
-    /// Address, `ip:port`.
+    /// Address of the upstream, `ip:port`.
     #[prost(string, tag = "4")]
     pub address: String,
-    /// Failure domain.
+    /// Failure domain of the upstream.
     #[prost(string, tag = "5")]
     pub failure_domain: String,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     #[prost(uint32, tag = "6")]
     pub slots: u32,
-    /// Whether it is leaving.
+    /// Whether it is draining.
     #[prost(bool, tag = "7")]
     pub is_draining: bool,
-    /// Whether it was removed; only instance and number are set then.
+    /// Whether the record was removed; only `instance`, `offset` and `era` are set then.
     #[prost(bool, tag = "8")]
     pub is_removed: bool,
-    /// When its process started, in Unix milliseconds, if that is known.
+    /// Start time of the upstream's process, in Unix milliseconds, if known.
     #[prost(uint64, optional, tag = "9")]
     pub started_ms: Option<u64>,
-    /// With `is_removed`: whether something lies there that can't be read, so that it is no lapse.
+    /// With `is_removed`: whether the store holds an unreadable record under this instance. Such a
+    /// removal takes effect at once, since it can't be a lapse.
     #[prost(bool, tag = "10")]
     pub is_unreadable: bool,
-    /// How much longer it is cold, in milliseconds.
+    /// Time for which the upstream stays cold, in milliseconds.
     #[prost(uint32, tag = "11")]
     pub cold_ms: u32,
-    /// Era of the store that its number belongs to.
+    /// Era of the store that `offset` belongs to.
     #[prost(uint64, tag = "12")]
     pub era: u64,
-    /// How often its process has written its record since its start.
+    /// Number of times that the process has written its record since its start.
     #[prost(uint64, tag = "13")]
     pub sequence: u64,
-    /// Version of its software.
+    /// Software version of the upstream.
     #[prost(string, tag = "14")]
     pub version: String,
 }
 
-/// Pieces of one stage of one request.
+/// Pieces of one stage of one request, submitted to the owner of the stage's service.
 #[derive(Clone, PartialEq, Message)]
 pub struct StageWork {
-    /// The asking node's number for them.
+    /// Ticket number, chosen by the requesting node.
     #[prost(uint64, tag = "1")]
     pub ticket: u64,
     /// Service of the stage.
     #[prost(string, tag = "2")]
     pub service: String,
-    /// The request.
+    /// Identifier of the request.
     #[prost(string, tag = "3")]
     pub request_id: String,
-    /// Index of the stage.
+    /// Index of the stage in the route.
     #[prost(uint32, tag = "4")]
     pub stage: u32,
     /// Number of pieces.
     #[prost(uint32, tag = "5")]
     pub pieces: u32,
-    /// What they work on, for a stage that follows none.
+    /// Key of the input, for a stage that depends on no other stage.
     #[prost(string, optional, tag = "6")]
     pub key: Option<String>,
-    /// Handles of what they work on, for any other stage.
+    /// Handles of the results that the pieces need, for a stage that depends on others.
     #[prost(string, repeated, tag = "7")]
     pub inputs: Vec<String>,
-    /// Time until the results are of no more use, in milliseconds.
+    /// Time after which the results are useless, in milliseconds.
     #[prost(uint32, tag = "8")]
     pub remaining_ms: u32,
-    /// Time until the results are due for the request to be on time, in milliseconds; below 0 if
-    /// that is over.
+    /// Time within which the results must exist for the request to meet its objective, in
+    /// milliseconds; negative if that has passed.
     #[prost(sint32, tag = "9")]
     pub due_ms: i32,
-    /// Rank of the request.
+    /// Priority rank of the request; 0 goes first.
     #[prost(uint32, tag = "10")]
     pub priority: u32,
-    /// Size of one result, in bytes.
+    /// Approximate size of one result, in bytes.
     #[prost(uint64, tag = "11")]
     pub result_bytes: u64,
-    /// Failure domain in which the results will be read; empty if that doesn't matter.
+    /// Failure domain that reads the results; empty if their place doesn't matter.
     #[prost(string, tag = "12")]
     pub consumer_domain: String,
-    /// Digest of what the request asks.
+    /// Fingerprint of the request.
     #[prost(bytes = "bytes", tag = "13")]
     pub fingerprint: bytes::Bytes,
-    /// Failure domain whose makers are asked, while the service is split; empty for all.
+    /// Failure domain whose workers get the pieces while the service is sharded; empty for all
+    /// workers.
     #[prost(string, tag = "14")]
     pub worker_domain: String,
-    /// Regions in which the request may be served; none if any will do.
+    /// Regions in which the request may be served; empty if it may be served in any.
     #[prost(string, repeated, tag = "15")]
     pub allowed_regions: Vec<String>,
 }
 
-/// What became of the pieces of one stage.
+/// Outcome of the pieces of one stage.
 #[derive(Clone, PartialEq, Message)]
 pub struct StageDone {
-    /// The asking node's number for them.
+    /// Ticket number of the [`StageWork`].
     #[prost(uint64, tag = "1")]
     pub ticket: u64,
-    /// 0 made, 1 late, 2 an input is gone, 3 failed, 4 turned away, 5 the failure domain has no makers.
+    /// 0 completed, 1 late, 2 an input is gone, 3 failed, 4 quarantined, 5 the failure domain has
+    /// no workers.
     #[prost(uint32, tag = "2")]
     pub outcome: u32,
-    /// Handles of the results, in the order of the pieces.
+    /// Handles of the results, in piece order.
     #[prost(string, repeated, tag = "3")]
     pub handles: Vec<String>,
 }
 
-/// The pieces of one stage.
+/// Names the pieces of one stage by their ticket.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct WorkTicket {
-    /// The asking node's number for them.
+    /// Ticket number of the [`StageWork`].
     #[prost(uint64, tag = "1")]
     pub ticket: u64,
 }
 
-/// Upstreams that ended, and requests that got whole answers after some had ended under them.
+/// Upstreams that crashed, and requests that were answered in full after upstreams had crashed
+/// under them.
 #[derive(Clone, PartialEq, Message)]
 pub struct CrashReports {
-    /// The ends.
+    /// The crashes.
     #[prost(message, repeated, tag = "1")]
     pub crashes: Vec<CrashReport>,
-    /// The answers.
+    /// The requests that were answered in full.
     #[prost(message, repeated, tag = "2")]
     pub cleared: Vec<ClearanceReport>,
 }
 
-/// The end of one start of an upstream.
+/// The crash of one incarnation of an upstream.
 #[derive(Clone, PartialEq, Message)]
 pub struct CrashReport {
-    /// Its identity.
+    /// Instance name of the upstream.
     #[prost(string, tag = "1")]
     pub instance: String,
-    /// When its process had started, in Unix milliseconds, if that is known.
+    /// Start time of the upstream's process, in Unix milliseconds, if known.
     #[prost(uint64, optional, tag = "2")]
     pub started_ms: Option<u64>,
-    /// Time since it ended, in milliseconds.
+    /// Time since the crash, in milliseconds.
     #[prost(uint32, tag = "3")]
     pub age_ms: u32,
-    /// Digests of what it had in hand.
+    /// Fingerprints of the requests that were in flight.
     #[prost(bytes = "bytes", repeated, tag = "4")]
     pub fingerprints: Vec<bytes::Bytes>,
 }
 
-/// A whole answer to a request.
+/// A request that was answered in full, which clears it of earlier crashes.
 #[derive(Clone, PartialEq, Message)]
 pub struct ClearanceReport {
-    /// Digest of what the request asks.
+    /// Fingerprint of the request.
     #[prost(bytes = "bytes", tag = "1")]
     pub fingerprint: bytes::Bytes,
     /// Time since the answer, in milliseconds.
@@ -573,13 +588,13 @@
     pub age_ms: u32,
 }
 
-/// Results that are not needed any more.
+/// Results that are no longer needed.
 #[derive(Clone, PartialEq, Message)]
 pub struct ReleaseResults {
-    /// Service that made them.
+    /// Service whose workers hold the results.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// Their handles.
+    /// Handles of the results.
     #[prost(string, repeated, tag = "2")]
     pub handles: Vec<String>,
 }
--- a/crates/fernring-protocol/src/lib.rs
+++ b/crates/fernring-protocol/src/lib.rs
@@ -1,7 +1,7 @@
-//! What fernring nodes say to each other: `prost` messages in length-delimited frames.
+//! Messages that fernring nodes exchange: `prost` messages in length-delimited frames.
 //!
-//! A connection carries one [`Frame`] in each direction at a time: a question, then its answer.
-//! Claim records on the log service use the same encoding ([`messages::ClaimBatchMessage`]).
+//! A connection carries one [`Frame`] in each direction at a time: a request, then its reply. Claim
+//! records on the log service use the same encoding ([`messages::ClaimBatchMessage`]).
 //!
 //! ```
 //! use fernring_protocol::{Frame, messages::{ConfigRequest, frame::Body}};
@@ -11,18 +11,19 @@
 //! assert_eq!(fernring_protocol::decode(&bytes).unwrap(), frame);
 //! ```
 
+pub mod compression;
 pub mod gateway;
 pub mod messages;
-pub mod compression;
 
 pub use messages::Frame;
 
 use {bytes::Bytes, prost::Message, thiserror::Error, tokio_util::codec::LengthDelimitedCodec};
 
-/// Largest frame, in bytes: a whole answer, or the configuration of the long-run size.
+/// Largest frame, in bytes. Leaves room for a complete answer and for the configuration of a large
+/// deployment.
 pub const FRAME_MAX_BYTES: usize = 16 << 20;
 
-/// A frame that is not one of ours.
+/// The bytes are not an encoded [`Frame`].
 #[derive(Debug, Error)]
 #[error("malformed frame: {0}")]
 pub struct FrameError(#[from] prost::DecodeError);
@@ -40,7 +41,7 @@
 /// Decodes a frame.
 ///
 /// # Errors
-/// Refuses bytes that are not a frame.
+/// Returns an error if the bytes are not an encoded frame.
 pub fn decode(bytes: &[u8]) -> Result<Frame, FrameError> {
     Ok(Frame::decode(bytes)?)
 }
--- a/crates/fernring-protocol/tests/testsuite/compression.rs
+++ b/crates/fernring-protocol/tests/testsuite/compression.rs
@@ -1,10 +1,10 @@
-//! Packing of records.
+//! Compression of records.
 
 use {
     fernring_protocol::{
         FRAME_MAX_BYTES,
-        gateway::{DirectoryList, DirectoryRecord},
         compression::{DecompressError, compress, decompress},
+        gateway::{DirectoryList, DirectoryRecord},
     },
     proptest::prelude::*,
     prost::Message,
@@ -12,35 +12,39 @@
 
 proptest! {
     #[test]
-    fn what_is_packed_is_unpacked(bytes in proptest::collection::vec(any::<u8>(), 0..5_000)) {
+    fn compression_round_trips(bytes in proptest::collection::vec(any::<u8>(), 0..5_000)) {
         prop_assert_eq!(decompress(&compress(&bytes)).unwrap(), bytes);
     }
 
     #[test]
-    fn what_was_not_packed_never_panics(bytes in proptest::collection::vec(any::<u8>(), 0..500)) {
+    fn decompressing_any_bytes_never_panics(bytes in proptest::collection::vec(any::<u8>(), 0..500)) {
         drop(decompress(&bytes));
     }
 }
 
 #[test]
-fn what_is_cut_is_refused() {
-    let packed = compress("a route, and another route, ".repeat(100).as_bytes());
-    for end in 0..packed.len() {
-        assert!(matches!(decompress(&packed[..end]), Err(DecompressError::Malformed(_))), "{end}");
+fn truncated_bytes_are_rejected() {
+    let compressed = compress("a route, and another route, ".repeat(100).as_bytes());
+    for end in 0..compressed.len() {
+        assert!(
+            matches!(decompress(&compressed[..end]), Err(DecompressError::Malformed(_))),
+            "{end}"
+        );
     }
 }
 
 #[test]
-fn a_few_bytes_do_not_fill_the_memory() {
-    let packed = compress(&vec![0; FRAME_MAX_BYTES + 1]);
-    assert!(packed.len() < FRAME_MAX_BYTES / 100);
-    assert!(matches!(decompress(&packed), Err(DecompressError::TooLarge)));
+fn decompressed_size_is_limited() {
+    let compressed = compress(&vec![0; FRAME_MAX_BYTES + 1]);
+    assert!(compressed.len() < FRAME_MAX_BYTES / 100);
+    assert!(matches!(decompress(&compressed), Err(DecompressError::TooLarge)));
     assert_eq!(decompress(&compress(&vec![0; FRAME_MAX_BYTES])).unwrap().len(), FRAME_MAX_BYTES);
 }
 
-/// Records of ten thousand upstreams were passed on as they are, a megabyte to each of hundreds of nodes that start.
+/// Nodes send the records of ten thousand upstreams to hundreds of starting nodes; uncompressed,
+/// they take a megabyte for each.
 #[test]
-fn records_of_upstreams_pack_well() {
+fn upstream_records_compress_to_half() {
     let record = |number: u32| DirectoryRecord {
         instance: format!("i-{:010x}", u64::from(number).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 24),
         offset: u64::from(number),
@@ -55,7 +59,7 @@
     };
     let list = DirectoryList { records: (0..10_000).map(record).collect() };
     let bytes = list.encode_to_vec();
-    let packed = compress(&bytes);
-    assert!(packed.len() * 2 < bytes.len(), "{} of {}", packed.len(), bytes.len());
-    assert_eq!(DirectoryList::decode(decompress(&packed).unwrap()).unwrap(), list);
+    let compressed = compress(&bytes);
+    assert!(compressed.len() * 2 < bytes.len(), "{} of {}", compressed.len(), bytes.len());
+    assert_eq!(DirectoryList::decode(decompress(&compressed).unwrap()).unwrap(), list);
 }
--- a/crates/fernring-protocol/tests/testsuite/frames.rs
+++ b/crates/fernring-protocol/tests/testsuite/frames.rs
@@ -1,4 +1,4 @@
-//! Frames between nodes.
+//! Encoding and framing of messages.
 
 use {
     bytes::BytesMut,
@@ -12,15 +12,15 @@
 
 proptest! {
     #[test]
-    fn any_bytes_are_a_frame_or_an_error(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_decode_or_fail(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         if let Ok(frame) = decode(&bytes) {
-            // What was read is written in one way; reading that gives the same again.
+            // Decoded bytes may have another encoding of the same frame; the encoder has only one.
             prop_assert_eq!(decode(&encode(&frame)).unwrap(), frame);
         }
     }
 
     #[test]
-    fn a_frame_survives_the_wire_in_any_pieces(
+    fn split_frames_are_reassembled(
         key in ".{0,40}",
         input in ".{0,200}",
         window_ms in any::<u64>(),
@@ -37,17 +37,17 @@
             prefix: String::new(),
         };
         let frame = Frame { body: Some(Body::Forward(forward)) };
-        let mut wire = BytesMut::new();
-        codec().encode(encode(&frame), &mut wire).unwrap();
-        let rest = wire.split_off(cut.min(wire.len()));
+        let mut encoded = BytesMut::new();
+        codec().encode(encode(&frame), &mut encoded).unwrap();
+        let rest = encoded.split_off(cut.min(encoded.len()));
         let mut reader = codec();
-        let mut arrived = wire;
-        let early = reader.decode(&mut arrived).unwrap();
-        let bytes = match early {
+        let mut arrived = encoded;
+        let first = reader.decode(&mut arrived).unwrap();
+        let bytes = match first {
             Some(bytes) => bytes,
             None => {
                 arrived.extend_from_slice(&rest);
-                reader.decode(&mut arrived).unwrap().expect("the whole frame is there")
+                reader.decode(&mut arrived).unwrap().expect("all bytes of the frame have arrived")
             }
         };
         prop_assert_eq!(decode(&bytes).unwrap(), frame);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_frame_over_the_limit_is_refused() {
+fn oversized_frames_are_rejected() {
     let output = Some("x".repeat(FRAME_MAX_BYTES));
     let answer = SubmissionAnswer { code: 1000, output, retry_after_ms: None };
     let frame = Frame { body: Some(Body::Answer(answer)) };
--- a/crates/fernring-protocol/tests/testsuite/main.rs
+++ b/crates/fernring-protocol/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of what goes between nodes, a file a module.
+//! Tests of the messages between nodes, one file per module.
 
-mod frames;
 mod compression;
+mod frames;
