--- a/crates/fernring-gateway/src/connections.rs
+++ b/crates/fernring-gateway/src/connections.rs
@@ -1,5 +1,5 @@
-//! Connections to upstreams: one request at a time on each, kept while idle, never reused after
-//! anything odd.
+//! Connections to upstreams. A connection carries one request at a time, is kept open while idle,
+//! and is closed after any irregularity.
 
 use {
     crate::{barred::Barred, endings::Break},
@@ -29,51 +29,52 @@
     },
 };
 
-/// Longest wait for a connection. A round trip between failure domains takes a few milliseconds;
-/// half a second leaves time for another upstream within most objectives.
+/// Connect timeout. A round trip between failure domains takes a few milliseconds; half a second
+/// leaves time to try another upstream within most objectives.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long the kernel tries to deliver sent bytes. A peer without power never says so.
+/// Time for which the kernel retransmits unacknowledged bytes. A machine that lost power never
+/// resets its connections.
 pub const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How long an idle connection is kept when the upstream doesn't say how long it keeps it.
+/// Time for which an idle connection is kept if the upstream doesn't announce its own idle timeout.
 const IDLE_TIMEOUT_DEFAULT: Duration = Duration::from_secs(4);
-/// How much sooner than the upstream this side gives an idle connection up.
+/// Time by which an idle connection is closed before the upstream would close it.
 const IDLE_MARGIN: Duration = Duration::from_millis(500);
-/// Most idle connections kept to one upstream.
+/// Largest number of idle connections to one upstream.
 const IDLE_CONNECTIONS_MAX: usize = 16;
-/// Most bytes of an answer that are held while nobody takes them.
+/// Largest number of response bytes that are buffered while they aren't read.
 const BUFFER_BYTES_MAX: usize = 64 << 10;
-/// Longest wait until an idle connection takes a request; one that is sound takes it at once.
+/// Longest wait until an idle connection accepts a request; a sound one accepts it at once.
 const READY_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Why a send brought no answer.
+/// Reason why a send got no response.
 #[derive(Debug, Error)]
 pub enum SendFailure {
     /// Nothing was written.
     #[error("not sent: {0}")]
     NotSent(String),
-    /// Nothing was written, since nobody listens there.
+    /// Nothing was written, since the connection was refused.
     #[error("not sent: {0}")]
     NoListener(String),
-    /// Nothing was written, since the upstream may get nothing new.
+    /// Nothing was written, since the upstream is ineligible for new requests.
     #[error("{0}")]
     Ineligible(Barred),
-    /// It may have been written, in whole or in part.
-    #[error("no answer: {0}")]
+    /// The request may have been written, in whole or in part.
+    #[error("no response: {0}")]
     Broken(ConnectionLoss),
 }
 
-/// That a connection broke off, and how.
+/// Loss of a connection in the middle of an exchange.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{reason}")]
 pub struct ConnectionLoss {
-    /// What was seen.
+    /// Description for the log.
     pub reason: String,
-    /// How, if it was the connection that broke and not an answer that can't be read.
+    /// How the connection ended; `None` if it was the response that can't be parsed.
     pub kind: Option<Break>,
 }
 
 impl ConnectionLoss {
-    /// Nothing came any more.
+    /// Creates the loss of a connection from which nothing more arrived.
     pub fn silent(reason: &str) -> Self {
         Self { reason: reason.to_owned(), kind: Some(Break::Silent) }
     }
@@ -81,12 +82,12 @@
 
 impl From<&hyper::Error> for ConnectionLoss {
     fn from(error: &hyper::Error) -> Self {
-        Self { reason: describe(error), kind: break_kind(error) }
+        Self { reason: describe(error), kind: disconnect_kind(error) }
     }
 }
 
-/// Tells how a connection broke; `None` if it is the answer that can't be read.
-fn break_kind(error: &hyper::Error) -> Option<Break> {
+/// Returns how a connection ended; `None` if it is the response that can't be parsed.
+fn disconnect_kind(error: &hyper::Error) -> Option<Break> {
     let sources = std::iter::successors(std::error::Error::source(error), |error| error.source());
     let kind = sources.filter_map(|source| source.downcast_ref::<io::Error>()).next();
     match kind.map(io::Error::kind) {
@@ -99,7 +100,7 @@
     }
 }
 
-/// Ends a connection's task when dropped, which closes the connection.
+/// Aborts a connection's task when dropped, which closes the connection.
 #[derive(Debug)]
 struct TaskGuard(AbortHandle);
 
@@ -124,8 +125,8 @@
 #[derive(Debug, Default)]
 struct PoolState {
     idle: Vec<IdleConnection>,
-    open: usize,
-    /// Tasks of all connections that were opened and haven't ended.
+    open_count: usize,
+    /// Tasks of all open connections; finished ones are removed when the next connection is opened.
     tasks: Vec<AbortHandle>,
 }
 
@@ -134,67 +135,68 @@
 pub struct ConnectionPool {
     address: SocketAddr,
     clock: Rc<dyn Clock>,
-    shared: Rc<RefCell<PoolState>>,
+    state: Rc<RefCell<PoolState>>,
 }
 
-/// An answer whose body is still to come.
+/// A response whose body is still to be read.
 #[derive(Debug)]
 pub struct UpstreamResponse {
-    /// Its head.
+    /// Status and headers.
     pub head: Parts,
-    /// Its body.
+    /// Body of the response.
     pub body: ResponseBody,
 }
 
 impl ConnectionPool {
-    /// Creates the pool of an upstream.
+    /// Creates an empty pool of connections to an upstream.
     pub fn new(address: SocketAddr, clock: Rc<dyn Clock>) -> Self {
-        Self { address, clock, shared: Rc::default() }
+        Self { address, clock, state: Rc::default() }
     }
 
     fn now(&self) -> Duration {
         self.clock.now().monotonic
     }
 
-    /// Returns the address that it connects to.
+    /// Returns the upstream's address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns the number of connections, idle ones included.
+    /// Returns the number of open connections, idle ones included.
     pub fn open_count(&self) -> usize {
-        self.shared.borrow().open
+        self.state.borrow().open_count
     }
 
-    /// Closes idle connections whose time is over.
+    /// Closes idle connections that have expired or that the upstream has closed.
     pub fn expire(&self) {
         let now = self.now();
-        let mut shared = self.shared.borrow_mut();
-        let before = shared.idle.len();
-        shared.idle.retain(|idle| idle.expires_at > now && !idle.connection.sender.is_closed());
-        shared.open -= before - shared.idle.len();
+        let mut state = self.state.borrow_mut();
+        let before = state.idle.len();
+        state.idle.retain(|idle| idle.expires_at > now && !idle.connection.sender.is_closed());
+        state.open_count -= before - state.idle.len();
     }
 
-    /// Closes all idle connections: one has failed, and the others may have gone silent or be closed at the
-    /// other end without a sign, which only the next request on them would find out.
+    /// Closes all idle connections. Called after one has failed: others may be dead as well without
+    /// any sign, which only the next request on them would reveal.
     pub fn close_idle(&self) {
-        let idle = std::mem::take(&mut self.shared.borrow_mut().idle);
-        self.shared.borrow_mut().open -= idle.len();
+        let idle = std::mem::take(&mut self.state.borrow_mut().idle);
+        self.state.borrow_mut().open_count -= idle.len();
     }
 
-    /// Closes all connections, those in use included: what waits on them fails at once.
+    /// Closes all connections, including those in use: pending exchanges fail at once.
     pub fn close(&self) {
         self.close_idle();
-        for task in std::mem::take(&mut self.shared.borrow_mut().tasks) {
+        for task in std::mem::take(&mut self.state.borrow_mut().tasks) {
             task.abort();
         }
     }
 
-    /// Sends a request and waits for the head of its answer. At most `open_max` connections are
-    /// opened.
+    /// Sends a request and waits for the head of its response. Opens a new connection only if fewer
+    /// than `open_max` are open.
     ///
     /// # Errors
-    /// If no answer came. [`SendFailure::NotSent`] is given only if nothing was written.
+    /// Returns a [`SendFailure`] if no response arrived. [`SendFailure::NotSent`] guarantees that
+    /// nothing was written.
     pub async fn send(
         &self,
         request: Request<Full<Bytes>>,
@@ -203,11 +205,13 @@
         self.send_if(request, open_max, async || Ok(())).await
     }
 
-    /// Sends a request like [`Pool::send`], if `check` allows it at the moment at which its first byte would leave:
-    /// a connection may take half a second to be there, and what held when the upstream was chosen may hold no more.
+    /// Sends a request like [`ConnectionPool::send`], if `check` allows it just before the first
+    /// byte is written. Opening a connection can take half a second, so the conditions under which
+    /// the upstream was chosen may no longer hold.
     ///
     /// # Errors
-    /// The same; [`SendFailure::Barred`] if `check` doesn't allow it.
+    /// As for [`ConnectionPool::send`], and [`SendFailure::Ineligible`] if `check` doesn't allow
+    /// the send.
     pub async fn send_if(
         &self,
         request: Request<Full<Bytes>>,
@@ -218,38 +222,46 @@
         while let Some(connection) = self.checkout_idle().await {
             check().await.map_err(SendFailure::Ineligible)?;
             match self.exchange(connection, request).await {
-                Ok(answer) => return Ok(answer),
-                Err(ExchangeError::NotSent(unsent)) => request = *unsent,
-                Err(ExchangeError::Broken(broke)) => return Err(SendFailure::Broken(broke)),
+                Ok(response) => return Ok(response),
+                Err(ExchangeError::NotSent(returned)) => request = *returned,
+                Err(ExchangeError::Broken(loss)) => return Err(SendFailure::Broken(loss)),
             }
         }
         if self.open_count() >= open_max.max(1) {
-            return Err(SendFailure::NotSent(format!("{} connections are open", self.open_count())));
+            return Err(SendFailure::NotSent(format!(
+                "{} connections are open",
+                self.open_count()
+            )));
         }
         let connection = self.connect().await?;
         check().await.map_err(SendFailure::Ineligible)?;
         match self.exchange(connection, request).await {
-            Ok(answer) => Ok(answer),
-            Err(ExchangeError::NotSent(_)) => Err(SendFailure::NotSent("closed at once".to_owned())),
-            Err(ExchangeError::Broken(broke)) => Err(SendFailure::Broken(broke)),
+            Ok(response) => Ok(response),
+            Err(ExchangeError::NotSent(_)) => {
+                Err(SendFailure::NotSent("closed immediately".to_owned()))
+            }
+            Err(ExchangeError::Broken(loss)) => Err(SendFailure::Broken(loss)),
         }
     }
 
     async fn checkout_idle(&self) -> Option<ActiveConnection> {
         loop {
             self.expire();
-            let idle = self.shared.borrow_mut().idle.pop()?;
-            let mut open = ActiveConnection { connection: Some(idle.connection), pool: self.clone() };
-            if timeout(READY_TIMEOUT, open.sender().ready()).await.is_ok_and(|ready| ready.is_ok())
+            let idle = self.state.borrow_mut().idle.pop()?;
+            let mut active =
+                ActiveConnection { connection: Some(idle.connection), pool: self.clone() };
+            if timeout(READY_TIMEOUT, active.sender().ready())
+                .await
+                .is_ok_and(|ready| ready.is_ok())
             {
-                return Some(open);
+                return Some(active);
             }
         }
     }
 
     async fn connect(&self) -> Result<ActiveConnection, SendFailure> {
-        self.shared.borrow_mut().open += 1;
-        let mut open = ActiveConnection { connection: None, pool: self.clone() };
+        self.state.borrow_mut().open_count += 1;
+        let mut active = ActiveConnection { connection: None, pool: self.clone() };
         let stream = timeout(CONNECT_TIMEOUT, connect(self.address))
             .await
             .map_err(|_| SendFailure::NotSent("connect timed out".to_owned()))?
@@ -261,21 +273,21 @@
             .map_err(|error| SendFailure::NotSent(format!("connect: {error}")))?;
         // An error of the connection also reaches the request on it, which reports it.
         let task = tokio::task::spawn_local(async move { drop(connection.await) });
-        let mut shared = self.shared.borrow_mut();
-        shared.tasks.retain(|task| !task.is_finished());
-        shared.tasks.push(task.abort_handle());
-        drop(shared);
-        open.connection = Some(Connection { sender, _task: TaskGuard(task.abort_handle()) });
-        Ok(open)
+        let mut state = self.state.borrow_mut();
+        state.tasks.retain(|task| !task.is_finished());
+        state.tasks.push(task.abort_handle());
+        drop(state);
+        active.connection = Some(Connection { sender, _task: TaskGuard(task.abort_handle()) });
+        Ok(active)
     }
 
     async fn exchange(
         &self,
-        mut open: ActiveConnection,
+        mut active: ActiveConnection,
         request: Request<Full<Bytes>>,
     ) -> Result<UpstreamResponse, ExchangeError> {
-        match open.sender().try_send_request(request).await {
-            Ok(response) => Ok(into_response(open, response)),
+        match active.sender().try_send_request(request).await {
+            Ok(response) => Ok(into_response(active, response)),
             Err(mut error) => match error.take_message() {
                 Some(request) => Err(ExchangeError::NotSent(Box::new(request))),
                 None => Err(ExchangeError::Broken(error.error().into())),
@@ -283,21 +295,24 @@
         }
     }
 
-    fn return_idle(&self, connection: Connection, keep: Duration) {
-        let until = self.now() + keep;
-        let mut shared = self.shared.borrow_mut();
-        if shared.idle.len() >= IDLE_CONNECTIONS_MAX || connection.sender.is_closed() || keep.is_zero() {
-            shared.open -= 1;
+    fn return_idle(&self, connection: Connection, idle_timeout: Duration) {
+        let expires_at = self.now() + idle_timeout;
+        let mut state = self.state.borrow_mut();
+        if state.idle.len() >= IDLE_CONNECTIONS_MAX
+            || connection.sender.is_closed()
+            || idle_timeout.is_zero()
+        {
+            state.open_count -= 1;
             return;
         }
-        shared.idle.push(IdleConnection { connection, expires_at: until });
+        state.idle.push(IdleConnection { connection, expires_at });
     }
 }
 
 enum ExchangeError {
-    /// Nothing was written; here it is back.
+    /// Nothing was written; contains the request.
     NotSent(Box<Request<Full<Bytes>>>),
-    /// It may have been written.
+    /// The request may have been written.
     Broken(ConnectionLoss),
 }
 
@@ -309,7 +324,7 @@
     }
 }
 
-/// Describes an error with its cause, since hyper's own text leaves the cause out.
+/// Describes an error together with its cause, which hyper's own text leaves out.
 fn describe(error: &hyper::Error) -> String {
     match std::error::Error::source(error) {
         Some(cause) => format!("{error}: {cause}"),
@@ -317,10 +332,10 @@
     }
 }
 
-/// Opens a TCP connection for small messages to a peer that may vanish.
+/// Opens a TCP connection for small messages to a peer that may disappear without closing it.
 ///
 /// # Errors
-/// If it can't be opened.
+/// Returns an error if the connection can't be opened.
 pub async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_nodelay(true)?;
@@ -328,7 +343,7 @@
     socket.connect(address).await
 }
 
-/// A connection in use; counted until it is dropped or put back.
+/// A connection in use. It counts as open until it is dropped; returned to the pool, it stays open.
 #[derive(Debug)]
 struct ActiveConnection {
     connection: Option<Connection>,
@@ -337,48 +352,48 @@
 
 impl ActiveConnection {
     fn sender(&mut self) -> &mut SendRequest<Full<Bytes>> {
-        &mut self.connection.as_mut().expect("in use until dropped").sender
+        &mut self.connection.as_mut().expect("present until dropped").sender
     }
 
-    fn return_to_pool(mut self, keep: Duration) {
+    fn return_to_pool(mut self, idle_timeout: Duration) {
         if let Some(connection) = self.connection.take() {
-            self.pool.return_idle(connection, keep);
-            self.pool.shared.borrow_mut().open += 1;
+            self.pool.return_idle(connection, idle_timeout);
+            self.pool.state.borrow_mut().open_count += 1;
         }
-        // Dropping `self` takes one off again.
+        // Compensates for the decrement when `self` is dropped.
     }
 }
 
 impl Drop for ActiveConnection {
     fn drop(&mut self) {
-        self.pool.shared.borrow_mut().open -= 1;
+        self.pool.state.borrow_mut().open_count -= 1;
     }
 }
 
-fn into_response(open: ActiveConnection, response: Response<Incoming>) -> UpstreamResponse {
+fn into_response(active: ActiveConnection, response: Response<Incoming>) -> UpstreamResponse {
     let (head, body) = response.into_parts();
-    let body = ResponseBody { body, open: Some(open), idle_timeout: IDLE_TIMEOUT_DEFAULT };
+    let body = ResponseBody { body, connection: Some(active), idle_timeout: IDLE_TIMEOUT_DEFAULT };
     UpstreamResponse { head, body }
 }
 
-/// The body of an answer. Its connection goes back to the pool after the last byte; dropped
-/// sooner, the connection is closed, which tells the upstream to stop.
+/// The body of a response. Its connection returns to the pool after the last byte. If the body is
+/// dropped earlier, the connection is closed, which tells the upstream to stop.
 #[derive(Debug)]
 pub struct ResponseBody {
     body: Incoming,
-    open: Option<ActiveConnection>,
+    connection: Option<ActiveConnection>,
     idle_timeout: Duration,
 }
 
 impl ResponseBody {
-    /// Says how long the upstream keeps the connection while it is idle.
+    /// Sets how long the upstream keeps the connection open while it is idle.
     pub fn set_idle_timeout(&mut self, idle_timeout: Duration) {
         self.idle_timeout = idle_timeout.saturating_sub(IDLE_MARGIN);
     }
 
-    /// Closes the connection now.
+    /// Closes the connection immediately.
     pub fn close(&mut self) {
-        self.open = None;
+        self.connection = None;
     }
 }
 
@@ -394,11 +409,11 @@
         let polled = Pin::new(&mut this.body).poll_frame(context);
         match &polled {
             Poll::Ready(None) => {
-                if let Some(open) = this.open.take() {
-                    open.return_to_pool(this.idle_timeout);
+                if let Some(active) = this.connection.take() {
+                    active.return_to_pool(this.idle_timeout);
                 }
             }
-            Poll::Ready(Some(Err(_))) => this.open = None,
+            Poll::Ready(Some(Err(_))) => this.connection = None,
             Poll::Ready(Some(Ok(_))) | Poll::Pending => {}
         }
         polled
--- a/crates/fernring-gateway/src/log.rs
+++ b/crates/fernring-gateway/src/log.rs
@@ -1,13 +1,13 @@
-//! Where the gateway's log lines go.
+//! Output of the gateway's log lines.
 
 use fernring_core::text::LogLine;
 
-/// Writes the line of a decision or an event of the node's own.
+/// Writes the line of a decision or of an event in the node.
 pub fn info(line: LogLine) {
     spdlog::info!("{line}");
 }
 
-/// Writes the line of something that an operator should look at.
+/// Writes a line that an operator should look at.
 pub fn warn(line: LogLine) {
     spdlog::warn!("{line}");
 }
--- a/crates/fernring-gateway/src/model.rs
+++ b/crates/fernring-gateway/src/model.rs
@@ -1,5 +1,5 @@
-//! What the gateway knows and moves: configuration, upstreams, requests and answers, in
-//! fernring's own terms. An adapter decodes them from a platform's formats.
+//! The gateway's data model: configuration, upstreams, requests and responses. An adapter decodes
+//! them from a platform's formats.
 
 use {
     crate::residency::Residency,
@@ -17,160 +17,166 @@
     pub struct UpstreamKey;
 }
 
-/// What may be repeated of a route's requests.
+/// Which requests of a route may be sent again after a failure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryPolicy {
     /// A request may run any number of times.
     Always,
-    /// A request may run once.
+    /// A request may run at most once.
     Never,
-    /// A stream may go on at another upstream after its last whole event.
+    /// A stream may be resumed at another upstream after its last complete event.
     Resume,
 }
 
-/// One stage of a route: work whose results the request needs before it can run.
+/// One stage of a route: work whose results a request needs before it can run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StageSpec {
-    /// Service that does the work.
+    /// Service that runs the stage.
     pub service: Arc<str>,
-    /// Indexes of the stages whose results it needs. Invariant: all below its own.
+    /// Indexes of the stages whose results this one needs. Invariant: all are below its own index.
     pub depends_on: Vec<usize>,
     /// Approximate size of one result, in bytes.
     pub result_bytes: u64,
 }
 
-/// A service that a route sends a share of its requests to.
+/// A service that gets a share of a route's requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WeightedService {
     /// Name of the service.
     pub service: Arc<str>,
-    /// Its weight among the route's.
+    /// Weight of the service, relative to the route's other services.
     pub weight: u32,
 }
 
-/// A route: which requests go where, and how.
+/// A route: matches requests by host and path, and says how they are served.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route.
     pub name: Arc<str>,
-    /// Host that it belongs to, in lower case.
+    /// Host of the requests, in lower case.
     pub host: String,
-    /// Beginning of the paths that it takes.
+    /// Prefix of the requests' paths.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Which requests may be sent again after a failure.
     pub retry_policy: RetryPolicy,
-    /// Whether the answer is a stream of events.
+    /// Whether responses are streams of events.
     pub streaming: bool,
-    /// Longest time that a request is kept waiting.
+    /// Longest time that a request may wait.
     pub timeout: Duration,
-    /// Time within which an answer (a stream: its first event) is worth most.
+    /// Latency objective: time within which an answer (of a stream: its first event) has its full
+    /// value.
     pub objective: Duration,
-    /// Longest wait for an event that callers bear; they leave then.
+    /// Longest wait for an event before callers disconnect.
     pub event_gap_max: Duration,
-    /// Rank among all requests; 0 goes first.
+    /// Priority rank of the requests; 0 goes first.
     pub priority: u32,
-    /// The services it sends to. Invariant: not empty, and some weight is above 0.
+    /// The services that share the route's requests. Invariant: not empty, with at least one weight
+    /// above 0.
     pub traffic_split: Vec<WeightedService>,
-    /// Most upstreams that one request may be sent to.
+    /// Largest number of upstreams that one request may be sent to.
     pub attempts_max: u32,
-    /// The stages, in order.
+    /// The stages, in order of their indexes.
     pub stages: Vec<StageSpec>,
-    /// Whether requests need no key.
+    /// Whether requests need no API key.
     pub is_public: bool,
-    /// Whether requests say what their prompts share.
+    /// Whether requests list the parts of their prompts, so that equal parts can be served by the
+    /// same engine.
     pub prefix_affinity: bool,
-    /// Where its requests may be served.
+    /// Regions in which requests may be served.
     pub residency: Residency,
 }
 
 impl Route {
-    /// Returns how long a request may wait whose caller waits for `remaining`, if it says so.
+    /// Returns how long a request may wait if its caller waits for `remaining`; `None` means that
+    /// the caller doesn't say.
     pub fn wait_limit(&self, remaining: Option<Duration>) -> Duration {
         remaining.unwrap_or(self.timeout).min(self.timeout)
     }
 }
 
-/// How an upstream of a stage service batches pieces of work.
+/// How a worker of a stage service runs batches of pieces.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BatchConfig {
-    /// Most pieces in one call.
+    /// Largest number of pieces in one call.
     pub pieces_max: usize,
-    /// Time that a call takes besides its pieces.
+    /// Fixed time of a call, in addition to that of its pieces.
     pub call_time: Duration,
-    /// Approximate time that a piece adds.
+    /// Approximate additional time for each piece.
     pub piece_time: Duration,
-    /// Room for results, in bytes.
+    /// Memory for results, in bytes.
     pub result_capacity_bytes: u64,
-    /// How long a result is kept.
+    /// Time for which a worker keeps a result.
     pub result_lifetime: Duration,
 }
 
-/// How an upstream of a model service runs requests.
+/// How an engine of a model service runs requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ModelConfig {
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Tokens that fit into its memory.
+    /// Number of tokens that fit into its cache.
     pub cache_tokens: u64,
 }
 
-/// What a cold upstream bears.
+/// Rate limit of a cold upstream, for the sends of all nodes together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdRateLimit {
-    /// Requests a second that it bears from all nodes together.
+    /// Requests per second that the upstream can handle.
     pub per_s: f64,
-    /// How many times that may be sent in any one second.
+    /// Factor of that rate that may be sent in any one second.
     pub overage: f64,
-    /// Requests that may be sent in any one second besides.
+    /// Number of requests that may be sent in any one second in addition.
     pub slack: f64,
 }
 
 impl ColdRateLimit {
-    /// Returns the most requests that all nodes together may send in any span of this length.
+    /// Returns the largest number of requests that all nodes together may send in any window of
+    /// this length.
     pub fn max_in_window(&self, window: Duration) -> f64 {
         self.per_s * self.overage * window.as_secs_f64() + self.slack
     }
 }
 
-/// A service: upstreams that are alike.
+/// A service: a group of equivalent upstreams.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: Arc<str>,
-    /// Connections that one upstream takes from all callers together.
+    /// Number of connections that one upstream accepts from all nodes together.
     pub connections_max: u32,
-    /// Set for a service that works on pieces of stages.
+    /// Batching of a stage service; `None` for other services.
     pub batch: Option<BatchConfig>,
-    /// Set for a service of model engines.
+    /// Capacity of a model service's engines; `None` for other services.
     pub model: Option<ModelConfig>,
-    /// Set for a service whose cold upstreams bear little.
+    /// Limits of the service's cold upstreams; `None` if they need none.
     pub cold: Option<ColdStart>,
 }
 
-/// What the configuration says of cold upstreams of a service.
+/// Limits of a service's cold upstreams, as configured.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdStart {
-    /// Requests a second that one bears. Invariant: above 0.
+    /// Requests per second that a cold upstream can handle. Invariant: above 0.
     pub per_s: f64,
-    /// How long an upstream is cold after its start.
+    /// Time for which an upstream is cold after its start.
     pub duration: Duration,
 }
 
-/// What a caller may send, and how slowly.
+/// Limits on the size and speed of callers' requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
     /// Largest head of a request, in bytes.
     pub head_bytes_max: usize,
-    /// Largest body, in bytes.
+    /// Largest body of a request, in bytes.
     pub body_bytes_max: usize,
-    /// Longest time for a head, from its first byte.
+    /// Longest time for reading a head, from its first byte.
     pub head_timeout: Duration,
-    /// Longest time that a connection stays open without a request.
+    /// Time after which a connection without a request is closed.
     pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
-    /// In force only until a configuration is known: small, since nothing is served then.
+    /// In force only until a configuration is known. The limits are small, since nothing is served
+    /// until then.
     fn default() -> Self {
         Self {
             head_bytes_max: 16 << 10,
@@ -181,42 +187,43 @@
     }
 }
 
-/// A workspace that holds keys.
+/// A workspace that has API keys.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Workspace {
-    /// Its name, which upstreams are told.
+    /// Name of the workspace; sent to upstreams.
     pub name: Arc<str>,
-    /// Its rank, which goes before the route's; 0 goes first.
+    /// Priority rank of its requests, which overrides the route's; 0 goes first.
     pub priority: Option<u32>,
-    /// Where its requests may be served, besides what a route allows.
+    /// Regions in which its requests may be served; the route's regions apply as well.
     pub residency: Residency,
 }
 
 /// One version of the configuration.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ServingConfig {
-    /// Its version. Versions rise in uneven steps.
+    /// Version number. Versions rise, not necessarily by 1.
     pub version: u64,
     /// The routes.
     pub routes: Vec<Arc<Route>>,
-    /// The services by name.
+    /// The services, by name.
     pub services: HashMap<Arc<str>, Service>,
-    /// What callers may send.
+    /// Limits on callers' requests.
     pub limits: CallerLimits,
-    /// Workspaces by the hash of their keys (see [`key_hash`]); `None` if no keys are asked for.
+    /// Workspaces by the hash of their API keys (see [`api_key_hash`]); `None` if no keys are
+    /// required.
     pub workspaces: Option<HashMap<u64, Arc<Workspace>>>,
 }
 
 impl ServingConfig {
-    /// Finds the route of a request: the host's longest prefix that begins the path.
+    /// Finds the route of a request: the one of its host with the longest matching path prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
-        let fits = |route: &&Arc<Route>| {
+        let matches = |route: &&Arc<Route>| {
             path.starts_with(&route.path_prefix) && route.host.eq_ignore_ascii_case(host)
         };
-        self.routes.iter().filter(fits).max_by_key(|route| route.path_prefix.len())
+        self.routes.iter().filter(matches).max_by_key(|route| route.path_prefix.len())
     }
 
-    /// Lists the regions that routes and workspaces name.
+    /// Returns all regions that routes and workspaces name.
     pub fn regions(&self) -> BTreeSet<&Arc<str>> {
         let of_routes = self.routes.iter().map(|route| &route.residency);
         let workspaces = self.workspaces.iter().flat_map(|by_key| by_key.values());
@@ -225,25 +232,25 @@
     }
 }
 
-/// Hashes the name of an upstream's instance or of a service, for heartbeats. Two that collide only mislead
-/// selection and forecasts.
+/// Hashes the name of an upstream's incarnation or of a service, for heartbeats. A collision only
+/// degrades upstream selection and forecasts.
 pub fn short_hash(name: &str) -> u32 {
     xxh3_64(name.as_bytes()) as u32
 }
 
-/// Hashes a key, so that configurations hold none in clear.
+/// Hashes an API key, so that configurations contain no keys in clear text.
 pub fn api_key_hash(key: &str) -> u64 {
     xxh3_64(key.as_bytes())
 }
 
-/// How far a roll-out is, as operators are told.
+/// State of a roll-out, as reported to operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RolloutState {
-    /// It is under way.
+    /// The roll-out is running.
     Running,
-    /// The ordered version serves alone.
+    /// The destination version gets all requests.
     Completed,
-    /// The ordered version gets nothing.
+    /// The destination version gets no requests.
     RolledBack,
 }
 
@@ -258,187 +265,194 @@
     }
 }
 
-/// Whether an upstream is to get new work.
+/// Whether an upstream accepts new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpstreamState {
-    /// It takes work.
+    /// It accepts new work.
     Ready,
-    /// It is leaving.
+    /// It is leaving and accepts no new work.
     Draining,
 }
 
-/// An upstream as its own record describes it.
+/// An upstream, as its own record in the store describes it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UpstreamRecord {
-    /// Its identity, which a process that starts again may keep.
+    /// Instance name; stays the same if the process restarts under this name.
     pub instance: Arc<str>,
-    /// When its process started, in Unix milliseconds; `None` if the record doesn't say. Whatever was known of
-    /// the same instance with an earlier start is over.
+    /// Start time of the process, in Unix milliseconds; `None` if the record doesn't contain it. A
+    /// later start of the same instance replaces the earlier one with all its state.
     pub started_ms: Option<u64>,
-    /// Service that it belongs to.
+    /// Service of the upstream.
     pub service: Arc<str>,
-    /// Its address.
+    /// Address of the upstream.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the upstream.
     pub failure_domain: Arc<str>,
-    /// Version of its software.
+    /// Software version of the upstream.
     pub version: Arc<str>,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it is to get new work.
+    /// Whether it accepts new work.
     pub state: UpstreamState,
-    /// How often its process has written its record since its start.
+    /// Number of times that the process has written its record since its start.
     pub sequence: u64,
-    /// How much longer it is cold, when the record was read or told; `None` if what it says of that is no time.
+    /// Time for which the upstream stays cold, from when the record was read or received; `None` if
+    /// the record's value is no valid time.
     pub cold_for: Option<Duration>,
 }
 
 impl UpstreamRecord {
-    /// Returns a short hash of this run of the upstream's process, by which nodes tell each other of it: two starts
-    /// of one instance have different ones, so that load of the first isn't counted for the second.
+    /// Returns a short hash of this incarnation of the upstream's process, which nodes use in their
+    /// heartbeats. Two starts of one instance have different hashes, so that the load of the first
+    /// isn't counted for the second.
     pub fn incarnation_hash(&self) -> u32 {
         self.incarnation_id() as u32
     }
 
-    /// Returns the same at a length at which two don't collide: what binds an upstream must not bind another.
+    /// Returns a hash of this incarnation that is long enough never to collide in practice: a limit
+    /// of one upstream must not apply to another.
     pub fn incarnation_id(&self) -> u64 {
         incarnation_id(&self.instance, self.started_ms)
     }
 }
 
-/// Hashes a start of an upstream.
+/// Hashes the instance and start time of an upstream's process.
 pub fn incarnation_id(instance: &str, started_ms: Option<u64>) -> u64 {
     xxh3_64_with_seed(instance.as_bytes(), started_ms.unwrap_or(0))
 }
 
-/// A part of a prompt that requests may share.
+/// A part of a prompt that several requests may share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Its identity.
+    /// Identifier of the part.
     pub id: u64,
-    /// Its length, in tokens.
+    /// Length of the part, in tokens.
     pub tokens: u32,
 }
 
-/// What a request says of itself.
+/// The gateway's own fields in a caller's request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RequestFields {
-    /// Its identity, unique to this attempt of the caller.
+    /// Identifier of the request, unique for each attempt of the caller.
     pub id: Option<Arc<str>>,
     /// How long the caller waits.
     pub remaining: Option<Duration>,
-    /// The caller's key.
+    /// The caller's API key.
     pub api_key: Option<String>,
-    /// The parts of its prompt, in order; the last is its own.
+    /// The parts of its prompt, in order; the last part belongs to this request alone.
     pub prompt: Vec<PromptPart>,
-    /// Tokens that it may generate.
+    /// Largest number of tokens that may be generated.
     pub output_tokens_max: u32,
     /// Number of pieces by stage.
     pub piece_counts: Vec<u32>,
-    /// What the pieces of first stages work on.
+    /// Input key for the pieces of stages that depend on no other stage.
     pub piece_key: Option<Arc<str>>,
-    /// Number of the last event that the caller has of an interrupted stream.
+    /// Number of the last event that the caller received of an interrupted stream.
     pub last_event: Option<u64>,
 }
 
-/// A field of a request that can't be read.
+/// A field of a request is malformed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{field} can't be read")]
 pub struct BadField {
-    /// Name of the field, as the caller sent it.
+    /// Name of the field in the caller's request.
     pub field: &'static str,
 }
 
-/// What an upstream is told besides the caller's own words.
+/// Fields that the gateway adds to a request to an upstream.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct UpstreamFields {
-    /// Time left for the caller.
+    /// Time until the caller gives up.
     pub remaining: Duration,
-    /// The run of the upstream that is meant.
+    /// Instance that the request is addressed to.
     pub instance: Arc<str>,
     /// Name of the caller's workspace.
     pub workspace: Option<Arc<str>>,
-    /// Handles of the results that the request needs.
+    /// Handles of the stage results that the request needs.
     pub inputs: Vec<Arc<str>>,
-    /// Where an interrupted stream goes on; `None` from its beginning.
+    /// Number of the event after which an interrupted stream resumes; `None` to start from the
+    /// beginning.
     pub resume_after: Option<u64>,
 }
 
-/// What an answer says of how much its upstream takes.
+/// Rate limit that an upstream announces in a response.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub enum LimitHeader {
-    /// Nothing: it takes what comes.
+    /// No limit is announced.
     #[default]
     None,
-    /// The requests a second that it takes from all nodes together. Invariant: finite and not below 0.
+    /// Requests per second that the upstream accepts from all nodes together. Invariant: finite and
+    /// not negative.
     PerSecond(f64),
-    /// Something that is no such number.
+    /// The announced value is no valid limit.
     Unreadable,
 }
 
-/// What an upstream's answer says of itself.
+/// The gateway's own fields in an upstream's response.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ResponseFields {
-    /// The identity of the request that it answers.
+    /// Identifier of the request that the response belongs to.
     pub request_id: Option<String>,
-    /// Whether it bears the upstream's signature.
+    /// Whether it carries the upstream's signature.
     pub is_signed: bool,
-    /// Whether it states that the request has not run.
+    /// Whether it states that the request did not run.
     pub not_run: bool,
-    /// Whether it states that another instance has the address. The request has not run then.
+    /// Whether it states that another instance has this address. The request did not run in that
+    /// case.
     pub wrong_instance: bool,
-    /// How long the upstream keeps an idle connection.
+    /// How long the upstream keeps an idle connection open.
     pub idle_timeout: Option<Duration>,
-    /// Whether the body is encoded, so that it isn't the upstream's own bytes.
+    /// Whether the body has a content encoding, so that its bytes are not those that the upstream
+    /// generated.
     pub is_encoded: bool,
-    /// What it says of how much the upstream takes.
+    /// The announced rate limit.
     pub limit: LimitHeader,
 }
 
-/// A request of the gateway's own to an upstream.
+/// A request that the gateway itself makes to an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Call {
-    /// Its path.
+    /// Path of the request.
     pub path: &'static str,
-    /// Its body, in JSON.
+    /// Body of the request, in JSON.
     pub body: bytes::Bytes,
 }
 
-/// What a piece works on.
+/// Input of a piece.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PieceInput {
-    /// The request's own key, for stages that follow none.
+    /// The request's input key, for stages that depend on no other stage.
     Key(Arc<str>),
-    /// Handles of all results of the stages before.
+    /// Handles of all results of the stages that this one depends on.
     Results(Arc<[Arc<str>]>),
 }
 
-/// One piece of work of a stage.
+/// One piece of a stage's work.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Piece {
-    /// The request that it belongs to.
+    /// Identifier of the request.
     pub request_id: Arc<str>,
-    /// Index of its stage.
+    /// Index of the stage.
     pub stage: u32,
-    /// Its number within the stage.
+    /// Number of the piece within the stage.
     pub number: u32,
-    /// What it works on.
+    /// Input of the piece.
     pub input: PieceInput,
-    /// Time within which its result is of use.
+    /// Time after which the result is useless.
     pub remaining: Duration,
 }
 
-/// What became of a piece.
+/// Outcome of a piece.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PieceOutcome {
-    /// Its result lies at its maker under this handle.
+    /// The worker stores the result under this handle.
     Completed(Arc<str>),
-    /// Its time was over before its turn came.
+    /// Its time was over before the worker started it.
     Late,
-    /// A result that it needs is gone.
+    /// A result that it needs no longer exists.
     InputGone,
-    /// The maker has no room for the result.
+    /// The worker has no capacity for the result.
     NoCapacity,
-    /// The maker failed.
+    /// The worker failed.
     Failed,
 }
--- a/crates/fernring-gateway/src/node.rs
+++ b/crates/fernring-gateway/src/node.rs
@@ -1,4 +1,5 @@
-//! A gateway node: puts the parts together and carries them through start, reload and shutdown.
+//! A gateway node: creates its parts and runs them through start, reload of the settings and
+//! shutdown.
 
 use {
     crate::{
@@ -9,7 +10,6 @@
         following::{Following, Reply},
         ingress::{Ingress, Phase},
         log,
-        telemetry::{self, GaugeValues},
         members::Member,
         owner::{Owner, Parts},
         peers::{PeerHandler, Peers},
@@ -21,6 +21,7 @@
         settings::{NodeSettings, Settings, load},
         stages::Stages,
         store_loops::{Followed, PeerRecords, StoreLoops},
+        telemetry::{self, GaugeValues},
         upstreams::{Counters, Upstreams},
         wire::{Store, Wire},
     },
@@ -28,11 +29,11 @@
     bytes::Bytes,
     fernring_core::{clock::Clock, text::LogLine},
     fernring_protocol::{
+        compression::{compress, decompress},
         gateway::{
-            CompressedConfig, DirectoryList, DirectoryRecords, DirectoryRequest, GatewayBody,
-            GatewayHeartbeat, LoadScope, Empty, PermitResponse, PermitRequest,
+            CompressedConfig, DirectoryList, DirectoryRecords, DirectoryRequest, Empty,
+            GatewayBody, GatewayHeartbeat, LoadScope, PermitRequest, PermitResponse,
         },
-        compression::{compress, decompress},
     },
     http::{Request, Response, StatusCode},
     http_body_util::Full,
@@ -58,15 +59,17 @@
 
 /// Path of the metrics on the ready address.
 const METRICS_PATH: &str = "/metrics";
-/// Records up to which they are passed on as they are.
+/// Largest number of records that are sent without compression.
 const UNCOMPRESSED_RECORDS_MAX: usize = 500;
-/// How long packed records are passed on: what they say of cold upstreams is that old.
+/// Time for which compressed records are reused for further peers. What they say about cold
+/// upstreams is outdated by as much.
 const COMPRESSED_LIFETIME: Duration = Duration::from_secs(1);
-/// How often the settings file is looked at for a change that no signal announced.
+/// Interval at which the settings file is checked for changes that no signal announced.
 const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(1);
-/// Time before the end of the grace at which the process ends, whatever is still open.
+/// Time before the end of the grace period at which the process stops, even if connections are
+/// still open.
 const GRACE_MARGIN: Duration = Duration::from_millis(400);
-/// How often a shutting-down node looks whether everything is done.
+/// Interval at which a node that shuts down checks whether all connections are closed.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A gateway node.
@@ -85,14 +88,14 @@
     render: Box<dyn Fn() -> String>,
 }
 
-/// All upstreams' records, as they were packed for a peer.
+/// The records of all upstreams, compressed for peers.
 struct CompressedDirectory {
     end: Position,
     at: Duration,
     bytes: Bytes,
 }
 
-/// What a node is built on.
+/// The interfaces that a node is created with.
 pub struct NodeDependencies {
     /// The clock.
     pub clock: Rc<dyn Clock>,
@@ -100,8 +103,8 @@
     pub wire: Rc<dyn Wire>,
     /// The platform's store.
     pub store: Rc<dyn Store>,
-    /// Renders the metrics that were recorded.
-    pub render_metrics: Box<dyn Fn() -> String>,
+    /// Renders the recorded metrics as text.
+    pub render: Box<dyn Fn() -> String>,
 }
 
 /// The sockets that a node listens on.
@@ -116,11 +119,11 @@
 }
 
 impl Listeners {
-    /// Binds the addresses of the settings, and writes into these what ports were given where
-    /// they name none.
+    /// Binds the addresses of the settings. Where an address leaves the port open, the assigned
+    /// port is written back into the settings.
     ///
     /// # Errors
-    /// If an address can't be bound.
+    /// Returns an error if an address can't be bound.
     pub async fn bind(node: &mut NodeSettings) -> anyhow::Result<Self> {
         async fn bind(address: &mut SocketAddr) -> anyhow::Result<TcpListener> {
             let listener = TcpListener::bind(*address).await;
@@ -136,10 +139,10 @@
     }
 }
 
-/// Waits for SIGTERM or SIGINT.
+/// Returns a future that completes on SIGTERM or SIGINT.
 ///
 /// # Errors
-/// If signals can't be received.
+/// Returns an error if the signal handlers can't be installed.
 pub fn stop_signal() -> anyhow::Result<impl Future<Output = ()>> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -152,26 +155,26 @@
 }
 
 impl Node {
-    /// Puts a node together.
-    pub fn new(settings: Settings, foundation: NodeDependencies) -> Rc<Self> {
-        let NodeDependencies { clock, wire, store, render_metrics: render } = foundation;
+    /// Creates a node and starts the background tasks of its parts.
+    pub fn new(settings: Settings, dependencies: NodeDependencies) -> Rc<Self> {
+        let NodeDependencies { clock, wire, store, render } = dependencies;
         let failure_domain: Arc<str> = settings.node.failure_domain.as_str().into();
-        let me = Member {
+        let member = Member {
             incarnation: rand::random(),
             ..Member::new(settings.node.peer_address, failure_domain.clone())
         };
         let config = Rc::new(RefCell::new(ConfigState::default()));
         let upstreams =
             Rc::new(Upstreams::new(failure_domain, clock.clone(), config.clone(), settings.cold));
-        let peers = Rc::new(Peers::new(me, clock.clone()));
+        let peers = Rc::new(Peers::new(member, clock.clone()));
         let retries = Rc::new(Retries::new(settings.retries.allowance(), peers.clone()));
-        let rules = Rc::new(Cell::new(settings.decide));
-        let blame = Rc::new(Blame::new(
+        let decide_settings = Rc::new(Cell::new(settings.decide));
+        let crash_attribution = Rc::new(Blame::new(
             clock.clone(),
             store.clone(),
             upstreams.clone(),
             peers.clone(),
-            rules.clone(),
+            decide_settings.clone(),
         ));
         let rollouts = Rc::new(Rollouts::new(
             clock.clone(),
@@ -188,39 +191,39 @@
             config: config.clone(),
             upstreams: upstreams.clone(),
             peers: peers.clone(),
-            blame: blame.clone(),
+            blame: crash_attribution.clone(),
             rollouts: rollouts.clone(),
-            rules: rules.clone(),
+            rules: decide_settings.clone(),
         }));
         let stages =
             Rc::new(Stages::new(clock.clone(), peers.clone(), owner.clone(), upstreams.clone()));
-        let alarm = Rc::new(Alarm::new(clock.clone()));
+        let deadline_timer = Rc::new(Alarm::new(clock.clone()));
         let serving = Rc::new(Serving {
             clock: clock.clone(),
-            alarm: alarm.clone(),
+            alarm: deadline_timer.clone(),
             wire: wire.clone(),
             config: config.clone(),
             upstreams: upstreams.clone(),
             peers: peers.clone(),
             stages: stages.clone(),
             reading: ReadingSpeeds::default(),
-            rules,
+            rules: decide_settings,
             retries: retries.clone(),
             rollouts: rollouts.clone(),
-            blame: blame.clone(),
+            blame: crash_attribution.clone(),
             in_flight: Cell::new(0),
         });
         let ingress = Rc::new(Ingress::new(serving.clone(), config.clone()));
         let started_at = clock.now().monotonic;
         let loops = Rc::new(StoreLoops {
             clock,
-            alarm,
+            alarm: deadline_timer,
             wire: wire.clone(),
             store,
             config: config.clone(),
             upstreams: upstreams.clone(),
             owner: owner.clone(),
-            blame: blame.clone(),
+            blame: crash_attribution.clone(),
             rollouts: rollouts.clone(),
             peers: peers.clone(),
             following: [(); 2].map(|()| RefCell::new(Following::new(rand::random()))),
@@ -232,7 +235,7 @@
         });
         spawn_local(owner.clone().run());
         spawn_local(owner.run_releases());
-        spawn_local(blame.run());
+        spawn_local(crash_attribution.run());
         spawn_local(rollouts.run());
         let settings = RefCell::new(settings);
         let node = Rc::new(Self {
@@ -250,28 +253,28 @@
             render,
         });
         peers.set_handler(node.clone());
-        node.upstreams.set_counters(Rc::new(PeerCounters(peers)));
+        node.upstreams.set_counters(Rc::new(PeerPermitTransport(peers)));
         node.apply_link_bandwidth();
         node.apply_regions();
         node
     }
 
-    /// Sets what may be passed on to peers, by the settings.
+    /// Applies the link's bandwidth from the settings.
     fn apply_link_bandwidth(&self) {
-        let link = self.settings.borrow().node.link_bytes_per_s();
-        for what in [Followed::Config, Followed::Upstreams] {
-            self.loops.following(what).borrow_mut().set_link(link);
+        let bytes_per_s = self.settings.borrow().node.link_bytes_per_s();
+        for topic in [Followed::Config, Followed::Upstreams] {
+            self.loops.following(topic).borrow_mut().set_link(bytes_per_s);
         }
         self.peers.set_link(self.settings.borrow().node.link_mbps.round() as u32);
     }
 
-    /// Sets the region of each failure domain, by the settings.
+    /// Applies the region of each failure domain from the settings.
     fn apply_regions(&self) {
         self.upstreams.set_regions(self.settings.borrow().regions());
     }
 
-    /// Runs the node until `stop` is done, then finishes everything in flight; `settings_path` is
-    /// read again when it changes.
+    /// Runs the node until `stop` completes, then finishes the requests in flight. Reloads the
+    /// settings when the file at `settings_path` changes.
     pub async fn run(
         self: Rc<Self>,
         listeners: Listeners,
@@ -295,12 +298,12 @@
         self.shut_down().await;
     }
 
-    /// Returns the upstreams that the node knows.
+    /// Returns the known upstreams.
     pub fn upstreams(&self) -> &Upstreams {
         &self.upstreams
     }
 
-    /// Returns the number of live nodes that this one knows, itself included.
+    /// Returns the number of known live nodes, including this one.
     pub fn peer_count(&self) -> usize {
         self.peers.nodes()
     }
@@ -315,17 +318,20 @@
         self.serving.in_flight.get()
     }
 
-    /// Returns how far the newest order to roll out a version of a service is, if it has one.
+    /// Returns the progress of the newest order to roll out a version of a service; `None` if there
+    /// is no order.
     pub fn rollout_progress(&self, service: &str) -> Option<Standing> {
         self.serving.rollouts.standing(service)
     }
 
-    /// Returns the number of contents that are turned away, since upstreams ended under them.
+    /// Returns the number of quarantined fingerprints, whose requests are rejected because
+    /// upstreams crashed under them.
     pub fn quarantined_count(&self) -> usize {
         self.serving.blame.turned_away()
     }
 
-    /// Finishes everything in flight, then returns.
+    /// Finishes the requests in flight and waits until all connections are closed or the grace
+    /// period ends.
     async fn shut_down(&self) {
         let shutdown = self.settings.borrow().shutdown;
         let started = self.serving.now();
@@ -351,21 +357,21 @@
                 return;
             }
         };
-        let mut seen = modified_at(&path);
+        let mut last_modified = modified_at(&path);
         loop {
             let is_signal = tokio::select! {
                 _ = hangup.recv() => true,
                 () = sleep(SETTINGS_POLL_INTERVAL) => false,
             };
             let modified = modified_at(&path);
-            if is_signal || modified != seen {
-                seen = modified;
+            if is_signal || modified != last_modified {
+                last_modified = modified;
                 self.reload(&path);
             }
         }
     }
 
-    /// Puts changed settings in force; bad ones are refused and the old ones stay.
+    /// Applies changed settings. Invalid ones are rejected, and the current ones stay in force.
     fn reload(&self, path: &Path) {
         let settings = match load(path) {
             Ok(settings) => settings,
@@ -453,9 +459,9 @@
         has_config && self.ingress.phase() == Phase::Serving
     }
 
-    fn request_records(&self, peer: SocketAddr, what: Followed) {
+    fn request_records(&self, peer: SocketAddr, topic: Followed) {
         let since = self.upstreams.directory().end();
-        let body = match what {
+        let body = match topic {
             Followed::Config => GatewayBody::ConfigRequest(Empty {}),
             Followed::Upstreams => GatewayBody::DirectoryRequest(DirectoryRequest {
                 since: since.offset,
@@ -465,14 +471,17 @@
         self.peers.send(peer, body);
     }
 
-    /// Passes the configuration on, unless too much of it was sent just now.
+    /// Sends the configuration to a peer, or defers it if too much has been sent recently.
     fn send_config(&self, peer: SocketAddr) {
-        let Some(held) = self.config.borrow().current() else {
+        let Some(active) = self.config.borrow().current() else {
             return;
         };
-        let config =
-            CompressedConfig { compressed: held.compressed.clone(), end: held.end.offset, era: held.end.era };
-        let bytes = held.compressed.len();
+        let config = CompressedConfig {
+            compressed: active.compressed.clone(),
+            end: active.end.offset,
+            era: active.end.era,
+        };
+        let bytes = active.compressed.len();
         self.send_or_defer(peer, Followed::Config, bytes, GatewayBody::Config(config));
     }
 
@@ -480,10 +489,10 @@
         let directory = self.upstreams.directory();
         let now = self.serving.now();
         let changes = directory.changes_since(now, since);
-        let is_whole = changes.is_none();
-        let is_packed = is_whole && directory.len() > UNCOMPRESSED_RECORDS_MAX;
+        let is_full = changes.is_none();
+        let is_compressed = is_full && directory.len() > UNCOMPRESSED_RECORDS_MAX;
         let records = match changes {
-            _ if is_packed => Vec::new(),
+            _ if is_compressed => Vec::new(),
             Some(changes) => changes.iter().map(directory_record).collect(),
             None => directory.all_changes(now).iter().map(directory_record).collect(),
         };
@@ -491,36 +500,37 @@
             end: directory.end().offset,
             era: directory.end().era,
             records,
-            is_full: is_whole,
+            is_full,
             lapse_window_ms: directory.lapses_for(now).as_millis() as u32,
             age_ms: self.age_ms(Followed::Upstreams),
-            compressed: if is_packed { self.compressed_directory(now) } else { Bytes::new() },
+            compressed: if is_compressed { self.compressed_directory(now) } else { Bytes::new() },
         };
         let bytes = records.encoded_len();
         self.send_or_defer(peer, Followed::Upstreams, bytes, GatewayBody::Directory(records));
     }
 
-    /// Returns all upstreams' records, packed. At the start of a fleet hundreds of peers ask for them within a second.
+    /// Returns the records of all upstreams, compressed. When a fleet starts, hundreds of peers
+    /// request them within a second.
     fn compressed_directory(&self, now: Duration) -> Bytes {
         let directory = self.upstreams.directory();
         let end = directory.end();
-        let mut held = self.compressed.borrow_mut();
-        if let Some(held) = &*held
-            && held.end == end
-            && now < held.at + COMPRESSED_LIFETIME
+        let mut cached = self.compressed.borrow_mut();
+        if let Some(cached) = &*cached
+            && cached.end == end
+            && now < cached.at + COMPRESSED_LIFETIME
         {
-            return held.bytes.clone();
+            return cached.bytes.clone();
         }
         let records = directory.all_changes(now).iter().map(directory_record).collect();
         let bytes = compress(&DirectoryList { records }.encode_to_vec());
-        *held = Some(CompressedDirectory { end, at: now, bytes: bytes.clone() });
+        *cached = Some(CompressedDirectory { end, at: now, bytes: bytes.clone() });
         bytes
     }
 
-    /// Answers a peer's question with a record, or puts it off.
-    fn send_or_defer(&self, peer: SocketAddr, what: Followed, bytes: usize, record: GatewayBody) {
-        let reply = self.loops.following(what).borrow_mut().asked(self.serving.now(), bytes);
-        match (reply, what) {
+    /// Replies to a peer with a record, or defers the reply if too much has been sent recently.
+    fn send_or_defer(&self, peer: SocketAddr, topic: Followed, bytes: usize, record: GatewayBody) {
+        let reply = self.loops.following(topic).borrow_mut().asked(self.serving.now(), bytes);
+        match (reply, topic) {
             (Reply::Record, _) => self.peers.send_record(peer, record),
             (Reply::PutOff, Followed::Config) => {
                 self.peers.send(peer, GatewayBody::ConfigDeferred(Empty {}));
@@ -531,8 +541,8 @@
         }
     }
 
-    fn mark_deferred(&self, what: Followed) {
-        let mut following = self.loops.following(what).borrow_mut();
+    fn mark_deferred(&self, topic: Followed) {
+        let mut following = self.loops.following(topic).borrow_mut();
         following.put_off(self.serving.now(), rand::random());
     }
 
@@ -556,8 +566,8 @@
         });
     }
 
-    fn age_ms(&self, what: Followed) -> Option<u32> {
-        let age = self.loops.following(what).borrow().told_age(self.serving.now())?;
+    fn age_ms(&self, topic: Followed) -> Option<u32> {
+        let age = self.loops.following(topic).borrow().told_age(self.serving.now())?;
         Some(u32::try_from(age.as_millis()).unwrap_or(u32::MAX))
     }
 }
@@ -569,7 +579,7 @@
 impl PeerHandler for Node {
     fn message(&self, sender: SocketAddr, body: GatewayBody) {
         match body {
-            // Taken in by `Peers` itself.
+            // Handled by `Peers` itself.
             GatewayBody::Heartbeat(_) => {}
             GatewayBody::ConfigRequest(_) => self.send_config(sender),
             GatewayBody::Config(config) => {
@@ -587,8 +597,8 @@
             GatewayBody::WorkCancel(ticket) => self.stages.handle_cancel(sender, ticket.ticket),
             GatewayBody::Release(release) => self.stages.handle_release(release),
             GatewayBody::Crashes(reports) => self.serving.blame.told(sender, reports),
-            GatewayBody::PermitRequest(question) => self.upstreams.turn_asked(sender, question),
-            GatewayBody::PermitResponse(answer) => self.upstreams.turn_answered(answer),
+            GatewayBody::PermitRequest(request) => self.upstreams.turn_asked(sender, request),
+            GatewayBody::PermitResponse(response) => self.upstreams.turn_answered(response),
             GatewayBody::RolloutReport(report) => self.serving.rollouts.reported(sender, report),
         }
     }
@@ -597,14 +607,15 @@
         let loads = heartbeat.load_upstreams.iter().zip(&heartbeat.load_weights);
         let loads = loads.map(|(upstream, weight)| (*upstream, f64::from(*weight))).collect();
         let now = self.serving.now();
-        let is_near = *heartbeat.failure_domain == *self.settings.borrow().node.failure_domain;
-        let tells_on = self.peers.tells_on();
-        // Delegates hear the nodes of their domain themselves.
-        let loads_of = match heartbeat.load_scope() {
-            LoadScope::Domain if is_near && tells_on => LoadScope::Omitted,
-            loads_of => loads_of,
+        let is_same_domain =
+            *heartbeat.failure_domain == *self.settings.borrow().node.failure_domain;
+        let has_followers = self.peers.tells_on();
+        // Delegates receive the loads of their domain's nodes directly.
+        let load_scope = match heartbeat.load_scope() {
+            LoadScope::Domain if is_same_domain && has_followers => LoadScope::Omitted,
+            load_scope => load_scope,
         };
-        match loads_of {
+        match load_scope {
             LoadScope::Sender => self.upstreams.set_peer_loads(sender, loads),
             LoadScope::Domain => {
                 self.upstreams.set_peer_loads(sender, Vec::new());
@@ -613,19 +624,19 @@
             }
             LoadScope::Omitted => self.upstreams.set_peer_loads(sender, Vec::new()),
         }
-        let contains_own = loads_of == LoadScope::Domain && is_near;
-        self.stages.handle_peer_loads(sender, &heartbeat.stage_loads, loads_of, contains_own);
-        // What another domain can't reach may well be reachable here.
-        if is_near {
-            let tells_on = tells_on && heartbeat.is_follower;
-            self.upstreams.peer_found_unreachable(now, &heartbeat.unreachable, tells_on);
+        let contains_own = load_scope == LoadScope::Domain && is_same_domain;
+        self.stages.handle_peer_loads(sender, &heartbeat.stage_loads, load_scope, contains_own);
+        // An upstream that is unreachable from another domain may be reachable from this one.
+        if is_same_domain {
+            let has_followers = has_followers && heartbeat.is_follower;
+            self.upstreams.peer_found_unreachable(now, &heartbeat.unreachable, has_followers);
         }
         self.loops.hear_era(heartbeat.store_era);
         let directory_end = Position::new(heartbeat.directory_era, heartbeat.directory_end);
-        // Before the age confirms that nothing else is in force.
-        for word in &heartbeat.evacuations {
-            let (failure_domain, word) = evacuation_from(word);
-            self.loops.take_evacuation(failure_domain, word, "peer");
+        // Must precede the record ages below, which confirm that no other evacuation is in force.
+        for order in &heartbeat.evacuations {
+            let (failure_domain, order) = evacuation_from(order);
+            self.loops.take_evacuation(failure_domain, order, "peer");
         }
         self.serving.rollouts.told(&heartbeat.rollouts);
         self.upstreams.told_limits(&heartbeat.limits);
@@ -634,14 +645,14 @@
             (Followed::Config, heartbeat.config_version.into(), heartbeat.config_age_ms),
             (Followed::Upstreams, directory_end, heartbeat.directory_age_ms),
         ];
-        for (what, mark, age_ms) in known {
-            if self.loops.heard(what, mark, age_ms.map(duration_from_ms)) {
-                self.request_records(sender, what);
+        for (topic, mark, age_ms) in known {
+            if self.loops.heard(topic, mark, age_ms.map(duration_from_ms)) {
+                self.request_records(sender, topic);
             }
         }
     }
 
-    fn describe(&self, heartbeat: &mut GatewayHeartbeat, loads_of: LoadScope) {
+    fn describe(&self, heartbeat: &mut GatewayHeartbeat, load_scope: LoadScope) {
         heartbeat.config_version = self.config.borrow().version();
         let directory_end = self.upstreams.directory().end();
         (heartbeat.directory_era, heartbeat.directory_end) =
@@ -654,10 +665,10 @@
         heartbeat.evacuations = evacuations.words().map(evacuation_word).collect();
         heartbeat.limits = self.upstreams.limits_to_tell();
         heartbeat.rollouts = self.serving.rollouts.words();
-        let link = self.settings.borrow().node.link_bytes_per_s();
-        heartbeat.sharded_services = self.stages.services_to_shard(link);
-        heartbeat.stage_loads = self.stages.stage_loads(loads_of);
-        let loads = match loads_of {
+        let bytes_per_s = self.settings.borrow().node.link_bytes_per_s();
+        heartbeat.sharded_services = self.stages.services_to_shard(bytes_per_s);
+        heartbeat.stage_loads = self.stages.stage_loads(load_scope);
+        let loads = match load_scope {
             LoadScope::Sender => self.upstreams.told_loads(),
             LoadScope::Domain => self.upstreams.domain_loads(),
             LoadScope::Omitted => Vec::new(),
@@ -680,12 +691,13 @@
     }
 }
 
-/// The nodes that count at upstreams that name a limit, found like the owners of services.
-struct PeerCounters(Rc<Peers>);
+/// Carries permit requests to the nodes that issue permits for limited upstreams. These are chosen
+/// like the owners of services.
+struct PeerPermitTransport(Rc<Peers>);
 
-impl Counters for PeerCounters {
-    fn counter(&self, run: u64) -> Option<SocketAddr> {
-        let owner = self.0.owner(&format!("limit {run:016x}"));
+impl Counters for PeerPermitTransport {
+    fn counter(&self, incarnation_id: u64) -> Option<SocketAddr> {
+        let owner = self.0.owner(&format!("limit {incarnation_id:016x}"));
         (owner != self.0.address()).then_some(owner)
     }
 
@@ -697,16 +709,16 @@
         self.0.is_behind()
     }
 
-    fn ask(&self, counter: SocketAddr, question: PermitRequest) {
-        self.0.send(counter, GatewayBody::PermitRequest(question));
+    fn ask(&self, issuer: SocketAddr, request: PermitRequest) {
+        self.0.send(issuer, GatewayBody::PermitRequest(request));
     }
 
-    fn answer(&self, asker: SocketAddr, answer: PermitResponse) {
-        self.0.send(asker, GatewayBody::PermitResponse(answer));
+    fn answer(&self, requester: SocketAddr, response: PermitResponse) {
+        self.0.send(requester, GatewayBody::PermitResponse(response));
     }
 }
 
 fn modified_at(path: &Path) -> Option<SystemTime> {
-    // A file that is gone for a moment counts as unchanged until it is back.
+    // A file that is missing for a moment counts as unchanged until it is back.
     std::fs::metadata(path).and_then(|data| data.modified()).ok()
 }
--- a/crates/fernring-gateway/src/retries.rs
+++ b/crates/fernring-gateway/src/retries.rs
@@ -1,10 +1,10 @@
-//! The retry budget with what it needs to know of the node.
+//! The node's retry budget. Its size depends on the number of live nodes.
 
 use {
     crate::{
         budget::{Allowance, RetryBudget},
-        telemetry,
         peers::Peers,
+        telemetry,
     },
     std::{cell::RefCell, rc::Rc, sync::Arc, time::Duration},
 };
@@ -16,7 +16,7 @@
 }
 
 impl Retries {
-    /// Creates a budget of which nothing is spent.
+    /// Creates an unused budget.
     pub fn new(allowance: Allowance, peers: Rc<Peers>) -> Self {
         Self { budget: RefCell::new(RetryBudget::new(allowance)), peers }
     }
@@ -31,13 +31,14 @@
         self.budget.borrow_mut().count_requests(now, service, count);
     }
 
-    /// Takes extra sends to a service, or none; tells whether it did.
+    /// Spends budget on extra sends to a service, all of them or none; returns whether the budget
+    /// allowed them.
     pub fn try_spend(&self, now: Duration, service: &Arc<str>, count: usize) -> bool {
         let nodes = self.peers.nodes();
-        let is_taken = self.budget.borrow_mut().take(now, service, count, nodes);
-        if !is_taken {
+        let is_allowed = self.budget.borrow_mut().take(now, service, count, nodes);
+        if !is_allowed {
             telemetry::record_retry_denied(service);
         }
-        is_taken
+        is_allowed
     }
 }
--- a/crates/fernring-gateway/src/stages.rs
+++ b/crates/fernring-gateway/src/stages.rs
@@ -1,16 +1,18 @@
-//! The asking side of stages: hands the pieces of a request's stages to their owners and waits.
+//! Client side of stages: submits the pieces of a request's stages to the owners of their services,
+//! and waits for the results.
 
 use {
     crate::{
         backlog::Backlog,
         backlogs::Backlogs,
         content::ContentKey,
-        log, telemetry,
+        log,
         model::PieceInput,
         owner::{Owner, Work, WorkEnd},
         peers::Peers,
         pools::{MakerPool, Splits, draw_domain},
         residency::Residency,
+        telemetry,
         upstreams::Upstreams,
     },
     bytes::Bytes,
@@ -29,7 +31,7 @@
     tokio::{sync::oneshot, task::spawn_local},
 };
 
-/// Owners that a stage is asked of, one after the other, when they are lost.
+/// Number of owners that a stage is submitted to, one after the other, if each is lost.
 const OWNER_ATTEMPTS_MAX: u32 = 3;
 
 #[derive(Debug)]
@@ -38,7 +40,7 @@
     reply: oneshot::Sender<WorkEnd>,
 }
 
-/// The stages that this node has asked for, and those that peers have asked of it.
+/// The stages that this node has submitted to owners, and those that peers have submitted to it.
 pub struct Stages {
     clock: Rc<dyn Clock>,
     peers: Rc<Peers>,
@@ -46,16 +48,17 @@
     upstreams: Rc<Upstreams>,
     backlogs: Rc<Backlogs>,
     pending: RefCell<HashMap<u64, PendingStage>>,
-    /// Works of peers that are under way here, by who asked and their number there.
+    /// Work of peers that is in progress here, by peer and the peer's ticket; the value is the
+    /// work's number at the owner.
     peer_work: RefCell<HashMap<(SocketAddr, u64), u64>>,
     next_ticket: Cell<u64>,
-    /// The owner that each service was last asked of, and since when, for the log.
+    /// Last known owner of each worker pool, and since when, for the log.
     last_owners: RefCell<HashMap<MakerPool, (SocketAddr, Duration)>>,
-    /// The services that are split between owners.
+    /// The services that are sharded by failure domain.
     shards: RefCell<Splits>,
 }
 
-/// Cancels a stage whose request is given up.
+/// Cancels a stage when its request is abandoned.
 struct CancelGuard<'a> {
     stages: &'a Stages,
     cancel: Option<CancelTarget>,
@@ -81,7 +84,7 @@
 }
 
 impl Stages {
-    /// Creates the stages of a node, none under way.
+    /// Creates the state of a node without any stage in progress.
     pub fn new(
         clock: Rc<dyn Clock>,
         peers: Rc<Peers>,
@@ -102,29 +105,29 @@
         }
     }
 
-    /// Returns the owner of a service, and says so if it isn't the one of before: nodes that name different ones at the
-    /// same time split the service's calls.
+    /// Returns the owner of a worker pool, and logs it if it has changed: if nodes name different
+    /// owners at the same time, the service's pieces are batched in several places.
     fn resolve_owner(&self, pool: &MakerPool) -> SocketAddr {
         let owner = self.owner_address(pool);
         let now = self.clock.now().monotonic;
         let mut owners = self.last_owners.borrow_mut();
-        let before = owners.get(pool).copied();
-        if before.is_none_or(|(before, _)| before != owner) {
+        let previous = owners.get(pool).copied();
+        if previous.is_none_or(|(previous, _)| previous != owner) {
             owners.insert(pool.clone(), (owner, now));
             let line = LogLine::event("owner_changed").with("service", pool).with("owner", owner);
-            let line = line.with_some("before", before.map(|(before, _)| before));
-            let lasted_ms = before.map(|(_, since)| now.saturating_sub(since).as_millis());
+            let line = line.with_some("before", previous.map(|(previous, _)| previous));
+            let lasted_ms = previous.map(|(_, since)| now.saturating_sub(since).as_millis());
             log::info(line.with_some("lasted_ms", lasted_ms).with("nodes", self.peers.nodes()));
         }
         owner
     }
 
-    /// Returns the backlogs that this node knows.
+    /// Returns the backlogs that peers have reported.
     pub fn backlogs(&self) -> &Rc<Backlogs> {
         &self.backlogs
     }
 
-    /// Returns what is ahead at some makers, as far as this node knows.
+    /// Returns the known backlog of a worker pool.
     pub fn backlog(&self, pool: &MakerPool) -> Option<Backlog> {
         let own = if self.owns(pool) { self.owner.backlog(pool) } else { None };
         self.backlogs.of(self.clock.now().monotonic, pool, own)
@@ -134,59 +137,66 @@
         self.owner_address(pool) == self.peers.address()
     }
 
-    /// Returns the owner of some makers. Those of a failure domain have one in their own region, since requests that may not
-    /// leave it are asked of them; without another node there, each asks them itself.
+    /// Returns the owner of a worker pool. The owner of one failure domain's workers is a node of
+    /// the same region, since it gets requests that must not leave the region; if there is no other
+    /// node in the region, each node is its own owner.
     fn owner_address(&self, pool: &MakerPool) -> SocketAddr {
-        let what = pool.to_string();
+        let pool_name = pool.to_string();
         let regions = self.upstreams.regions();
         let region = pool.failure_domain.as_ref().and_then(|domain| regions.of(domain));
         match region {
-            None => self.peers.owner(&what),
+            None => self.peers.owner(&pool_name),
             Some(region) => {
-                let is_there = |domain: &str| regions.of(domain) == Some(region);
-                self.peers.owner_among(&what, is_there).unwrap_or(self.peers.address())
+                let is_in_region = |domain: &str| regions.of(domain) == Some(region);
+                self.peers.owner_among(&pool_name, is_in_region).unwrap_or(self.peers.address())
             }
         }
     }
 
-    /// Returns the makers that a stage of a request is asked of: all of a service, or those of one failure domain while it is
-    /// split, or if the request is restricted to regions: of `near` if it has some, else of one that is drawn. `None` if no
-    /// maker is where the request may be served.
+    /// Selects the worker pool for a stage of a request.
+    ///
+    /// That is all workers of the service, unless the service is sharded or the request is
+    /// restricted to regions. Then it is the workers of one failure domain: of `preferred_domain` if it has
+    /// workers, else of a domain that is drawn by the request's identifier. Returns `None` if there
+    /// are no workers in the regions of the request.
     pub fn pool_for(
         &self,
         service: &Arc<str>,
-        near: Option<&Arc<str>>,
+        preferred_domain: Option<&Arc<str>>,
         request_id: &str,
         residency: &Residency,
     ) -> Option<MakerPool> {
-        let whole = MakerPool::whole(service.clone());
+        let unsharded = MakerPool::whole(service.clone());
         if !self.is_sharded(service, residency) {
-            return Some(whole);
+            return Some(unsharded);
         }
-        let mut makers = self.owner.makers_by_domain(service);
-        makers.retain(|(domain, _)| self.upstreams.allows(residency, domain));
-        let near = near.filter(|near| makers.iter().any(|(domain, _)| domain == *near)).cloned();
-        let failure_domain = near.or_else(|| draw_domain(&makers, request_id));
+        let mut workers = self.owner.makers_by_domain(service);
+        workers.retain(|(domain, _)| self.upstreams.allows(residency, domain));
+        let preferred_domain = preferred_domain
+            .filter(|preferred| workers.iter().any(|(domain, _)| domain == *preferred))
+            .cloned();
+        let failure_domain = preferred_domain.or_else(|| draw_domain(&workers, request_id));
         if failure_domain.is_none() && residency.is_restricted() {
             return None;
         }
-        Some(MakerPool { failure_domain, ..whole })
+        Some(MakerPool { failure_domain, ..unsharded })
     }
 
-    /// Tells whether the pieces of a request are handed to the makers of one failure domain.
+    /// Returns whether the pieces of a request go to the workers of a single failure domain.
     fn is_sharded(&self, service: &str, residency: &Residency) -> bool {
         let now = self.clock.now().monotonic;
         residency.is_restricted() || self.shards.borrow().is_split(now, service)
     }
 
-    /// Lists the services, by their short hashes, that are to be split by what this node carries of them.
+    /// Returns the short hashes of the services that should be sharded, judged by the traffic that
+    /// this node carries for them as their owner.
     pub fn services_to_shard(&self, link_bytes_per_s: f64) -> Vec<u32> {
         let services = self.owner.to_be_split(|pool| self.owns(pool), link_bytes_per_s);
         services.iter().for_each(|service| self.mark_sharded(*service));
         services
     }
 
-    /// Takes in that an owner says that a service, by its short hash, should be split.
+    /// Records that an owner reports a service, named by its short hash, as to be sharded.
     pub fn mark_sharded(&self, service: u32) {
         let now = self.clock.now().monotonic;
         if self.shards.borrow_mut().said(now, service) {
@@ -194,27 +204,27 @@
         }
     }
 
-    /// Returns what is to be said of stage services in heartbeats.
-    pub fn stage_loads(&self, loads_of: LoadScope) -> Vec<StageLoad> {
+    /// Returns the loads of stage services that the next heartbeat reports.
+    pub fn stage_loads(&self, load_scope: LoadScope) -> Vec<StageLoad> {
         let mut own = self.owner.backlogs();
         own.retain(|(pool, _)| self.owns(pool));
-        self.backlogs.described(self.clock.now().monotonic, own, loads_of)
+        self.backlogs.described(self.clock.now().monotonic, own, load_scope)
     }
 
-    /// Takes in what a peer says of stage services. `contains_own` tells whether sums of its domain contain what
-    /// this node has told.
+    /// Handles the loads of stage services in a peer's heartbeat. `contains_own` says whether the
+    /// sums of the peer's domain include the loads that this node has reported.
     pub fn handle_peer_loads(
         &self,
         peer: SocketAddr,
         loads: &[StageLoad],
-        loads_of: LoadScope,
+        load_scope: LoadScope,
         contains_own: bool,
     ) {
         let now = self.clock.now().monotonic;
-        self.backlogs.heard(now, peer, loads, loads_of, contains_own);
+        self.backlogs.heard(now, peer, loads, load_scope, contains_own);
     }
 
-    /// Has the pieces of a stage made. Dropping the future cancels them.
+    /// Runs the pieces of a stage and returns their outcome. Dropping the future cancels them.
     pub async fn run_stage(&self, mut work: Work) -> WorkEnd {
         let started = self.clock.now().monotonic;
         for _ in 0..OWNER_ATTEMPTS_MAX {
@@ -222,22 +232,22 @@
             let (sender, receiver) = oneshot::channel();
             let cancel = self.ask(owner, &work, sender);
             let mut guard = CancelGuard { stages: self, cancel: Some(cancel) };
-            let end = receiver.await.unwrap_or(WorkEnd::OwnerLost);
+            let outcome = receiver.await.unwrap_or(WorkEnd::OwnerLost);
             guard.cancel = None;
             drop(guard);
-            if end == WorkEnd::NoMakers {
-                self.log_end(&work, owner, started, &end);
+            if outcome == WorkEnd::NoMakers {
+                self.log_end(&work, owner, started, &outcome);
                 let service = work.pool.service.clone();
                 let pool = self.pool_for(&service, None, &work.request_id, &work.residency);
                 let Some(pool) = pool else {
-                    return end;
+                    return outcome;
                 };
                 work.pool = pool;
                 continue;
             }
-            if end != WorkEnd::OwnerLost {
-                self.log_end(&work, owner, started, &end);
-                return end;
+            if outcome != WorkEnd::OwnerLost {
+                self.log_end(&work, owner, started, &outcome);
+                return outcome;
             }
             let line = LogLine::event("stage_owner_lost").with("request", &work.request_id);
             log::warn(line.with("stage", work.stage).with("owner", owner));
@@ -245,9 +255,9 @@
         WorkEnd::Failed
     }
 
-    fn log_end(&self, work: &Work, owner: SocketAddr, started: Duration, end: &WorkEnd) {
+    fn log_end(&self, work: &Work, owner: SocketAddr, started: Duration, outcome: &WorkEnd) {
         let now = self.clock.now().monotonic;
-        telemetry::record_stage(&work.pool.service, end.name(), now.saturating_sub(started));
+        telemetry::record_stage(&work.pool.service, outcome.name(), now.saturating_sub(started));
         let line = LogLine::event("stage_ended")
             .with("request", &work.request_id)
             .with("stage", work.stage)
@@ -255,13 +265,13 @@
             .with_some("of_domain", work.pool.failure_domain.as_ref())
             .with("owner", owner)
             .with("pieces", work.pieces)
-            .with("outcome", end.name())
+            .with("outcome", outcome.name())
             .with("took_ms", now.saturating_sub(started).as_millis())
             .with("due_in_ms", work.due_at.as_millis() as i64 - now.as_millis() as i64);
         log::info(line);
     }
 
-    /// Gives up results of a service.
+    /// Releases results of a service.
     pub fn release(&self, service: &Arc<str>, handles: Vec<Arc<str>>, residency: &Residency) {
         if handles.is_empty() {
             return;
@@ -291,13 +301,13 @@
         self.peers.send(owner, GatewayBody::Release(release));
     }
 
-    /// Takes in that nothing more is heard of a peer that owns nothing.
+    /// Handles that a peer that owns no service sends no more heartbeats to this node.
     pub fn handle_unfollowed(&self, peer: SocketAddr) {
         self.backlogs.lost(peer);
     }
 
-    /// Takes in that a peer is lost: what it owned is to be asked for elsewhere, and nobody
-    /// there waits any more.
+    /// Handles the loss of a peer: stages that it owned are submitted to another owner, and the
+    /// work that it submitted here is cancelled.
     pub fn handle_peer_lost(&self, peer: SocketAddr) {
         self.backlogs.lost(peer);
         let lost: Vec<_> = {
@@ -309,15 +319,20 @@
         for pending in lost {
             drop(pending.reply.send(WorkEnd::OwnerLost));
         }
-        let asked: Vec<_> =
-            self.peer_work.borrow().keys().filter(|(asker, _)| *asker == peer).copied().collect();
-        for (asker, ticket) in asked {
-            self.handle_cancel(asker, ticket);
+        let tickets: Vec<_> = self
+            .peer_work
+            .borrow()
+            .keys()
+            .filter(|(requester, _)| *requester == peer)
+            .copied()
+            .collect();
+        for (requester, ticket) in tickets {
+            self.handle_cancel(requester, ticket);
         }
         self.owner.release_of(peer);
     }
 
-    /// Takes in pieces that a peer asks for.
+    /// Handles pieces that a peer submits to this node as their owner.
     pub fn handle_work(self: &Rc<Self>, sender: SocketAddr, message: StageWork) {
         let ticket = message.ticket;
         let work = self.decode_work(sender, message);
@@ -326,23 +341,23 @@
         self.peer_work.borrow_mut().insert((sender, ticket), id);
         let stages = self.clone();
         spawn_local(async move {
-            let end = receiver.await;
+            let outcome = receiver.await;
             if stages.peer_work.borrow_mut().remove(&(sender, ticket)).is_none() {
                 return;
             }
-            let done = encode_done(ticket, end.unwrap_or(WorkEnd::Failed));
+            let done = encode_done(ticket, outcome.unwrap_or(WorkEnd::Failed));
             stages.peers.send(sender, GatewayBody::WorkDone(done));
         });
     }
 
-    /// Takes in that a peer gives up pieces.
+    /// Handles a peer's cancellation of its pieces.
     pub fn handle_cancel(&self, sender: SocketAddr, ticket: u64) {
         if let Some(work) = self.peer_work.borrow_mut().remove(&(sender, ticket)) {
             self.owner.cancel(work);
         }
     }
 
-    /// Takes in what became of pieces that a peer was asked for.
+    /// Handles the outcome of pieces that were submitted to a peer.
     pub fn handle_done(&self, sender: SocketAddr, done: StageDone) {
         let Some(pending) = self.pending.borrow_mut().remove(&done.ticket) else {
             return;
@@ -351,7 +366,7 @@
             return;
         }
         let handles = done.handles.iter().map(|handle| Arc::from(handle.as_str())).collect();
-        let end = match done.outcome {
+        let outcome = match done.outcome {
             0 => WorkEnd::Made(handles),
             1 => WorkEnd::Late,
             2 => WorkEnd::InputGone,
@@ -359,10 +374,10 @@
             5 => WorkEnd::NoMakers,
             _ => WorkEnd::Failed,
         };
-        drop(pending.reply.send(end));
+        drop(pending.reply.send(outcome));
     }
 
-    /// Takes in results that a peer gives up.
+    /// Handles a peer's release of results.
     pub fn handle_release(&self, release: ReleaseResults) {
         let handles = release.handles.iter().map(|handle| Arc::from(handle.as_str()));
         self.owner.release(&release.service, handles);
@@ -420,7 +435,8 @@
         Work {
             pool: MakerPool {
                 service: message.service.into(),
-                failure_domain: (!message.worker_domain.is_empty()).then(|| message.worker_domain.into()),
+                failure_domain: (!message.worker_domain.is_empty())
+                    .then(|| message.worker_domain.into()),
             },
             request_id: message.request_id.as_str().into(),
             stage: message.stage,
@@ -432,7 +448,8 @@
             result_bytes: message.result_bytes,
             residency: decode_residency(message.allowed_regions),
             asker: sender,
-            // A node of before says nothing; what it asks for is alike to nobody's.
+            // Nodes of a former version send no fingerprint. The request then gets one that no
+            // other request shares.
             content: ContentKey::from_bytes(&message.fingerprint)
                 .unwrap_or_else(|| ContentKey::of(None, "", message.request_id.as_bytes())),
             near: (!message.consumer_domain.is_empty()).then(|| message.consumer_domain.into()),
@@ -440,13 +457,14 @@
     }
 }
 
-/// Reads the regions that a peer names. It asks for nothing that is allowed nowhere, so none stand for any.
+/// Decodes the regions of a peer's request. Peers submit nothing that may be served nowhere, so an
+/// empty list stands for any region.
 fn decode_residency(regions: Vec<String>) -> Residency {
     if regions.is_empty() { Residency::default() } else { Residency::within(regions) }
 }
 
-fn encode_done(ticket: u64, end: WorkEnd) -> StageDone {
-    let (outcome, handles) = match end {
+fn encode_done(ticket: u64, outcome: WorkEnd) -> StageDone {
+    let (outcome, handles) = match outcome {
         WorkEnd::Made(handles) => (0, handles),
         WorkEnd::Late => (1, Vec::new()),
         WorkEnd::InputGone => (2, Vec::new()),
--- a/crates/fernring-gateway/src/wire.rs
+++ b/crates/fernring-gateway/src/wire.rs
@@ -1,11 +1,11 @@
-//! What an adapter of a platform implements: formats ([`Wire`]) and calls ([`Store`]). It decides
-//! nothing.
+//! Interfaces that a platform's adapter implements: formats ([`Wire`]) and store access
+//! ([`Store`]). Adapters make no decisions.
 
 use {
     crate::{
         directory::Entry,
         model::{
-            ResponseFields, BadField, Call, Piece, PieceOutcome, RequestFields, RolloutState,
+            BadField, Call, Piece, PieceOutcome, RequestFields, ResponseFields, RolloutState,
             ServingConfig, UpstreamFields,
         },
         position::Position,
@@ -18,119 +18,120 @@
     thiserror::Error,
 };
 
-/// A record that can't be read.
+/// A record or message can't be decoded.
 #[derive(Debug, Clone, Error)]
 #[error("malformed record: {0}")]
 pub struct Malformed(pub String);
 
-/// An operator's word on a failure domain.
+/// An operator's order to evacuate a failure domain, or its withdrawal.
 #[derive(Debug, Clone)]
 pub struct EvacuationRecord {
-    /// The domain.
+    /// The failure domain.
     pub failure_domain: Arc<str>,
-    /// Whether it is evacuated; if not, that is taken back. An error if the word can't be read.
+    /// Whether the domain is evacuated; `false` withdraws the order. An error if the record is
+    /// malformed.
     pub is_in_force: Result<bool, Malformed>,
 }
 
-/// An operator's order to roll out a version.
+/// An operator's order to roll out a version, or its withdrawal.
 #[derive(Debug, Clone)]
 pub struct RolloutRecord {
     /// The service.
     pub service: Arc<str>,
-    /// The order; `None` if it was taken back, an error if it can't be read.
+    /// The order; `None` if it was withdrawn, an error if the record is malformed.
     pub order: Result<Option<Order>, Malformed>,
 }
 
-/// How far a roll-out is, as it lies in the store.
+/// Status of a roll-out, as stored for operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutStatus {
-    /// How far it is.
+    /// State of the roll-out.
     pub state: RolloutState,
-    /// The ordered version.
+    /// The destination version.
     pub destination: Arc<str>,
-    /// Where the order lies.
+    /// Position of the order in the store.
     pub order_at: Position,
-    /// When it is to be done, in Unix milliseconds.
+    /// Deadline of the roll-out, in Unix milliseconds.
     pub deadline_ms: u64,
-    /// Requests to the service since.
+    /// Number of requests to the service since the order.
     pub requests: u64,
-    /// Sends to the ordered version since.
+    /// Number of sends to the destination version since the order.
     pub exposed: u64,
 }
 
 /// The formats of a platform.
 pub trait Wire {
-    /// Path that a balancer asks for whether the node takes new connections.
+    /// Returns the path at which a balancer checks whether the node accepts new connections.
     fn readiness_path(&self) -> &'static str;
 
-    /// Reads a request's own fields.
+    /// Decodes the gateway's fields in a caller's request.
     ///
     /// # Errors
-    /// If one of them can't be read.
+    /// Returns an error if one of the fields is malformed.
     fn decode_request(&self, headers: &HeaderMap) -> Result<RequestFields, BadField>;
 
-    /// Takes out of a request's headers what no upstream is to see, and puts in what it is told.
+    /// Removes headers that upstreams must not see, and adds the fields for the upstream.
     fn encode_upstream(&self, headers: &mut HeaderMap, fields: &UpstreamFields);
 
-    /// Reads an answer's own fields.
+    /// Decodes the gateway's fields in a response.
     fn decode_response(&self, status: StatusCode, headers: &HeaderMap) -> ResponseFields;
 
-    /// Puts into a refusal when to come back.
+    /// Adds the time after which the caller may retry to a refusal.
     fn encode_retry_after(&self, headers: &mut HeaderMap, after: Duration);
 
-    /// Returns the number of an event of a stream, from one of its lines.
+    /// Returns the number of a stream's event if this line of the event contains it.
     fn event_number(&self, line: &[u8]) -> Option<u64>;
 
-    /// Encodes a call that works on pieces.
+    /// Encodes the batch call that runs pieces.
     fn encode_batch(&self, pieces: &[Piece]) -> Call;
 
-    /// Decodes its answer: an outcome for each piece, in order.
+    /// Decodes the response to a batch call: an outcome for each piece, in order.
     ///
     /// # Errors
-    /// If it can't be read.
+    /// Returns an error if the response is malformed.
     fn decode_batch(&self, body: &[u8]) -> Result<Vec<PieceOutcome>, Malformed>;
 
-    /// Encodes a call that gives results up.
+    /// Encodes the call that releases results.
     fn encode_release(&self, handles: &[Arc<str>]) -> Call;
 
-    /// Puts the name of the instance that is meant into the headers of a call.
+    /// Adds the name of the instance that a call is addressed to.
     fn encode_instance(&self, headers: &mut HeaderMap, instance: &str);
 
     /// Decodes a configuration.
     ///
     /// # Errors
-    /// If it can't be read.
+    /// Returns an error if the record is malformed.
     fn decode_config(&self, value: &[u8]) -> Result<ServingConfig, Malformed>;
 
-    /// Decodes an operator's word on a failure domain; `None` if the record is another one.
+    /// Decodes an operator's evacuation order; `None` if the record is of another kind.
     fn decode_evacuation(&self, record: &KeyedRecord) -> Option<EvacuationRecord>;
 
-    /// Decodes an operator's order to roll out a version; `None` if the record is another one.
+    /// Decodes an operator's roll-out order; `None` if the record is of another kind.
     fn decode_rollout(&self, record: &KeyedRecord) -> Option<RolloutRecord>;
 
-    /// Encodes how far the roll-out of a service is: a record's key and value.
+    /// Encodes the status of a service's roll-out as a record's key and value.
     fn encode_rollout_status(&self, service: &str, status: &RolloutStatus) -> (String, Vec<u8>);
 
-    /// Decodes how far the roll-out of a service is; `None` if the record says nothing of that.
+    /// Decodes the status of a service's roll-out; `None` if the record is of another kind.
     fn decode_rollout_status(&self, record: &KeyedRecord) -> Option<(Arc<str>, RolloutStatus)>;
 
-    /// Decodes an upstream's record; without a value it was removed.
+    /// Decodes an upstream's record; a record without a value is a removal.
     ///
     /// # Errors
-    /// If it can't be read.
+    /// Returns an error if the record is malformed.
     fn decode_upstream(&self, record: &KeyedRecord) -> Result<Entry, Malformed>;
 }
 
-/// What the store keeps for the gateway.
+/// A topic of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Topic {
-    /// The operators' records: the configuration, the failure domains that are evacuated, and the versions to roll out.
+    /// Records of operators: the configuration, evacuation orders, and roll-out orders.
     Config,
-    /// The upstreams' records of themselves.
+    /// Records that upstreams write about themselves.
     Upstreams,
-    /// The nodes' records of themselves; written by the gateway.
+    /// Records that nodes write about themselves; written by the gateway.
     Nodes,
-    /// How far roll-outs are; written by the gateway.
+    /// Status of roll-outs; written by the gateway.
     Rollouts,
 }
 
@@ -149,98 +150,104 @@
 /// A record of a keyed topic.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyedRecord {
-    /// Its key.
+    /// Key of the record.
     pub key: Arc<str>,
-    /// Its value; `None` if the key was removed.
+    /// Value of the record; `None` if the key was removed.
     pub value: Option<Bytes>,
-    /// Its number in the topic.
+    /// Offset of the record in the topic.
     pub offset: u64,
 }
 
-/// Records of a topic, and where to read on.
+/// Consecutive records of a topic, and the offset at which reading continues.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Page {
     /// The records, in order.
     pub records: Vec<KeyedRecord>,
-    /// The era of the store that its numbers belong to.
+    /// Era of the store that the offsets belong to.
     pub era: u64,
-    /// The number that the next record gets.
+    /// Offset that the next record will get.
     pub end: u64,
-    /// Time that the answer took to come, from its beginning: what it says is that old.
+    /// Time from the first to the last byte of the response, which is the age of its contents.
     pub took: Duration,
-    /// Records that were left out because even their keys can't be read.
+    /// Number of records left out because their keys can't be decoded.
     pub unreadable: usize,
 }
 
-/// Some of the newest records of a topic's keys, in the order of the keys.
+/// Part of the newest records of all keys of a topic, in key order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NewestPage {
-    /// The records. Pages are no snapshot: what was written after a page's end may be missing from it.
+    /// The records. The pages of a full read form no snapshot: records written after the end of a
+    /// page may be missing from it.
     pub page: Page,
-    /// The key after which the next page begins; `None` if there is no more.
+    /// Key after which the next page starts; `None` for the last page.
     pub next: Option<Arc<str>>,
 }
 
 impl Page {
-    /// Returns the position that the next record gets.
+    /// Returns the position that the next record will get.
     pub fn end_position(&self) -> Position {
         Position::new(self.era, self.end)
     }
 
-    /// Returns the position of one of its records.
+    /// Returns the position of one of the page's records.
     pub fn position(&self, record: &KeyedRecord) -> Position {
         Position::new(self.era, record.offset)
     }
 }
 
-/// Why the store did not answer as asked.
+/// Reason why a call to the store failed.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// No answer, or a broken one. What was asked may have taken effect.
-    #[error("no answer: {0}")]
+    /// No response, or an incomplete one. The call may have taken effect.
+    #[error("no response: {0}")]
     NoAnswer(String),
-    /// It refused; nothing took effect.
+    /// The store refused the call; it had no effect.
     #[error("refused with status {0}")]
     Refused(u16),
-    /// Something else was written since; nothing took effect.
-    #[error("something else was written since")]
+    /// Another record was written in the meantime; the call had no effect.
+    #[error("another record was written in the meantime")]
     Conflict,
-    /// The records that were asked for are not kept any more.
-    #[error("the records are not kept any more")]
+    /// The requested records are no longer kept.
+    #[error("the records are no longer kept")]
     Expired,
-    /// The answer is of an earlier era than one that came before it.
-    #[error("the answer is of era {0}, which is over")]
+    /// The response is of an earlier era than a previous one.
+    #[error("the response is of era {0}, which has ended")]
     EarlierEra(u64),
-    /// The answer can't be read.
-    #[error("malformed answer: {0}")]
+    /// The response is malformed.
+    #[error("malformed response: {0}")]
     Malformed(String),
 }
 
-/// The platform's store.
+/// Access to the platform's store.
 #[async_trait(?Send)]
 pub trait Store {
-    /// Reads newest records of keys: the first page, or the one after a key.
+    /// Reads the newest records of a topic's keys: the first page, or the one after a key.
     ///
     /// # Errors
-    /// If the store does not answer as asked.
-    async fn read_newest(&self, topic: Topic, after: Option<&str>) -> Result<NewestPage, StoreError>;
+    /// Returns a [`StoreError`] if the call fails.
+    async fn read_newest(
+        &self,
+        topic: Topic,
+        after: Option<&str>,
+    ) -> Result<NewestPage, StoreError>;
 
-    /// Reads the records from a number on, and waits up to `wait` for one if there is none.
+    /// Reads the records from an offset on, and waits up to `wait` for a record if there is none.
     ///
     /// # Errors
-    /// If the store does not answer as asked.
+    /// Returns a [`StoreError`] if the call fails.
     async fn read(&self, topic: Topic, from: u64, wait: Duration) -> Result<Page, StoreError>;
 
-    /// Writes a record, or removes a key.
+    /// Writes a record, or removes the key if there is no value.
     ///
     /// # Errors
-    /// If the store does not answer as asked.
+    /// Returns a [`StoreError`] if the call fails.
     async fn write(&self, topic: Topic, key: &str, value: Option<&[u8]>) -> Result<(), StoreError>;
 
-    /// Writes a record if the topic ends at a number.
+    /// Writes a record if the topic ends at an offset.
     ///
     /// # Errors
-    /// If it doesn't ([`StoreError::Conflict`]), or the store does not answer as asked.
+    /// Returns [`StoreError::Conflict`] if the topic ends elsewhere, or another error if the call
+    /// fails.
     async fn write_if(
         &self,
         topic: Topic,
@@ -249,12 +256,15 @@
         end: u64,
     ) -> Result<(), StoreError>;
 
-    /// Returns the latest era of the store that is known: how often it has come back from a copy.
+    /// Returns the latest known era of the store: the number of times that it was restored from a
+    /// backup.
     fn era(&self) -> u64;
 
-    /// Takes in an era that another node knows of; answers of an earlier one are dropped from now on.
+    /// Records an era that another node knows of. Responses of earlier eras are rejected from then
+    /// on.
     fn record_era(&self, era: u64);
 
-    /// Tells whether an answer on a topic has begun to come and hasn't ended.
+    /// Returns whether the response to a read of a topic has begun to arrive and is still
+    /// incomplete.
     fn is_receiving(&self, topic: Topic) -> bool;
 }
--- a/crates/fernring/src/cmd/gateway.rs
+++ b/crates/fernring/src/cmd/gateway.rs
@@ -62,7 +62,7 @@
         clock: clock.clone(),
         wire: Rc::new(PlatformWire),
         store: Rc::new(PlatformStore::new(settings.store.address, clock)),
-        render_metrics: Box::new(move || recorder.render()),
+        render: Box::new(move || recorder.render()),
     };
     LocalSet::new().block_on(&runtime, async {
         let mut settings = settings;
