--- a/crates/fernring-gateway/src/lib.rs
+++ b/crates/fernring-gateway/src/lib.rs
@@ -1,17 +1,18 @@
 //! The serving path of fernring between callers and upstreams.
 //!
-//! A caller's request enters at [`ingress`], is checked and routed by [`serve`], gets the results of
-//! its stages from their owners ([`stages`], [`owner`]), and is sent to an upstream by
-//! [`exchange`]; streams are passed on by [`relay`].
+//! A caller's request arrives at [`ingress`] and is checked and routed by [`serve`]. The results
+//! that its stages produce come from the stages' owners ([`stages`], [`owner`]). The request is then
+//! sent to an upstream by [`exchange`]; streams of events are forwarded by [`relay`].
 //!
-//! What a node decides stands in [`decide`], without I/O; who is there in [`members`]; what the store holds in [`store`]; a
-//! request's way in [`serving`]. [`blame`] gathers the signs of upstreams that end. A platform's formats and calls are behind the
-//! traits of [`wire`]. Everything runs on one thread.
+//! [`decide`] contains the node's decisions, without I/O. [`members`] tracks the other nodes,
+//! [`store`] reads and writes the platform's store, and [`serving`] handles single requests.
+//! `crash_attribution` finds the requests under which upstreams crash. The traits in [`wire`]
+//! separate the gateway from a platform's formats and calls. Everything runs on one thread.
 //!
 //! ```
-//! use fernring_gateway::{attempts::{Attempts, SendEnd}, model::Repeat};
+//! use fernring_gateway::{attempts::{Attempts, SendEnd}, model::RetryPolicy};
 //!
-//! let mut attempts = Attempts::new(Repeat::Never, 2);
+//! let mut attempts = Attempts::new(RetryPolicy::Never, 2);
 //! attempts.ended(SendEnd::Refused);
 //! assert!(attempts.may_send(), "a refused request has not run");
 //! attempts.ended(SendEnd::Unknown);
@@ -23,7 +24,6 @@
 pub mod connections;
 pub mod decide;
 pub mod log;
-mod telemetry;
 pub mod members;
 pub mod model;
 pub mod node;
@@ -34,10 +34,11 @@
 pub mod settings;
 pub mod stages;
 pub mod store;
+mod telemetry;
 pub mod upstreams;
 pub mod wire;
 
-// The rooms are for readers; who uses a module names it alone.
+// The folders only group the modules; paths name a module directly under the crate.
 pub(crate) use store::records;
 pub use {
     decide::{
--- a/crates/fernring-gateway/tests/testsuite/config.rs
+++ b/crates/fernring-gateway/tests/testsuite/config.rs
@@ -1,4 +1,4 @@
-//! The configuration in force.
+//! The configuration in force and its routes.
 
 use {
     fernring_gateway::{
@@ -34,21 +34,27 @@
 }
 
 #[test]
-fn a_configuration_never_goes_back() {
+fn older_configurations_are_rejected() {
     let mut state = ConfigState::default();
     assert!(state.current().is_none());
-    assert!(state.apply_if_newer(version(0), "first".into(), 1.into()), "the first may have any version");
+    assert!(
+        state.apply_if_newer(version(0), "first".into(), 1.into()),
+        "the first configuration may have any version"
+    );
     assert!(state.apply_if_newer(version(7), "seven".into(), 5.into()));
     assert!(!state.apply_if_newer(version(3), "three".into(), 3.into()));
     assert!(!state.apply_if_newer(version(7), "seven again".into(), 6.into()));
-    assert_eq!(state.end(), 5.into(), "what is read next is what comes after the record in force");
-    assert!(state.apply_if_newer(version(90), "ninety".into(), 9.into()), "versions rise in uneven steps");
+    assert_eq!(state.end(), 5.into(), "reading continues after the record in force");
+    assert!(
+        state.apply_if_newer(version(90), "ninety".into(), 9.into()),
+        "versions may rise by more than 1"
+    );
     assert_eq!(state.version(), 90);
     assert_eq!(state.current().unwrap().compressed, "ninety");
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_wins() {
+fn longest_matching_prefix_wins() {
     let routes = vec![route("h", "/a/"), route("h", "/a/b/"), route("other", "/a/b/c/")];
     let config = ServingConfig { routes, ..version(1) };
     let found = |host, path| config.route(host, path).map(|route| route.path_prefix.clone());
--- a/crates/fernring-gateway/tests/testsuite/main.rs
+++ b/crates/fernring-gateway/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the gateway's decisions, a file a module.
+//! Tests of the gateway's decisions, one file per module.
 
 mod admission;
 mod attempts;
--- a/crates/fernring-gateway/tests/testsuite/settings.rs
+++ b/crates/fernring-gateway/tests/testsuite/settings.rs
@@ -1,8 +1,8 @@
-//! The settings file.
+//! Parsing and checking of the settings file.
 
 use fernring_gateway::settings::parse;
 
-const GOOD: &str = r#"
+const MINIMAL: &str = r#"
 [node]
 name = "front-a-1"
 failure_domain = "a"
@@ -15,16 +15,16 @@
 "#;
 
 #[test]
-fn what_is_left_out_has_its_default() {
-    let settings = parse(GOOD, "node.toml").unwrap();
+fn omitted_keys_get_defaults() {
+    let settings = parse(MINIMAL, "node.toml").unwrap();
     assert!(settings.node.seeds.is_empty());
     assert!(settings.shutdown.leave_s < settings.shutdown.grace_s);
     assert_eq!(settings.node.link_bytes_per_s(), 1_250_000.0);
 }
 
 #[test]
-fn what_is_not_allowed_is_named_with_file_and_key() {
-    let bad = [
+fn errors_name_file_and_key() {
+    let invalid = [
         ("[retries]\nratio = -1", "retries.ratio"),
         ("[retries]\nslack = nan", "retries.slack"),
         ("[retries]\nwindow_s = 0", "retries.window_s"),
@@ -38,13 +38,13 @@
         ("[log]\nbytes_per_s = \"many\"", "bytes_per_s"),
     ];
     for link in ["0", "-1", "nan", "\"fast\""] {
-        let text = GOOD.replace("[store]", &format!("link_mbps = {link}\n[store]"));
-        let problem = parse(&text, "node.toml").unwrap_err().to_string();
-        assert!(problem.starts_with("node.toml") && problem.contains("link_mbps"), "{problem}");
+        let text = MINIMAL.replace("[store]", &format!("link_mbps = {link}\n[store]"));
+        let error = parse(&text, "node.toml").unwrap_err().to_string();
+        assert!(error.starts_with("node.toml") && error.contains("link_mbps"), "{error}");
     }
-    for (text, key) in bad {
-        let problem = parse(&format!("{GOOD}{text}"), "node.toml").unwrap_err().to_string();
-        assert!(problem.starts_with("node.toml"), "{problem}");
-        assert!(problem.contains(key), "{text}: {problem}");
+    for (text, key) in invalid {
+        let error = parse(&format!("{MINIMAL}{text}"), "node.toml").unwrap_err().to_string();
+        assert!(error.starts_with("node.toml"), "{error}");
+        assert!(error.contains(key), "{text}: {error}");
     }
 }
