--- a/crates/fernring-gateway/src/connections.rs
+++ b/crates/fernring-gateway/src/connections.rs
@@ -54,7 +54,7 @@
     NotSent(String),
     /// Nothing was written, since the connection was refused.
     #[error("not sent: {0}")]
-    NoListener(String),
+    ConnectionRefused(String),
     /// Nothing was written, since the upstream is ineligible for new requests.
     #[error("{0}")]
     Ineligible(Barred),
@@ -319,7 +319,7 @@
 fn connect_failure(error: io::Error) -> SendFailure {
     let reason = format!("connect: {error}");
     match error.kind() {
-        ErrorKind::ConnectionRefused => SendFailure::NoListener(reason),
+        ErrorKind::ConnectionRefused => SendFailure::ConnectionRefused(reason),
         _ => SendFailure::NotSent(reason),
     }
 }
--- a/crates/fernring-gateway/src/owner/calls.rs
+++ b/crates/fernring-gateway/src/owner/calls.rs
@@ -282,7 +282,7 @@
 impl From<SendFailure> for CallFailure {
     fn from(failure: SendFailure) -> Self {
         match failure {
-            SendFailure::NotSent(reason) | SendFailure::NoListener(reason) => Self::NotSent(reason),
+            SendFailure::NotSent(reason) | SendFailure::ConnectionRefused(reason) => Self::NotSent(reason),
             SendFailure::Ineligible(why) => Self::Barred(why),
             SendFailure::Broken(broke) => Self::Broken(broke),
         }
--- a/crates/fernring-gateway/src/serving/exchange/sending.rs
+++ b/crates/fernring-gateway/src/serving/exchange/sending.rs
@@ -318,7 +318,7 @@
                 let why = ConnectionLoss::silent("no answer in time");
                 return Err(failed(Unanswered { end: SendEnd::Unknown, why }));
             }
-            Some(Err(SendFailure::NotSent(why) | SendFailure::NoListener(why))) => {
+            Some(Err(SendFailure::NotSent(why) | SendFailure::ConnectionRefused(why))) => {
                 return Err(Unanswered::without_break(SendEnd::NotSent, why));
             }
             Some(Err(SendFailure::Ineligible(why))) => {
--- a/crates/fernring-gateway/src/settings.rs
+++ b/crates/fernring-gateway/src/settings.rs
@@ -261,7 +261,7 @@
 }
 
 impl Default for LogSettings {
-    /// All lines, up to 256 KB per second, well above what a node writes in a burst.
+    /// All lines, up to 256 KB per second. 32 KB per second is twice what a node writes in a burst.
     fn default() -> Self {
         Self { decisions: true, bytes_per_s: 256 << 10 }
     }
--- a/crates/fernring-gateway/src/upstreams/access.rs
+++ b/crates/fernring-gateway/src/upstreams/access.rs
@@ -221,7 +221,7 @@
         let now = self.clock.now().monotonic;
         let mut cold = self.cold.borrow_mut();
         match failure {
-            Some(SendFailure::NoListener(_)) => {
+            Some(SendFailure::ConnectionRefused(_)) => {
                 let record_at = upstream.at;
                 cold.no_listener.insert(key, NoListener::new(now, record_at));
             }
