--- a/crates/fernring-gateway/src/decide/limits.rs
+++ b/crates/fernring-gateway/src/decide/limits.rs
@@ -33,7 +33,7 @@
     pub now: Option<f64>,
 }
 
-/// The newest words of all upstreams, by their starts ([`crate::model::UpstreamRecord::run_id`]).
+/// The newest words of all upstreams, by their starts ([`crate::model::UpstreamRecord::incarnation_id`]).
 #[derive(Debug, Default)]
 pub struct Limits {
     words: HashMap<u64, LimitWord>,
--- a/crates/fernring-gateway/src/upstreams/mod.rs
+++ b/crates/fernring-gateway/src/upstreams/mod.rs
@@ -54,7 +54,7 @@
 }
 
 impl Target {
-    /// Returns a hash of the start that is meant, like [`crate::model::UpstreamRecord::run_id`].
+    /// Returns a hash of the start that is meant, like [`crate::model::UpstreamRecord::incarnation_id`].
     pub fn run_id(&self) -> u64 {
         incarnation_id(&self.instance, self.started_ms)
     }
--- a/crates/fernring-protocol/src/lib.rs
+++ b/crates/fernring-protocol/src/lib.rs
@@ -6,7 +6,7 @@
 //! ```
 //! use fernring_protocol::{Frame, messages::{ConfigRequest, frame::Body}};
 //!
-//! let frame = Frame { body: Some(Body::ConfigRequest(ConfigRequest { have_version: 7 })) };
+//! let frame = Frame { body: Some(Body::ConfigRequest(ConfigRequest { known_version: 7 })) };
 //! let bytes = fernring_protocol::encode(&frame);
 //! assert_eq!(fernring_protocol::decode(&bytes).unwrap(), frame);
 //! ```
--- a/crates/fernring-protocol/src/messages.rs
+++ b/crates/fernring-protocol/src/messages.rs
@@ -90,7 +90,7 @@
 pub struct ConfigRequest {
     /// Version that the requesting node has.
     #[prost(uint64, tag = "1")]
-    pub have_version: u64,
+    pub known_version: u64,
 }
 
 /// The configuration in force.
--- a/crates/fernring/src/node/peer_loop.rs
+++ b/crates/fernring/src/node/peer_loop.rs
@@ -104,7 +104,7 @@
 fn config_state(node: &Node, request: ConfigRequest) -> ConfigState {
     let newest = lock(&node.fold).snapshot();
     match newest {
-        Some(Snapshot { version, folded_to, catalog }) if version > request.have_version => {
+        Some(Snapshot { version, folded_to, catalog }) if version > request.known_version => {
             let catalog_json = serde_json::to_vec(&catalog).unwrap_or_default();
             ConfigState { version, folded_to, catalog_json }
         }
@@ -224,7 +224,7 @@
 /// Takes the configuration of a peer that is ahead.
 async fn fetch_config(node: &Arc<Node>, address: SocketAddr, have_version: u64) {
     let patience = Duration::from_millis(node.settings.platform.timeout_ms);
-    let question = Body::ConfigRequest(ConfigRequest { have_version });
+    let question = Body::ConfigRequest(ConfigRequest { known_version: have_version });
     let Ok(Body::ConfigState(state)) = node.peer.ask_for_large(address, question, patience).await
     else {
         return;
--- a/crates/fernring/tests/testsuite/large_answers.rs
+++ b/crates/fernring/tests/testsuite/large_answers.rs
@@ -71,7 +71,7 @@
     codec().encode(encode(&frame), &mut answer).unwrap();
     let fetch = async |parts| {
         let address = answer_in_parts(answer.to_vec(), parts).await;
-        let question = Body::ConfigRequest(ConfigRequest { have_version: 7 });
+        let question = Body::ConfigRequest(ConfigRequest { known_version: 7 });
         TcpPeer::new(HERE).ask_for_large(address, question, PATIENCE).await
     };
     assert_eq!(fetch(PARTS).await.unwrap(), Body::ConfigState(state));
