--- a/crates/fernring-gateway/src/stages.rs
+++ b/crates/fernring-gateway/src/stages.rs
@@ -55,7 +55,7 @@
     /// Last known owner of each worker pool, and since when, for the log.
     last_owners: RefCell<HashMap<MakerPool, (SocketAddr, Duration)>>,
     /// The services that are sharded by failure domain.
-    shards: RefCell<Splits>,
+    sharded_services: RefCell<Splits>,
 }
 
 /// Cancels a stage when its request is abandoned.
@@ -101,7 +101,7 @@
             peer_work: RefCell::default(),
             next_ticket: Cell::new(1),
             last_owners: RefCell::default(),
-            shards: RefCell::default(),
+            sharded_services: RefCell::default(),
         }
     }
 
@@ -185,7 +185,7 @@
     /// Returns whether the pieces of a request go to the workers of a single failure domain.
     fn is_sharded(&self, service: &str, residency: &Residency) -> bool {
         let now = self.clock.now().monotonic;
-        residency.is_restricted() || self.shards.borrow().is_split(now, service)
+        residency.is_restricted() || self.sharded_services.borrow().is_split(now, service)
     }
 
     /// Returns the short hashes of the services that should be sharded, judged by the traffic that
@@ -199,7 +199,7 @@
     /// Records that an owner reports a service, named by its short hash, as to be sharded.
     pub fn mark_sharded(&self, service: u32) {
         let now = self.clock.now().monotonic;
-        if self.shards.borrow_mut().said(now, service) {
+        if self.sharded_services.borrow_mut().said(now, service) {
             log::info(LogLine::event("service_split").with("service_hash", service));
         }
     }
