--- a/crates/fernring-policy/src/dispatcher/admit.rs
+++ b/crates/fernring-policy/src/dispatcher/admission.rs
@@ -1,11 +1,11 @@
-//! Accepting, refusing, joining and passing on submissions.
+//! Admission: accepts, refuses, joins or relays submissions.
 
 use {
     super::{
         Dispatcher,
         entry::{ClaimState, Entry, Phase, Waiter},
-        own::KeyPath,
-        predict::Requester,
+        forecast::Requester,
+        ownership::KeyRoute,
         timers::TimerKind,
     },
     crate::{
@@ -24,48 +24,50 @@
     xxhash_rust::xxh3::{Xxh3, xxh3_64},
 };
 
-/// What a submission whose names and window are in order asks for.
-struct Terms {
+/// The catalog items and parameters of a submission whose names and window are valid.
+struct ResolvedRequest {
     pipeline: Arc<Pipeline>,
     workspace: Arc<Workspace>,
-    /// Whether something of it has a side effect, so that a key and its claim are needed.
+    /// Whether a stage may run only once, so that a key and the claim of it are needed.
     at_most_once: bool,
     key: Option<ScopedKey>,
     window: Duration,
 }
 
-/// A refusal: the code and when to come back, in milliseconds.
+/// A refusal of a submission.
 struct Refusal {
     code: ResultCode,
+    /// Time after which the caller may retry, in milliseconds.
     retry_after_ms: u64,
 }
 
 impl Dispatcher {
-    pub(super) fn submit(&mut self, now: Now, submission: Submission) {
-        let terms = match self.check(&submission) {
-            Ok(terms) => terms,
+    pub(super) fn handle_submission(&mut self, now: Now, submission: Submission) {
+        let resolved = match self.resolve(&submission) {
+            Ok(resolved) => resolved,
             Err(code) => return self.refuse(&submission, code, 0),
         };
-        if let Some(key) = &terms.key {
-            match self.key_path(now, &submission, key) {
-                KeyPath::Fresh => {}
-                KeyPath::Join(request) => {
-                    return self.join(now, request, &submission, terms.window);
+        if let Some(key) = &resolved.key {
+            match self.route_key(now, &submission, key) {
+                KeyRoute::New => {}
+                KeyRoute::Join(request) => {
+                    return self.join_running(now, request, &submission, resolved.window);
                 }
-                KeyPath::Answer(answer) => return self.repeat(&submission, answer),
-                KeyPath::Refuse(code) => return self.refuse(&submission, code, 0),
-                KeyPath::Owner(owner) => {
-                    return self.pass_on(now, submission, owner, terms.window);
+                KeyRoute::Answer(answer) => return self.answer_repeat(&submission, answer),
+                KeyRoute::Refuse(code) => return self.refuse(&submission, code, 0),
+                KeyRoute::Forward(owner) => {
+                    return self.relay(now, submission, owner, resolved.window);
                 }
             }
         }
-        match self.refusal(now, &submission, &terms) {
+        match self.admission_refusal(now, &submission, &resolved) {
             Some(refusal) => self.refuse(&submission, refusal.code, refusal.retry_after_ms),
-            None => self.accept(now, submission, terms),
+            None => self.accept(now, submission, resolved),
         }
     }
 
-    fn check(&self, submission: &Submission) -> Result<Terms, ResultCode> {
+    /// Looks up the pipeline and workspace of a submission, and checks its window and key.
+    fn resolve(&self, submission: &Submission) -> Result<ResolvedRequest, ResultCode> {
         let Some(pipeline) = self.catalog.pipelines.get(&submission.pipeline).cloned() else {
             return Err(ResultCode::UnknownPipeline);
         };
@@ -85,11 +87,16 @@
         let scope = |key| ScopedKey { workspace: submission.workspace.clone(), key };
         let key = submission.key.map(scope);
         let window = Duration::from_millis(window_ms);
-        Ok(Terms { pipeline, workspace, at_most_once, key, window })
+        Ok(ResolvedRequest { pipeline, workspace, at_most_once, key, window })
     }
 
-    /// Decides whether a fresh submission is refused.
-    fn refusal(&mut self, now: Now, submission: &Submission, terms: &Terms) -> Option<Refusal> {
+    /// Returns the refusal of a new submission, or `None` if it is accepted.
+    fn admission_refusal(
+        &mut self,
+        now: Now,
+        submission: &Submission,
+        resolved: &ResolvedRequest,
+    ) -> Option<Refusal> {
         let retry_after_ms = self.settings.retry_after_ms;
         let refuse = |code| Some(Refusal { code, retry_after_ms });
         if self.draining {
@@ -98,28 +105,37 @@
         if self.ledger.len() >= self.settings.requests_max {
             return refuse(ResultCode::NodeFull);
         }
-        if initial_claim(submission, terms) == ClaimState::Pending {
+        if initial_claim_state(submission, resolved) == ClaimState::Pending {
             let patience = Duration::from_millis(self.settings.claim_patience_ms);
             if self.claim_queue.is_failing(now.monotonic, patience) {
                 return refuse(ResultCode::ClaimUnsettled);
             }
         }
         let workspace = &submission.workspace;
-        let limit_per_s = terms.workspace.limit_per_s;
-        if let Err(retry_after_ms) = self.limits.admit(now.monotonic, workspace, limit_per_s) {
+        let limit_per_s = resolved.workspace.limit_per_s;
+        if let Err(retry_after_ms) =
+            self.workspace_limits.admit(now.monotonic, workspace, limit_per_s)
+        {
             return Some(Refusal { code: ResultCode::OverLimit, retry_after_ms });
         }
         if !self.settings.full() {
             return None;
         }
-        self.refusal_by_load(now, submission, terms)
+        self.load_refusal(now, submission, resolved)
     }
 
-    fn refusal_by_load(&self, now: Now, submission: &Submission, terms: &Terms) -> Option<Refusal> {
+    /// Returns the refusal of a new submission if its pools have no slots, its queue is full, or
+    /// it would finish too late.
+    fn load_refusal(
+        &self,
+        now: Now,
+        submission: &Submission,
+        resolved: &ResolvedRequest,
+    ) -> Option<Refusal> {
         let retry_after_ms = self.settings.retry_after_ms;
-        let pipeline = &terms.pipeline;
-        let none_open = |pool: &str| self.upstreams.slots(now.monotonic, pool).total == 0;
-        if pipeline.stages.iter().any(|stage| none_open(&stage.pool)) {
+        let pipeline = &resolved.pipeline;
+        let has_no_slots = |pool: &str| self.upstreams.slots(now.monotonic, pool).total == 0;
+        if pipeline.stages.iter().any(|stage| has_no_slots(&stage.pool)) {
             return Some(Refusal { code: ResultCode::NoUpstream, retry_after_ms });
         }
         let first_pool = &pipeline.stages[0].pool;
@@ -127,8 +143,8 @@
         if waiting >= self.settings.queue_max {
             return Some(Refusal { code: ResultCode::QueueFull, retry_after_ms });
         }
-        let predicted_ms = self.predict_ms(now, submission, terms);
-        let window_ms = terms.window.as_millis() as f64;
+        let predicted_ms = self.predicted_finish_ms(now, submission, resolved);
+        let window_ms = resolved.window.as_millis() as f64;
         if self.settings.admission && predicted_ms > window_ms {
             let excess_ms = (predicted_ms - window_ms).ceil() as u64;
             return Some(Refusal { code: ResultCode::WouldBeLate, retry_after_ms: excess_ms });
@@ -136,75 +152,86 @@
         None
     }
 
-    fn predict_ms(&self, now: Now, submission: &Submission, terms: &Terms) -> f64 {
-        let room = |pool: &str| self.upstreams.slots(now.monotonic, pool);
+    fn predicted_finish_ms(
+        &self,
+        now: Now,
+        submission: &Submission,
+        resolved: &ResolvedRequest,
+    ) -> f64 {
+        let slots_of = |pool: &str| self.upstreams.slots(now.monotonic, pool);
         let name = submission.pipeline.as_str().into();
         let requester =
-            Requester { workspace: &submission.workspace, weight: terms.workspace.weight };
-        self.forecast.finish_ms(&name, &terms.pipeline, requester, room)
+            Requester { workspace: &submission.workspace, weight: resolved.workspace.weight };
+        self.forecast.predict_finish_ms(&name, &resolved.pipeline, requester, slots_of)
     }
 
-    fn accept(&mut self, now: Now, submission: Submission, terms: Terms) {
-        let claim = initial_claim(&submission, &terms);
-        let Terms { pipeline, workspace, key, window, .. } = terms;
+    fn accept(&mut self, now: Now, submission: Submission, resolved: ResolvedRequest) {
+        let claim = initial_claim_state(&submission, &resolved);
+        let ResolvedRequest { pipeline, workspace, key, window, .. } = resolved;
         let deadline = now.monotonic + window;
         let waiter =
-            Waiter { id: submission.waiter, streaming: submission.streaming, delivered: 0 };
+            Waiter { id: submission.waiter, streaming: submission.streaming, delivered_parts: 0 };
         let entry = Entry {
             pipeline_name: submission.pipeline.as_str().into(),
             weight: workspace.weight,
             key: key.clone(),
             fingerprint: fingerprint(&submission),
             prefix: prefix_hash(&submission),
-            received: now.monotonic,
+            received_at: now.monotonic,
             deadline,
             phase: Phase::AwaitingClaim,
             stage: 0,
-            pending_from: 0,
+            pending_from_stage: 0,
             input: submission.input.clone(),
-            live: Vec::new(),
-            tried: Vec::new(),
+            live_attempts: Vec::new(),
+            tried_upstreams: Vec::new(),
             stage_attempts: 0,
             hedged: false,
-            unsent: false,
+            last_attempt_not_run: false,
             attempts_made: 0,
             claim,
             effect_sent: false,
             effect_done: false,
             pinned: None,
             waiters: vec![waiter],
-            times: Vec::new(),
+            stage_times: Vec::new(),
             pipeline,
             submission,
         };
-        self.forecast.expect(&entry.pipeline, 0, entry.requester());
+        self.forecast.add_pending(&entry.pipeline, 0, entry.requester());
         self.log_accepted(&entry, window);
         let request = self.ledger.insert(entry);
         self.counters.accepted += 1;
-        self.waiting.insert(waiter.id, request);
+        self.request_by_waiter.insert(waiter.id, request);
         if let Some(key) = key {
             if claim == ClaimState::Pending {
                 let kind = ClaimKind::Claim;
                 self.claim_queue.push(ClaimEntry { key: key.clone(), kind });
             }
-            self.by_key.insert(key, request);
+            self.request_by_key.insert(key, request);
         }
         self.timers.set(deadline, TimerKind::WindowEnd(request));
-        self.enter_stage(now, request);
+        self.start_stage(now, request);
     }
 
-    /// Adds a repeat to the request that is already under way.
-    fn join(&mut self, now: Now, request: RequestId, submission: &Submission, window: Duration) {
+    /// Adds a repeated submission as a waiter of the request that is already running.
+    fn join_running(
+        &mut self,
+        now: Now,
+        request: RequestId,
+        submission: &Submission,
+        window: Duration,
+    ) {
         let entry = &mut self.ledger[request];
         if entry.fingerprint != fingerprint(submission) {
             return self.refuse(submission, ResultCode::KeyMismatch, 0);
         }
         let waiter =
-            Waiter { id: submission.waiter, streaming: submission.streaming, delivered: 0 };
+            Waiter { id: submission.waiter, streaming: submission.streaming, delivered_parts: 0 };
         entry.waiters.push(waiter);
-        self.waiting.insert(waiter.id, request);
+        self.request_by_waiter.insert(waiter.id, request);
         self.counters.repeats += 1;
-        self.timers.set(now.monotonic + window, TimerKind::WaiterWindow(waiter.id));
+        self.timers.set(now.monotonic + window, TimerKind::WaiterWindowEnd(waiter.id));
         let line = LogLine::event("join")
             .with("request", self.ledger[request].submission.uid)
             .with("waiter", waiter.id.0);
@@ -212,15 +239,15 @@
         self.deliver_ordered(request);
     }
 
-    /// Answers a repeat of a key whose word is known.
-    fn repeat(&mut self, submission: &Submission, answer: Answer) {
+    /// Answers a repeated submission of a key whose final answer is known.
+    fn answer_repeat(&mut self, submission: &Submission, answer: Answer) {
         self.counters.repeats += 1;
         let line = LogLine::event("repeat")
             .with("workspace", &submission.workspace)
             .with_some("key", submission.key)
             .with("code", answer.code().number());
         self.log(line);
-        self.finish_waiter(submission.waiter, answer);
+        self.answer_waiter(submission.waiter, answer);
     }
 
     fn refuse(&mut self, submission: &Submission, code: ResultCode, retry_after_ms: u64) {
@@ -237,7 +264,7 @@
             Class::NotRun => Answer::not_run(Unattempted::never_accepted(), code, retry_after_ms),
             _ => Answer::ran(code, retry_after_ms),
         };
-        self.finish_waiter(submission.waiter, answer);
+        self.answer_waiter(submission.waiter, answer);
     }
 
     fn log_accepted(&mut self, entry: &Entry, window: Duration) {
@@ -252,16 +279,16 @@
     }
 }
 
-fn initial_claim(submission: &Submission, terms: &Terms) -> ClaimState {
+fn initial_claim_state(submission: &Submission, resolved: &ResolvedRequest) -> ClaimState {
     match submission.key {
-        _ if !terms.at_most_once => ClaimState::NotNeeded,
-        // A ticket that got here is this incarnation's own and was never used.
+        _ if !resolved.at_most_once => ClaimState::NotNeeded,
+        // A ticket that passed `route_key` was issued by this incarnation and is unused.
         Some(RequestKey::Ticket(_)) => ClaimState::Won,
         _ => ClaimState::Pending,
     }
 }
 
-/// Hash by which two submissions under one key are compared.
+/// Returns a hash of pipeline and input, by which two submissions with the same key are compared.
 pub(super) fn fingerprint(submission: &Submission) -> u64 {
     let mut hash = Xxh3::new();
     hash.update(submission.pipeline.as_bytes());
@@ -270,6 +297,7 @@
     hash.digest()
 }
 
+/// Returns the hash of the prompt prefix, by which an engine is chosen.
 fn prefix_hash(submission: &Submission) -> u64 {
     match &submission.prefix {
         Some(prefix) => xxh3_64(prefix.as_bytes()),
--- a/crates/fernring-policy/src/dispatcher/entry.rs
+++ b/crates/fernring-policy/src/dispatcher/entry.rs
@@ -1,7 +1,7 @@
-//! Entries of the ledger and their attempts.
+//! Ledger entries, one for each accepted request, and their attempts.
 
 use {
-    super::predict::Requester,
+    super::forecast::Requester,
     crate::{assembly::Assembly, event::Submission, queue::Place},
     fernring_core::{
         catalog::{Pipeline, Stage},
@@ -10,40 +10,40 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Where an entry stands.
+/// The phase of a ledger entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// It waits for an upstream of its stage's pool.
+    /// The request waits in the queue of its stage's pool for an upstream.
     Queued(Place),
-    /// It waits to be told that its key is its own.
+    /// The next stage has a side effect, and the claim of the key is not decided yet.
     AwaitingClaim,
-    /// At least one attempt of its stage is under way.
+    /// At least one attempt of the current stage is in flight.
     Running,
-    /// Its key belongs to another incarnation, whose word it waits for.
-    Relaying,
+    /// The key belongs to another incarnation, whose answer the request waits for.
+    AwaitingOwner,
 }
 
 /// Whether the side effects of an entry may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ClaimState {
-    /// It has none.
+    /// The request has no side effects.
     NotNeeded,
-    /// The log has not decided.
+    /// The claim stream has not decided who owns the key.
     Pending,
-    /// They may run here, once.
+    /// This node owns the key: the side effects may run here, once.
     Won,
 }
 
-/// Somebody who waits for an entry's answer.
+/// A caller or peer node that waits for the answer of an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Waiter {
     pub(crate) id: WaiterId,
     pub(crate) streaming: bool,
-    /// Parts of the last stage's answer that were passed on.
-    pub(crate) delivered: usize,
+    /// Number of parts of the last stage's output that the waiter was sent.
+    pub(crate) delivered_parts: usize,
 }
 
-/// Time of a stage whose result was taken over.
+/// Upstream time of a completed stage.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct StageTime {
     pub(crate) stage: u16,
@@ -60,34 +60,35 @@
     pub(crate) key: Option<ScopedKey>,
     pub(crate) fingerprint: u64,
     pub(crate) prefix: u64,
-    pub(crate) received: Duration,
+    pub(crate) received_at: Duration,
     pub(crate) deadline: Duration,
     pub(crate) phase: Phase,
-    /// Stage that it has reached. Invariant: only grows.
+    /// Index of the current stage. Invariant: only grows.
     pub(crate) stage: u16,
-    /// First stage that no attempt was sent for yet; counted by the forecast from there on.
-    pub(crate) pending_from: u16,
-    /// Input of the stage it has reached.
+    /// First stage without an attempt; the forecast counts the stages from this one on as pending.
+    pub(crate) pending_from_stage: u16,
+    /// Input of the current stage.
     pub(crate) input: Arc<str>,
-    /// Attempts of the stage that have not ended.
-    pub(crate) live: Vec<AttemptRef>,
-    /// Upstreams that the stage was tried at.
-    pub(crate) tried: Vec<UpstreamId>,
+    /// Attempts of the current stage that are in flight and whose result is still wanted.
+    pub(crate) live_attempts: Vec<AttemptRef>,
+    /// Upstreams to which an attempt of the current stage was sent.
+    pub(crate) tried_upstreams: Vec<UpstreamId>,
     pub(crate) stage_attempts: u32,
     pub(crate) hedged: bool,
-    /// Whether the last attempt ended before anything ran.
-    pub(crate) unsent: bool,
-    /// Attempts of all stages that may have reached an upstream.
+    /// Whether the last failed attempt ended before its upstream ran anything.
+    pub(crate) last_attempt_not_run: bool,
+    /// Number of attempts, over all stages, that may have reached an upstream.
     pub(crate) attempts_made: u32,
     pub(crate) claim: ClaimState,
-    /// Whether the side effect of the stage was sent. Invariant: never sent while set.
+    /// Whether the side effect of the current stage was sent. Invariant: it is not sent again while
+    /// this is set.
     pub(crate) effect_sent: bool,
-    /// Whether the side effect of an earlier stage, or of this one, is known to have happened.
+    /// Whether a side effect of this or an earlier stage is known to have run.
     pub(crate) effect_done: bool,
-    /// The attempt whose parts streaming waiters were given.
+    /// The attempt whose parts are streamed to waiters; once set, no other attempt is.
     pub(crate) pinned: Option<AttemptRef>,
     pub(crate) waiters: Vec<Waiter>,
-    pub(crate) times: Vec<StageTime>,
+    pub(crate) stage_times: Vec<StageTime>,
 }
 
 impl Entry {
@@ -99,9 +100,10 @@
         &self.pipeline.stages[usize::from(self.stage)]
     }
 
-    /// Tells whether a stage may be sent only once: it has a side effect, or the caller marked
-    /// the request as non-idempotent and no stage is declared to be the one that matters.
-    pub(crate) fn is_effect(&self, stage: u16) -> bool {
+    /// Returns whether a stage may be sent only once: the stage is declared to have a side effect,
+    /// or the caller marked the request as non-idempotent and the pipeline declares no stage with
+    /// a side effect.
+    pub(crate) fn is_effect_stage(&self, stage: u16) -> bool {
         let declared = self.pipeline.stages[usize::from(stage)].effect;
         declared || (self.submission.non_idempotent && !self.pipeline.has_effect())
     }
@@ -110,37 +112,39 @@
         usize::from(self.stage) + 1 == self.pipeline.stages.len()
     }
 
-    /// Tells whether a side effect was sent and its outcome is not known.
+    /// Returns whether the side effect of the current stage was sent and its outcome is unknown.
     pub(crate) fn effect_in_doubt(&self) -> bool {
-        self.effect_sent && self.is_effect(self.stage)
+        self.effect_sent && self.is_effect_stage(self.stage)
     }
 
-    /// Tells whether any attempt of the stage is under way.
-    pub(crate) fn has_live(&self, attempt: AttemptRef) -> bool {
-        self.live.contains(&attempt)
+    /// Returns whether the attempt is in flight and its result is still wanted.
+    pub(crate) fn is_live(&self, attempt: AttemptRef) -> bool {
+        self.live_attempts.contains(&attempt)
     }
 
-    /// Takes over the output of the stage and moves on to the next.
-    pub(crate) fn enter_next_stage(&mut self, output: Arc<str>) {
+    /// Moves on to the next stage, whose input is the output of the completed one.
+    pub(crate) fn advance_to_next_stage(&mut self, output: Arc<str>) {
         self.stage += 1;
         self.input = output;
-        self.live.clear();
-        self.tried.clear();
+        self.live_attempts.clear();
+        self.tried_upstreams.clear();
         self.stage_attempts = 0;
         self.hedged = false;
-        self.unsent = false;
+        self.last_attempt_not_run = false;
         self.effect_sent = false;
         self.pinned = None;
     }
 }
 
-/// What an attempt is.
+/// The reason why an attempt is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AttemptKind {
     First,
+    /// Follows a failed attempt.
     Retry,
-    /// After an attempt that ran nothing.
+    /// Follows an attempt that ran nothing.
     Resend,
+    /// Runs beside a straggling attempt.
     Hedge,
 }
 
@@ -155,22 +159,22 @@
     }
 }
 
-/// One attempt that has not ended.
+/// An attempt that has not ended.
 #[derive(Debug)]
 pub(crate) struct Attempt {
     pub(crate) reference: AttemptRef,
     pub(crate) uid: uuid::Uuid,
     pub(crate) upstream: UpstreamId,
-    pub(crate) started: Duration,
+    pub(crate) started_at: Duration,
     pub(crate) effect: bool,
     pub(crate) pipeline_name: Arc<str>,
     pub(crate) workspace: Arc<str>,
     pub(crate) stage_name: Arc<str>,
     pub(crate) pool: String,
     pub(crate) assembly: Assembly,
-    /// Whether a part contradicted the answer; then the attempt can't succeed.
+    /// Whether an invalid part arrived; then the attempt can't succeed.
     pub(crate) invalid: bool,
-    /// Whether its twin's result was used instead.
+    /// Whether the result of the other attempt of the same stage is used instead.
     pub(crate) superseded: bool,
 }
 
@@ -179,15 +183,15 @@
         entry: &Entry,
         reference: AttemptRef,
         upstream: UpstreamId,
-        started: Duration,
+        started_at: Duration,
     ) -> Self {
         let stage = entry.current_stage();
         Self {
             reference,
             uid: entry.submission.uid,
             upstream,
-            started,
-            effect: entry.is_effect(reference.stage),
+            started_at,
+            effect: entry.is_effect_stage(reference.stage),
             pipeline_name: entry.pipeline_name.clone(),
             workspace: entry.submission.workspace.clone(),
             stage_name: stage.name.as_str().into(),
--- a/crates/fernring-policy/src/dispatcher/mod.rs
+++ b/crates/fernring-policy/src/dispatcher/mod.rs
@@ -1,22 +1,25 @@
-//! The life of every request on a node.
+//! The lifecycle of requests on a node.
 //!
-//! A submission becomes one [`entry::Entry`] of the ledger, passes through the stages of its
-//! pipeline, and gets exactly one final answer. The submodules hold one step each:
+//! A submission becomes one entry of the ledger, passes through the stages of its
+//! pipeline, and gets exactly one final answer. Each submodule covers one step:
 //!
-//! - `admit`: accept, refuse, join a running request, or pass on to the key's owner;
-//! - `predict`: when a request would finish;
-//! - `run`: queues, attempts, retries, hedges;
-//! - `parts`: the parts of answers;
-//! - `own`: claims, tickets and the word of other owners;
-//! - `finish`: final answers, and what is kept of them.
+//! - `admission`: accepts or refuses a submission, joins it to a running request, or relays it to
+//!   the owner of its key;
+//! - `forecast`: predicts when a request would finish;
+//! - `attempts`: queues, attempts, retries and hedges;
+//! - `parts`: collects the parts of responses and streams them to callers;
+//! - `ownership`: claims, tickets and answers from the owners of keys;
+//! - `finish`: final answers, and how long they are kept;
+//! - `entry`: the data of a request and its attempts;
+//! - `timers`: the timers of requests, attempts and queues.
 
-mod admit;
+mod admission;
+mod attempts;
 mod entry;
 mod finish;
-mod own;
+mod forecast;
+mod ownership;
 mod parts;
-mod predict;
-mod run;
 mod timers;
 
 use {
@@ -40,8 +43,8 @@
         text::LogLine,
     },
     finish::KeptAnswers,
-    own::TicketBook,
-    predict::Forecast,
+    forecast::Forecast,
+    ownership::TicketIssuer,
     rand::{SeedableRng, rngs::SmallRng},
     slotmap::SlotMap,
     std::{
@@ -53,116 +56,123 @@
     timers::{TimerKind, Timers},
 };
 
-/// Who a node is.
+/// Identifies a node and the failure domain in which it runs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Identity {
-    /// This run of the process.
+    /// Incarnation of the process; a restart gets a new one.
     pub incarnation: Incarnation,
-    /// Its peer address.
+    /// Address at which peers reach the node.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the node.
     pub failure_domain: Arc<str>,
 }
 
-/// The request decisions of one node.
+/// Makes all decisions about requests on one node: a state machine that turns events into actions.
+///
+/// No I/O: the caller carries out the actions and reports their results as events.
 #[derive(Debug)]
 pub struct Dispatcher {
-    me: Identity,
+    identity: Identity,
     settings: PolicySettings,
     catalog: Arc<Catalog>,
+    /// Whether the node refuses new requests.
     draining: bool,
+    /// Accepted requests that have not got their final answer.
     ledger: SlotMap<RequestId, Entry>,
-    /// Entries with a key. Invariant: points at live entries only.
-    by_key: HashMap<ScopedKey, RequestId>,
-    /// Attempts that have not ended, also those whose entry has. Invariant: each was dispatched
-    /// once and holds one slot of its upstream.
+    /// Ledger entries that have a key. Invariant: refers only to entries in the ledger.
+    request_by_key: HashMap<ScopedKey, RequestId>,
+    /// Attempts that have not ended, including those whose entry has ended. Invariant: each was
+    /// dispatched once and holds one slot of its upstream.
     attempts: HashMap<u64, Attempt>,
-    next_attempt: u64,
-    /// Where a waiter of a live entry waits.
-    waiting: HashMap<WaiterId, RequestId>,
-    /// Submissions that were passed on without becoming an entry.
-    relays: HashSet<WaiterId>,
-    kept: KeptAnswers,
-    tickets: TicketBook,
+    next_attempt_number: u64,
+    /// The ledger entry whose answer a waiter expects.
+    request_by_waiter: HashMap<WaiterId, RequestId>,
+    /// Waiters of submissions that were relayed to the owner of their key without a ledger entry.
+    relayed_waiters: HashSet<WaiterId>,
+    kept_answers: KeptAnswers,
+    ticket_issuer: TicketIssuer,
     claim_view: ClaimView,
     claim_queue: ClaimQueue,
     upstreams: Upstreams,
     queues: BTreeMap<String, PoolQueue>,
     forecast: Forecast,
-    budget: RetryBudget,
-    limits: WorkspaceLimits,
+    retry_budget: RetryBudget,
+    workspace_limits: WorkspaceLimits,
     costs: CostTable,
     counters: Counters,
     timers: Timers,
     rng: SmallRng,
-    out: Vec<Action>,
+    /// Actions of the current event, which [`Self::handle`] returns.
+    actions: Vec<Action>,
 }
 
 impl Dispatcher {
-    /// Creates the decisions of a node that knows nothing yet. `seed` drives every random choice.
-    pub fn new(me: Identity, settings: PolicySettings, seed: u64) -> Self {
+    /// Creates a dispatcher with an empty ledger and no catalog. `seed` drives every random choice.
+    pub fn new(identity: Identity, settings: PolicySettings, seed: u64) -> Self {
         let rules =
             ClaimRules { horizon_ms: settings.claim_horizon_ms, skew_ms: settings.clock_skew_ms };
         Self {
-            claim_view: ClaimView::new(me.incarnation, rules),
-            upstreams: Upstreams::new(me.failure_domain.clone(), settings.clone()),
-            budget: RetryBudget::new(settings.retry_budget_percent),
-            me,
+            claim_view: ClaimView::new(identity.incarnation, rules),
+            upstreams: Upstreams::new(identity.failure_domain.clone(), settings.clone()),
+            retry_budget: RetryBudget::new(settings.retry_budget_percent),
+            identity,
             settings,
             catalog: Arc::default(),
             draining: false,
             ledger: SlotMap::with_key(),
-            by_key: HashMap::new(),
+            request_by_key: HashMap::new(),
             attempts: HashMap::new(),
-            next_attempt: 1,
-            waiting: HashMap::new(),
-            relays: HashSet::new(),
-            kept: KeptAnswers::default(),
-            tickets: TicketBook::default(),
+            next_attempt_number: 1,
+            request_by_waiter: HashMap::new(),
+            relayed_waiters: HashSet::new(),
+            kept_answers: KeptAnswers::default(),
+            ticket_issuer: TicketIssuer::default(),
             claim_queue: ClaimQueue::default(),
             queues: BTreeMap::new(),
             forecast: Forecast::default(),
-            limits: WorkspaceLimits::default(),
+            workspace_limits: WorkspaceLimits::default(),
             costs: CostTable::default(),
             counters: Counters::default(),
             timers: Timers::default(),
             rng: SmallRng::seed_from_u64(seed),
-            out: Vec::new(),
+            actions: Vec::new(),
         }
     }
 
-    /// Takes in one event and returns what is to be done, in order.
+    /// Handles one event and returns the actions to carry out, in order.
     ///
     /// # Panics
-    /// If the accounting identity of [`Counters`] does not hold: then an answer was lost or
-    /// given twice, and going on would hide it.
+    /// If the accounting identity of [`Counters`] does not hold. Then an answer was lost or given
+    /// twice, and continuing would hide the fault.
     pub fn handle(&mut self, now: Now, event: Event) -> Vec<Action> {
-        self.run_timers(now);
+        self.run_due_timers(now);
         match event {
-            Event::Submit(submission) => self.submit(now, submission),
-            Event::WaiterLeft(waiter) => self.waiter_left(waiter),
-            Event::Parts { attempt, parts } => self.take_parts(now, attempt, parts),
-            Event::AttemptEnded { attempt, end } => self.attempt_ended(now, attempt, end),
-            Event::ClaimsRead(page) => self.claims_read(now, page),
+            Event::Submit(submission) => self.handle_submission(now, submission),
+            Event::WaiterLeft(waiter) => self.handle_waiter_left(waiter),
+            Event::Parts { attempt, parts } => self.handle_parts(now, attempt, parts),
+            Event::AttemptEnded { attempt, end } => self.handle_attempt_ended(now, attempt, end),
+            Event::ClaimsRead(page) => self.handle_claims_read(now, page),
             Event::ClaimsAppended => self.claim_queue.succeeded(),
-            Event::ClaimsInDoubt => self.claims_in_doubt(now),
-            Event::OwnerAnswered { waiter, answer } => self.owner_answered(now, waiter, answer),
-            Event::Configured(catalog) => self.configure(now, catalog),
+            Event::ClaimsInDoubt => self.handle_claims_in_doubt(now),
+            Event::OwnerAnswered { waiter, answer } => {
+                self.handle_owner_answered(now, waiter, answer);
+            }
+            Event::Configured(catalog) => self.apply_catalog(now, catalog),
             Event::Reported(reports) => {
                 for report in &reports {
                     self.upstreams.report(now.monotonic, report);
                 }
-                self.pump_all(now);
+                self.dispatch_from_all_queues(now);
             }
             Event::VmsLeaving(names) => self.upstreams.set_unlisted(&names),
             Event::Drain => self.draining = true,
-            Event::Tick => self.pump_all(now),
+            Event::Tick => self.dispatch_from_all_queues(now),
         }
         self.append_claims(now);
-        self.kept.expire(now.monotonic, &self.settings);
-        self.tickets.expire(now.monotonic, &self.settings);
+        self.kept_answers.expire(now.monotonic, &self.settings);
+        self.ticket_issuer.expire(now.monotonic, &self.settings);
         self.assert_accounting();
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
     /// Returns the monotonic time at which [`Event::Tick`] is due, if any.
@@ -170,17 +180,17 @@
         self.timers.next()
     }
 
-    /// Returns the numbers of the node.
+    /// Returns the current counters.
     pub fn counters(&self) -> Counters {
         Counters { in_flight: self.ledger.len() as u64, ..self.counters }
     }
 
-    /// Returns the costs by stage.
+    /// Returns the upstream time spent, by pipeline, workspace and stage.
     pub fn costs(&self) -> &CostTable {
         &self.costs
     }
 
-    /// Returns the view of the claim stream.
+    /// Returns the view folded from the claim stream.
     pub fn claim_view(&self) -> &ClaimView {
         &self.claim_view
     }
@@ -190,47 +200,49 @@
         self.attempts.len()
     }
 
-    /// Returns the number of submissions that wait for another node's word.
+    /// Returns the number of relayed submissions that wait for the answer of another node.
     pub fn relays_in_flight(&self) -> usize {
-        self.relays.len()
+        self.relayed_waiters.len()
     }
 
-    /// Returns the demand by workspace, for the heartbeat.
+    /// Returns the demand by workspace, to be published in the heartbeat.
     pub fn demand(&mut self, now: Now) -> Vec<Demand> {
-        self.limits.demand(now.monotonic)
+        self.workspace_limits.demand(now.monotonic)
     }
 
-    /// Takes in the number of live nodes of the failure domain and the others' demand.
+    /// Updates the number of live nodes in the failure domain and the demand that the other nodes
+    /// published.
     pub fn set_peers(&mut self, live_nodes: u32, demand: &[Demand]) {
         self.upstreams.set_live_nodes(live_nodes);
-        self.limits.set_peers(live_nodes, demand);
+        self.workspace_limits.set_peers(live_nodes, demand);
     }
 
-    /// Tells what is known of a key.
+    /// Returns the status of a key: from the ledger, the kept answers, or the claim stream.
     pub fn key_status(&self, key: &ScopedKey) -> KeyStatus {
-        if let Some(id) = self.by_key.get(key) {
+        if let Some(id) = self.request_by_key.get(key) {
             return KeyStatus::Running { stage: self.ledger[*id].stage };
         }
-        if let Some(kept) = self.kept.get(key).filter(|kept| !kept.is_unsettled()) {
+        if let Some(kept) = self.kept_answers.get(key).filter(|kept| !kept.is_unsettled()) {
             return KeyStatus::Ended(kept.answer.clone());
         }
         if let RequestKey::Ticket(ticket) = key.key
-            && ticket.incarnation != self.me.incarnation
+            && ticket.incarnation != self.identity.incarnation
         {
             let address = ticket.address;
             return KeyStatus::Elsewhere { incarnation: ticket.incarnation, address };
         }
-        self.status_by_claims(key)
+        self.key_status_from_claims(key)
     }
 
-    fn configure(&mut self, now: Now, catalog: Arc<Catalog>) {
+    /// Puts a new catalog in force.
+    fn apply_catalog(&mut self, now: Now, catalog: Arc<Catalog>) {
         self.upstreams.follow(&catalog);
         self.catalog = catalog;
         let order = self.queue_order();
         for pool in self.upstreams.pool_names() {
             self.queues.entry(pool).or_insert_with(|| PoolQueue::new(order));
         }
-        self.pump_all(now);
+        self.dispatch_from_all_queues(now);
     }
 
     fn queue_order(&self) -> Order {
@@ -240,20 +252,21 @@
         }
     }
 
-    fn run_timers(&mut self, now: Now) {
+    fn run_due_timers(&mut self, now: Now) {
         while let Some(kind) = self.timers.pop_due(now.monotonic) {
             match kind {
-                TimerKind::WindowEnd(request) => self.window_ended(now, request),
-                TimerKind::Hedge(attempt) => self.hedge_due(now, attempt),
-                TimerKind::WaiterWindow(waiter) => self.waiter_window_ended(now, waiter),
-                TimerKind::Pump => self.pump_all(now),
+                TimerKind::WindowEnd(request) => self.handle_window_ended(now, request),
+                TimerKind::HedgeDue(attempt) => self.handle_hedge_due(now, attempt),
+                TimerKind::WaiterWindowEnd(waiter) => self.handle_waiter_window_ended(now, waiter),
+                TimerKind::QueueCheck => self.dispatch_from_all_queues(now),
             }
         }
     }
 
-    fn waiter_left(&mut self, waiter: WaiterId) {
-        self.relays.remove(&waiter);
-        let Some(request) = self.waiting.remove(&waiter) else {
+    /// Forgets a waiter. Its request goes on.
+    fn handle_waiter_left(&mut self, waiter: WaiterId) {
+        self.relayed_waiters.remove(&waiter);
+        let Some(request) = self.request_by_waiter.remove(&waiter) else {
             return;
         };
         if let Some(entry) = self.ledger.get_mut(request) {
@@ -262,14 +275,14 @@
     }
 
     fn log(&mut self, line: LogLine) {
-        self.out.push(Action::Log(line));
+        self.actions.push(Action::Log(line));
     }
 
-    fn finish_waiter(&mut self, waiter: WaiterId, answer: Answer) {
-        self.out.push(Action::Finish { waiter, answer });
+    fn answer_waiter(&mut self, waiter: WaiterId, answer: Answer) {
+        self.actions.push(Action::Finish { waiter, answer });
     }
 
-    fn count_end(&mut self, class: Class) {
+    fn count_final_answer(&mut self, class: Class) {
         match class {
             Class::Answered => self.counters.answered += 1,
             Class::NotRun => self.counters.not_run += 1,
@@ -281,6 +294,6 @@
     fn assert_accounting(&self) {
         let c = self.counters();
         let ended = c.answered + c.not_run + c.failed + c.unknown;
-        assert_eq!(c.accepted, ended + c.in_flight, "accounting identity broken: {c:?}");
+        assert_eq!(c.accepted, ended + c.in_flight, "accounting identity violated: {c:?}");
     }
 }
--- a/crates/fernring-policy/src/dispatcher/parts.rs
+++ b/crates/fernring-policy/src/dispatcher/parts.rs
@@ -1,4 +1,4 @@
-//! The parts of upstreams' answers.
+//! Collects the parts of upstreams' responses and streams them to waiters.
 
 use {
     super::Dispatcher,
@@ -14,49 +14,61 @@
 };
 
 impl Dispatcher {
-    /// Takes in parts that arrived on the connection of an attempt. A part that echoes another
-    /// request, stage or attempt is dropped and counted: it is never delivered.
-    pub(super) fn take_parts(&mut self, _now: Now, reference: AttemptRef, parts: Vec<EchoedPart>) {
+    /// Handles parts that arrived on the connection of an attempt.
+    ///
+    /// A part that echoes another request, stage or attempt is dropped and counted, never
+    /// delivered. If waiters stream, the first attempt of the last stage that has a part to deliver
+    /// is pinned, and the other attempts of that stage are cancelled.
+    pub(super) fn handle_parts(
+        &mut self,
+        _now: Now,
+        reference: AttemptRef,
+        parts: Vec<EchoedPart>,
+    ) {
         for echoed in parts {
-            self.take_part(reference, echoed);
+            self.add_part(reference, echoed);
         }
         let request = reference.request;
         let Some(entry) = self.ledger.get_mut(request) else {
             return;
         };
-        let streams = entry.waiters.iter().any(|waiter| waiter.streaming);
-        let current = entry.has_live(reference) && entry.is_last_stage();
-        if !streams || !current || entry.pinned.is_some_and(|pinned| pinned != reference) {
+        let has_streaming_waiter = entry.waiters.iter().any(|waiter| waiter.streaming);
+        let is_deliverable = entry.is_live(reference) && entry.is_last_stage();
+        if !has_streaming_waiter
+            || !is_deliverable
+            || entry.pinned.is_some_and(|pinned| pinned != reference)
+        {
             return;
         }
-        let arrived = self.attempts.get(&reference.attempt).map(|a| a.assembly.ordered().len());
-        if arrived.unwrap_or(0) == 0 {
+        let ordered_parts =
+            self.attempts.get(&reference.attempt).map(|attempt| attempt.assembly.ordered().len());
+        if ordered_parts.unwrap_or(0) == 0 {
             return;
         }
         if entry.pinned.is_none() {
             entry.pinned = Some(reference);
-            let losers: Vec<_> =
-                entry.live.iter().copied().filter(|live| *live != reference).collect();
-            entry.live = vec![reference];
-            for loser in losers {
+            let superseded: Vec<_> =
+                entry.live_attempts.iter().copied().filter(|live| *live != reference).collect();
+            entry.live_attempts = vec![reference];
+            for loser in superseded {
                 if let Some(attempt) = self.attempts.get_mut(&loser.attempt) {
                     attempt.superseded = true;
                 }
-                self.out.push(Action::Cancel(loser));
+                self.actions.push(Action::Cancel(loser));
             }
         }
         self.deliver_ordered(request);
     }
 
-    fn take_part(&mut self, reference: AttemptRef, echoed: EchoedPart) {
+    fn add_part(&mut self, reference: AttemptRef, echoed: EchoedPart) {
         let Some(attempt) = self.attempts.get_mut(&reference.attempt) else {
             self.counters.parts_late += 1;
             return;
         };
-        let same = echoed.uid == attempt.uid
+        let echo_matches = echoed.uid == attempt.uid
             && echoed.stage == reference.stage
             && echoed.attempt == reference.attempt;
-        if !same {
+        if !echo_matches {
             self.counters.parts_misdirected += 1;
             let line = LogLine::event("part_misdirected")
                 .with("request", attempt.uid)
@@ -73,7 +85,7 @@
         }
     }
 
-    /// Gives streaming waiters the parts of the pinned attempt that they have not got yet.
+    /// Delivers the parts of the pinned attempt that streaming waiters have not received yet.
     pub(super) fn deliver_ordered(&mut self, request: RequestId) {
         let pinned = self.ledger.get(request).and_then(|entry| entry.pinned);
         let Some(attempt) = pinned.and_then(|pinned| self.attempts.remove(&pinned.attempt)) else {
@@ -83,17 +95,17 @@
         self.attempts.insert(attempt.reference.attempt, attempt);
     }
 
-    /// Gives streaming waiters the parts of an answer that they have not got yet.
+    /// Delivers the parts of an assembled response that streaming waiters have not received yet.
     pub(super) fn deliver_rest(&mut self, request: RequestId, assembly: &Assembly) {
         let Some(entry) = self.ledger.get_mut(request) else {
             return;
         };
         let ordered = assembly.ordered();
         for waiter in entry.waiters.iter_mut().filter(|waiter| waiter.streaming) {
-            for text in &ordered[waiter.delivered.min(ordered.len())..] {
-                self.out.push(Action::Deliver { waiter: waiter.id, text: text.clone() });
+            for text in &ordered[waiter.delivered_parts.min(ordered.len())..] {
+                self.actions.push(Action::Deliver { waiter: waiter.id, text: text.clone() });
             }
-            waiter.delivered = ordered.len();
+            waiter.delivered_parts = ordered.len();
         }
     }
 }
--- a/crates/fernring-policy/src/dispatcher/timers.rs
+++ b/crates/fernring-policy/src/dispatcher/timers.rs
@@ -9,17 +9,17 @@
     },
 };
 
-/// What a timer is for.
+/// The purpose of a timer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum TimerKind {
     /// The window of a request ends.
     WindowEnd(RequestId),
-    /// An attempt has become a straggler.
-    Hedge(AttemptRef),
-    /// The window of a waiter that joined or was passed on ends.
-    WaiterWindow(WaiterId),
-    /// Queues may move: an ejection ended, or an append may be tried again.
-    Pump,
+    /// An attempt has become a straggler and may be hedged.
+    HedgeDue(AttemptRef),
+    /// The window of a waiter whose submission joined a request or was relayed ends.
+    WaiterWindowEnd(WaiterId),
+    /// Queued requests may be dispatchable, because an ejection ended, or a claim append is due.
+    QueueCheck,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -28,12 +28,12 @@
     kind: TimerKind,
 }
 
-/// Timers by due time. Timers are never taken out: one that no longer applies is ignored when it
-/// fires.
+/// Timers ordered by due time. Timers are never cancelled: one that no longer applies is ignored
+/// when it fires.
 #[derive(Debug, Default)]
 pub(crate) struct Timers {
     heap: BinaryHeap<Reverse<Due>>,
-    pumps: BTreeSet<Duration>,
+    queue_checks: BTreeSet<Duration>,
 }
 
 impl Timers {
@@ -41,27 +41,29 @@
         self.heap.push(Reverse(Due { at, kind }));
     }
 
-    /// Sets a pump unless an earlier or equal one is set.
-    pub(crate) fn set_pump(&mut self, at: Duration) {
-        if self.pumps.first().is_some_and(|first| *first <= at) {
+    /// Schedules a queue check unless one is already scheduled at that time or earlier.
+    pub(crate) fn set_queue_check(&mut self, at: Duration) {
+        if self.queue_checks.first().is_some_and(|first| *first <= at) {
             return;
         }
-        self.pumps.insert(at);
-        self.set(at, TimerKind::Pump);
+        self.queue_checks.insert(at);
+        self.set(at, TimerKind::QueueCheck);
     }
 
+    /// Removes and returns the earliest timer if it is due.
     pub(crate) fn pop_due(&mut self, now: Duration) -> Option<TimerKind> {
         let Reverse(due) = self.heap.peek().copied()?;
         if due.at > now {
             return None;
         }
         self.heap.pop();
-        if due.kind == TimerKind::Pump {
-            self.pumps.remove(&due.at);
+        if due.kind == TimerKind::QueueCheck {
+            self.queue_checks.remove(&due.at);
         }
         Some(due.kind)
     }
 
+    /// Returns the due time of the earliest timer.
     pub(crate) fn next(&self) -> Option<Duration> {
         self.heap.peek().map(|Reverse(due)| due.at)
     }
--- a/crates/fernring-policy/tests/testsuite/claim_model.rs
+++ b/crates/fernring-policy/tests/testsuite/claim_model.rs
@@ -6,7 +6,7 @@
 //! and starts as a new incarnation with an empty view; an owner gives up and says so. The rules
 //! are those of `ClaimView`; `claim_view.rs` compares the two on random logs.
 
-use crate::explore::{Explored, explore};
+use crate::explore::{Exploration, explore};
 
 /// The key is minted at this time.
 const MINTED: u8 = 1;
@@ -305,13 +305,13 @@
     }
 }
 
-fn check(mutant: Mutant) -> Explored<State> {
+fn check(mutant: Mutant) -> Exploration<State> {
     explore(State::start(), |state| state.successors(mutant), State::broken)
 }
 
 #[test]
 fn a_key_runs_at_most_once_and_never_after_it_was_called_spent() {
-    check(Mutant::None).expect("claims", true);
+    check(Mutant::None).assert_property("claims", true);
 }
 
 #[test]
@@ -327,6 +327,6 @@
         Mutant::RunsTwice,
     ];
     for mutant in mutants {
-        check(mutant).expect(&format!("claims without a rule: {mutant:?}"), false);
+        check(mutant).assert_property(&format!("claims without a rule: {mutant:?}"), false);
     }
 }
--- a/crates/fernring-policy/tests/testsuite/config_model.rs
+++ b/crates/fernring-policy/tests/testsuite/config_model.rs
@@ -5,7 +5,7 @@
 //! for as long as it likes, or takes the state of the other. The state is the list of accepted
 //! changes, so a lost, repeated or reordered one shows.
 
-use crate::explore::{Explored, explore};
+use crate::explore::{Exploration, explore};
 
 /// Records that the log takes in all.
 const RECORDS_MAX: u8 = 4;
@@ -200,13 +200,13 @@
     }
 }
 
-fn check(mutant: Mutant) -> Explored<State> {
+fn check(mutant: Mutant) -> Exploration<State> {
     explore(State::default(), |state| state.successors(mutant), State::broken)
 }
 
 #[test]
 fn every_node_has_the_true_state_of_its_version_and_never_goes_back() {
-    check(Mutant::None).expect("configuration", true);
+    check(Mutant::None).assert_property("configuration", true);
 }
 
 #[test]
@@ -214,6 +214,6 @@
     let mutants =
         [Mutant::NoCompare, Mutant::AnySnapshot, Mutant::HoldsNothing, Mutant::TakesOlder];
     for mutant in mutants {
-        check(mutant).expect(&format!("configuration without a rule: {mutant:?}"), false);
+        check(mutant).assert_property(&format!("configuration without a rule: {mutant:?}"), false);
     }
 }
--- a/crates/fernring-policy/tests/testsuite/dispatcher.rs
+++ b/crates/fernring-policy/tests/testsuite/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The dispatcher's decisions one at a time.
+//! Single decisions of the dispatcher, each in a short scripted scenario.
 
 use {
     fernring_core::{
@@ -23,12 +23,14 @@
 const START_MS: u64 = 1_800_000_000_000;
 const POOL_SIZE: usize = 4;
 
-/// A dispatcher with a pure pipeline (`pure`: encode, generate) and one with a side effect
+/// Drives one dispatcher with a manual clock and collects its actions.
+///
+/// The catalog has a pure pipeline (`pure`: encode, generate) and one with a side effect
 /// (`letter`: generate, post), each stage expected to take 100 ms.
-struct Bench {
+struct Harness {
     dispatcher: Dispatcher,
     clock: ManualClock,
-    waiters: u64,
+    last_waiter: u64,
     actions: Vec<Action>,
 }
 
@@ -68,7 +70,7 @@
     catalog
 }
 
-impl Bench {
+impl Harness {
     fn new(settings: PolicySettings, catalog: Catalog) -> Self {
         let identity = Identity {
             incarnation: incarnation(1),
@@ -77,9 +79,9 @@
         };
         let clock = ManualClock::at_unix_ms(START_MS);
         let dispatcher = Dispatcher::new(identity, settings, 7);
-        let mut bench = Self { dispatcher, clock, waiters: 0, actions: Vec::new() };
-        bench.handle(Event::Configured(Arc::new(catalog)));
-        bench
+        let mut harness = Self { dispatcher, clock, last_waiter: 0, actions: Vec::new() };
+        harness.handle(Event::Configured(Arc::new(catalog)));
+        harness
     }
 
     fn handle(&mut self, event: Event) {
@@ -103,11 +105,11 @@
         key: Option<RequestKey>,
         window_ms: u64,
     ) -> WaiterId {
-        self.waiters += 1;
-        let waiter = WaiterId(self.waiters);
+        self.last_waiter += 1;
+        let waiter = WaiterId(self.last_waiter);
         self.handle(Event::Submit(Submission {
             waiter,
-            uid: Uuid::from_u128(u128::from(self.waiters)),
+            uid: Uuid::from_u128(u128::from(self.last_waiter)),
             pipeline: pipeline.to_owned(),
             workspace: workspace.into(),
             key,
@@ -121,8 +123,8 @@
         waiter
     }
 
-    /// Takes the dispatches that have not been taken yet.
-    fn dispatches(&mut self) -> Vec<Dispatch> {
+    /// Removes and returns the dispatches collected since the last call.
+    fn take_dispatches(&mut self) -> Vec<Dispatch> {
         let mut taken = Vec::new();
         self.actions.retain(|action| match action {
             Action::Dispatch(dispatch) => {
@@ -142,35 +144,37 @@
             part: Part { sequence: 0, text: "y".into(), last: true },
         };
         self.handle(Event::Parts { attempt: dispatch.attempt, parts: vec![part] });
-        self.end(dispatch, AttemptEnd::Completed);
+        self.end_attempt(dispatch, AttemptEnd::Completed);
     }
 
-    fn end(&mut self, dispatch: &Dispatch, end: AttemptEnd) {
+    fn end_attempt(&mut self, dispatch: &Dispatch, end: AttemptEnd) {
         self.handle(Event::AttemptEnded { attempt: dispatch.attempt, end });
     }
 
     fn answer(&self, waiter: WaiterId) -> Option<Answer> {
         self.actions.iter().find_map(|action| match action {
-            Action::Finish { waiter: told, answer } if *told == waiter => Some(answer.clone()),
+            Action::Finish { waiter: answered, answer } if *answered == waiter => {
+                Some(answer.clone())
+            }
             _ => None,
         })
     }
 
-    fn code(&self, waiter: WaiterId) -> Option<ResultCode> {
+    fn answer_code(&self, waiter: WaiterId) -> Option<ResultCode> {
         self.answer(waiter).map(|answer| answer.code())
     }
 
-    fn cancelled(&self, dispatch: &Dispatch) -> bool {
+    fn is_cancelled(&self, dispatch: &Dispatch) -> bool {
         let cancel = Action::Cancel(dispatch.attempt);
         self.actions.contains(&cancel)
     }
 
-    /// Counts the records handed over for the claim stream so far.
-    fn appends(&self) -> usize {
+    /// Returns the number of records appended to the claim stream so far.
+    fn append_count(&self) -> usize {
         self.actions.iter().filter(|action| matches!(action, Action::AppendClaims(_))).count()
     }
 
-    fn forward(&self) -> Option<Forward> {
+    fn first_forward(&self) -> Option<Forward> {
         self.actions.iter().find_map(|action| match action {
             Action::Forward(forward) => Some(forward.as_ref().clone()),
             _ => None,
@@ -201,160 +205,169 @@
     Incarnation(Uuid::from_u128(u128::from(number)))
 }
 
-fn key() -> RequestKey {
+fn minted_key() -> RequestKey {
     RequestKey::Minted(Uuid::new_v7(Timestamp::from_unix(NoContext, START_MS / 1_000, 0)))
 }
 
-fn usual() -> Bench {
-    Bench::new(PolicySettings::default(), catalog(4, 0))
+fn default_harness() -> Harness {
+    Harness::new(PolicySettings::default(), catalog(4, 0))
 }
 
 #[test]
-fn a_node_that_ran_stages_does_not_pass_not_run_on() {
-    let mut bench = usual();
-    let key = key();
-    let waiter = bench.submit("letter", Some(key), 1_000);
-    assert_eq!(bench.dispatches().len(), 1, "the stage without side effect runs meanwhile");
-    bench.read_claim(2, key, ClaimKind::Claim);
-    let forward = bench.forward().unwrap();
+fn relayed_not_run_becomes_failed_after_stages_ran() {
+    let mut harness = default_harness();
+    let key = minted_key();
+    let waiter = harness.submit("letter", Some(key), 1_000);
+    assert_eq!(
+        harness.take_dispatches().len(),
+        1,
+        "the stage without a side effect is sent before the claim is decided"
+    );
+    harness.read_claim(2, key, ClaimKind::Claim);
+    let forward = harness.first_forward().unwrap();
     assert_eq!((forward.waiter, forward.incarnation), (waiter, incarnation(2)));
     let code = ResultCode::KeySpent;
     let answer = Some(OwnerWord { code, output: None, retry_after_ms: Some(0) });
-    bench.handle(Event::OwnerAnswered { waiter, answer });
-    assert_eq!(bench.code(waiter), Some(ResultCode::KeyEnded));
+    harness.handle(Event::OwnerAnswered { waiter, answer });
+    assert_eq!(harness.answer_code(waiter), Some(ResultCode::KeyEnded));
     assert_eq!(ResultCode::KeyEnded.class(), Class::Failed);
 }
 
 #[test]
-fn a_request_that_can_not_finish_in_time_is_refused_at_once() {
-    let mut bench = usual();
-    let waiter = bench.submit("pure", None, 150);
-    let answer = bench.answer(waiter).unwrap();
+fn late_request_is_refused_on_arrival() {
+    let mut harness = default_harness();
+    let waiter = harness.submit("pure", None, 150);
+    let answer = harness.answer(waiter).unwrap();
     assert_eq!(answer.code(), ResultCode::WouldBeLate);
     assert!(answer.retry_after_ms().unwrap() > 0);
-    assert!(bench.dispatches().is_empty());
+    assert!(harness.take_dispatches().is_empty());
 
     let settings = PolicySettings { mode: Mode::Baseline, ..PolicySettings::default() };
-    let mut baseline = Bench::new(settings, catalog(4, 0));
+    let mut baseline = Harness::new(settings, catalog(4, 0));
     baseline.submit("pure", None, 150);
-    assert_eq!(baseline.dispatches().len(), 1);
+    assert_eq!(baseline.take_dispatches().len(), 1);
 }
 
 #[test]
-fn admission_counts_the_work_already_accepted() {
-    let mut bench = Bench::new(PolicySettings::default(), catalog(1, 0));
+fn admission_counts_accepted_work() {
+    let mut harness = Harness::new(PolicySettings::default(), catalog(1, 0));
     let mut refused = 0;
     for _ in 0..40 {
-        let waiter = bench.submit("pure", None, 1_000);
-        refused += usize::from(bench.code(waiter) == Some(ResultCode::WouldBeLate));
+        let waiter = harness.submit("pure", None, 1_000);
+        refused += usize::from(harness.answer_code(waiter) == Some(ResultCode::WouldBeLate));
     }
-    // Two slots in the own failure domain, 100 ms each: about twenty fit into a second.
+    // With two slots in the own failure domain and 100 ms per stage, about twenty fit into a
+    // second.
     assert!((15..=25).contains(&refused), "{refused} of 40 refused");
 }
 
 #[test]
-fn a_window_that_ends_while_a_request_waits_says_that_it_was_not_run() {
+fn expired_queued_request_is_reported_not_run() {
     let settings = PolicySettings { admission: false, ..PolicySettings::default() };
-    let mut bench = Bench::new(settings, catalog(1, 0));
-    let waiters: Vec<_> = (0..6).map(|_| bench.submit("pure", None, 500)).collect();
-    assert_eq!(bench.dispatches().len(), 3, "two in the own failure domain, one spilled");
-    bench.advance(500);
-    assert_eq!(bench.code(waiters[0]), Some(ResultCode::WindowEnded));
-    assert_eq!(bench.code(waiters[5]), Some(ResultCode::ExpiredInQueue));
+    let mut harness = Harness::new(settings, catalog(1, 0));
+    let waiters: Vec<_> = (0..6).map(|_| harness.submit("pure", None, 500)).collect();
+    assert_eq!(harness.take_dispatches().len(), 3, "two in the own failure domain, one spilled");
+    harness.advance(500);
+    assert_eq!(harness.answer_code(waiters[0]), Some(ResultCode::WindowEnded));
+    assert_eq!(harness.answer_code(waiters[5]), Some(ResultCode::ExpiredInQueue));
 }
 
 #[test]
-fn a_straggler_gets_one_hedge_and_the_loser_is_cancelled() {
-    let mut bench = usual();
-    let waiter = bench.submit("pure", None, 10_000);
-    let first = bench.dispatches().pop().unwrap();
-    bench.advance(300);
-    let hedge = bench.dispatches().pop().expect("a hedge");
+fn straggler_gets_one_hedge_and_loser_is_cancelled() {
+    let mut harness = default_harness();
+    let waiter = harness.submit("pure", None, 10_000);
+    let first = harness.take_dispatches().pop().unwrap();
+    harness.advance(300);
+    let hedge = harness.take_dispatches().pop().expect("a hedge");
     assert_ne!(first.address, hedge.address);
-    bench.advance(3_000);
-    assert!(bench.dispatches().is_empty(), "a second hedge");
-    bench.complete(&hedge);
-    assert!(bench.cancelled(&first));
-    bench.complete(&first);
-    let next = bench.dispatches();
-    assert_eq!(next.len(), 1, "the late loser started the next stage again");
-    bench.complete(&next[0]);
-    assert_eq!(bench.code(waiter), Some(ResultCode::Ok));
-    assert_eq!(bench.dispatcher.counters().parts_late, 0);
-    let costs: Vec<_> = bench.dispatcher.costs().rows().map(|(_, cost)| *cost).collect();
+    harness.advance(3_000);
+    assert!(harness.take_dispatches().is_empty(), "a second hedge");
+    harness.complete(&hedge);
+    assert!(harness.is_cancelled(&first));
+    harness.complete(&first);
+    let next = harness.take_dispatches();
+    assert_eq!(next.len(), 1, "the superseded attempt started the next stage again");
+    harness.complete(&next[0]);
+    assert_eq!(harness.answer_code(waiter), Some(ResultCode::Ok));
+    assert_eq!(harness.dispatcher.counters().parts_late, 0);
+    let costs: Vec<_> = harness.dispatcher.costs().rows().map(|(_, cost)| *cost).collect();
     assert!(costs.iter().any(|cost| cost.hedged_ms > 0.0), "{costs:?}");
     assert!(costs.iter().all(|cost| cost.abandoned_ms == 0.0), "{costs:?}");
 }
 
 #[test]
-fn a_hedge_that_loses_at_the_last_stage_is_counted_as_a_hedge() {
-    let mut bench = usual();
-    bench.submit("pure", None, 10_000);
-    let encode = bench.dispatches().pop().unwrap();
-    bench.complete(&encode);
-    let first = bench.dispatches().pop().unwrap();
-    bench.advance(300);
-    let hedge = bench.dispatches().pop().expect("a hedge");
-    bench.complete(&first);
-    bench.end(&hedge, AttemptEnd::Cancelled);
-    let costs: Vec<_> = bench.dispatcher.costs().rows().map(|(_, cost)| *cost).collect();
+fn losing_last_stage_hedge_costs_as_hedge() {
+    let mut harness = default_harness();
+    harness.submit("pure", None, 10_000);
+    let encode = harness.take_dispatches().pop().unwrap();
+    harness.complete(&encode);
+    let first = harness.take_dispatches().pop().unwrap();
+    harness.advance(300);
+    let hedge = harness.take_dispatches().pop().expect("a hedge");
+    harness.complete(&first);
+    harness.end_attempt(&hedge, AttemptEnd::Cancelled);
+    let costs: Vec<_> = harness.dispatcher.costs().rows().map(|(_, cost)| *cost).collect();
     assert!(costs.iter().all(|cost| cost.abandoned_ms == 0.0), "{costs:?}");
 }
 
 #[test]
-fn a_side_effect_is_neither_hedged_nor_retried_nor_cancelled() {
-    let mut bench = usual();
-    let key = key();
-    let waiter = bench.submit("letter", Some(key), 5_000);
-    bench.read_claim(1, key, ClaimKind::Claim);
-    let generate = bench.dispatches().pop().unwrap();
-    bench.complete(&generate);
-    let post = bench.dispatches().pop().unwrap();
+fn side_effect_is_never_hedged_retried_or_cancelled() {
+    let mut harness = default_harness();
+    let key = minted_key();
+    let waiter = harness.submit("letter", Some(key), 5_000);
+    harness.read_claim(1, key, ClaimKind::Claim);
+    let generate = harness.take_dispatches().pop().unwrap();
+    harness.complete(&generate);
+    let post = harness.take_dispatches().pop().unwrap();
     assert!(post.effect);
-    bench.advance(4_900);
-    assert!(bench.dispatches().is_empty());
-    bench.advance(200);
-    assert_eq!(bench.code(waiter), Some(ResultCode::EffectUnknown));
-    assert!(!bench.cancelled(&post));
-    bench.end(&post, AttemptEnd::Failed);
-    assert!(bench.dispatches().is_empty());
-    let again = bench.submit("letter", Some(key), 5_000);
-    assert_eq!(bench.code(again), Some(ResultCode::EffectUnknown), "the word never changes");
+    harness.advance(4_900);
+    assert!(harness.take_dispatches().is_empty());
+    harness.advance(200);
+    assert_eq!(harness.answer_code(waiter), Some(ResultCode::EffectUnknown));
+    assert!(!harness.is_cancelled(&post));
+    harness.end_attempt(&post, AttemptEnd::Failed);
+    assert!(harness.take_dispatches().is_empty());
+    let again = harness.submit("letter", Some(key), 5_000);
+    assert_eq!(
+        harness.answer_code(again),
+        Some(ResultCode::EffectUnknown),
+        "the final answer of a key never changes"
+    );
 }
 
 #[test]
-fn a_side_effect_that_never_left_this_node_is_sent_to_another_upstream() {
-    let mut bench = usual();
-    let key = key();
-    let waiter = bench.submit("letter", Some(key), 5_000);
-    bench.read_claim(1, key, ClaimKind::Claim);
-    let generate = bench.dispatches().pop().unwrap();
-    bench.complete(&generate);
+fn unsent_side_effect_is_sent_to_another_upstream() {
+    let mut harness = default_harness();
+    let key = minted_key();
+    let waiter = harness.submit("letter", Some(key), 5_000);
+    harness.read_claim(1, key, ClaimKind::Claim);
+    let generate = harness.take_dispatches().pop().unwrap();
+    harness.complete(&generate);
     for end in [AttemptEnd::NotSent, AttemptEnd::Leaving, AttemptEnd::Refused] {
-        let post = bench.dispatches().pop().unwrap();
-        bench.end(&post, end);
+        let post = harness.take_dispatches().pop().unwrap();
+        harness.end_attempt(&post, end);
     }
-    let post = bench.dispatches().pop().unwrap();
-    bench.complete(&post);
-    assert_eq!(bench.code(waiter), Some(ResultCode::Ok));
+    let post = harness.take_dispatches().pop().unwrap();
+    harness.complete(&post);
+    assert_eq!(harness.answer_code(waiter), Some(ResultCode::Ok));
 }
 
 #[test]
-fn a_failing_upstream_is_ejected_but_never_more_than_half_of_a_pool() {
+fn at_most_half_of_a_pool_is_ejected() {
     let settings = PolicySettings {
         eject_after_failures: 1,
         retry_budget_percent: 100,
         hedging: false,
         ..PolicySettings::default()
     };
-    let mut bench = Bench::new(settings, catalog(4, 0));
+    let mut harness = Harness::new(settings, catalog(4, 0));
     for _ in 0..20 {
-        bench.submit("pure", None, 10_000);
-        for dispatch in bench.dispatches() {
-            bench.end(&dispatch, AttemptEnd::Failed);
+        harness.submit("pure", None, 10_000);
+        for dispatch in harness.take_dispatches() {
+            harness.end_attempt(&dispatch, AttemptEnd::Failed);
         }
     }
-    let ejected = bench.actions.iter().filter(|action| match action {
+    let ejected = harness.actions.iter().filter(|action| match action {
         Action::Log(line) => line.to_string().starts_with("event=eject"),
         _ => false,
     });
@@ -364,158 +377,163 @@
 #[test]
 fn retries_stay_within_their_budget() {
     let settings = PolicySettings { hedging: false, ..PolicySettings::default() };
-    let mut bench = Bench::new(settings, catalog(100, 0));
+    let mut harness = Harness::new(settings, catalog(100, 0));
     for _ in 0..1_000 {
-        bench.submit("pure", None, 10_000);
-        for dispatch in bench.dispatches() {
-            bench.end(&dispatch, AttemptEnd::Failed);
+        harness.submit("pure", None, 10_000);
+        for dispatch in harness.take_dispatches() {
+            harness.end_attempt(&dispatch, AttemptEnd::Failed);
         }
-        for retry in bench.dispatches() {
-            bench.end(&retry, AttemptEnd::Failed);
+        for retry in harness.take_dispatches() {
+            harness.end_attempt(&retry, AttemptEnd::Failed);
         }
     }
-    let counters = bench.dispatcher.counters();
+    let counters = harness.dispatcher.counters();
     let allowed = counters.first_attempts / 10 + 10;
     assert!(counters.retries <= allowed, "{counters:?}");
     assert!(counters.retries * 2 >= allowed, "{counters:?}");
 }
 
 #[test]
-fn an_upstream_that_reports_that_it_leaves_gets_nothing_more() {
-    let mut bench = usual();
+fn leaving_upstream_gets_no_attempts() {
+    let mut harness = default_harness();
     for name in ["encode-0", "encode-1", "encode-2"] {
         let report = UpstreamReport { upstream: name.to_owned(), load: 0, leaving: true };
-        bench.handle(Event::Reported(vec![report]));
+        harness.handle(Event::Reported(vec![report]));
     }
     for _ in 0..4 {
-        bench.submit("pure", None, 10_000);
+        harness.submit("pure", None, 10_000);
     }
-    let dispatches = bench.dispatches();
+    let dispatches = harness.take_dispatches();
     assert_eq!(dispatches.len(), 4);
     assert!(dispatches.iter().all(|dispatch| dispatch.address.port() == 4), "{dispatches:?}");
     let report = UpstreamReport { upstream: "encode-3".to_owned(), load: 0, leaving: true };
-    bench.handle(Event::Reported(vec![report]));
-    let waiter = bench.submit("pure", None, 10_000);
-    assert_eq!(bench.code(waiter), Some(ResultCode::NoUpstream));
+    harness.handle(Event::Reported(vec![report]));
+    let waiter = harness.submit("pure", None, 10_000);
+    assert_eq!(harness.answer_code(waiter), Some(ResultCode::NoUpstream));
 }
 
 #[test]
-fn a_workspace_over_its_limit_is_told_when_to_come_back() {
-    let mut bench = Bench::new(PolicySettings::default(), catalog(100, 10));
-    let waiters: Vec<_> = (0..20).map(|_| bench.submit("pure", None, 10_000)).collect();
+fn workspace_over_limit_gets_retry_after() {
+    let mut harness = Harness::new(PolicySettings::default(), catalog(100, 10));
+    let waiters: Vec<_> = (0..20).map(|_| harness.submit("pure", None, 10_000)).collect();
     let over: Vec<_> = waiters
         .iter()
-        .filter_map(|waiter| bench.answer(*waiter))
+        .filter_map(|waiter| harness.answer(*waiter))
         .filter(|answer| answer.code() == ResultCode::OverLimit)
         .collect();
-    assert_eq!(over.len(), 15, "half a second's worth at once");
+    assert_eq!(over.len(), 15, "a burst of half a second's requests is admitted at once");
     let wait_ms = over[0].retry_after_ms().unwrap();
     assert!((1..=100).contains(&wait_ms), "{wait_ms}");
-    bench.advance(wait_ms + 50);
-    let waiter = bench.submit("pure", None, 10_000);
-    assert_eq!(bench.answer(waiter), None, "it is served after the time it was told");
+    harness.advance(wait_ms + 50);
+    let waiter = harness.submit("pure", None, 10_000);
+    assert_eq!(
+        harness.answer(waiter),
+        None,
+        "the request is accepted after the reported retry time"
+    );
 }
 
 #[test]
-fn a_draining_node_refuses_new_requests_and_finishes_old_ones() {
-    let mut bench = usual();
-    let old = bench.submit("pure", None, 10_000);
-    bench.handle(Event::Drain);
-    let new = bench.submit("pure", None, 10_000);
-    assert_eq!(bench.code(new), Some(ResultCode::NotReady));
+fn draining_node_refuses_new_and_finishes_old_requests() {
+    let mut harness = default_harness();
+    let old = harness.submit("pure", None, 10_000);
+    harness.handle(Event::Drain);
+    let new = harness.submit("pure", None, 10_000);
+    assert_eq!(harness.answer_code(new), Some(ResultCode::NotReady));
     for _ in 0..2 {
-        let dispatch = bench.dispatches().pop().unwrap();
-        bench.complete(&dispatch);
+        let dispatch = harness.take_dispatches().pop().unwrap();
+        harness.complete(&dispatch);
     }
-    assert_eq!(bench.code(old), Some(ResultCode::Ok));
+    assert_eq!(harness.answer_code(old), Some(ResultCode::Ok));
 }
 
 #[test]
-fn requests_of_one_prefix_stay_on_one_engine_while_it_has_room() {
-    let mut bench = usual();
+fn requests_of_one_prefix_stay_on_one_engine() {
+    let mut harness = default_harness();
     let mut seen = std::collections::BTreeSet::new();
     for _ in 0..5 {
-        bench.submit("letter", Some(key()), 10_000);
-        let generate = bench.dispatches().pop().unwrap();
+        harness.submit("letter", Some(minted_key()), 10_000);
+        let generate = harness.take_dispatches().pop().unwrap();
         seen.insert(generate.address);
-        bench.complete(&generate);
+        harness.complete(&generate);
     }
     assert_eq!(seen.len(), 1, "{seen:?}");
 }
 
 #[test]
-fn a_stage_that_is_stuck_holds_up_only_its_own_requests() {
+fn stuck_stage_blocks_only_its_own_requests() {
     let settings = PolicySettings { admission: false, ..PolicySettings::default() };
-    let mut bench = Bench::new(settings, catalog(1, 0));
+    let mut harness = Harness::new(settings, catalog(1, 0));
     for _ in 0..50 {
-        bench.submit("pure", None, 10_000);
+        harness.submit("pure", None, 10_000);
     }
-    let stuck = bench.dispatches();
+    let stuck = harness.take_dispatches();
     assert!(stuck.iter().all(|dispatch| dispatch.stage_name == "encode"));
     for _ in 0..POOL_SIZE {
-        bench.submit("letter", Some(key()), 10_000);
+        harness.submit("letter", Some(minted_key()), 10_000);
     }
-    let free = bench.dispatches();
+    let free = harness.take_dispatches();
     assert_eq!(free.len(), 3, "two in the own failure domain, one spilled");
     assert!(free.iter().all(|dispatch| dispatch.stage_name == "generate"));
 }
 
 #[test]
-fn a_flood_of_one_workspace_does_not_get_another_refused() {
-    let mut bench = Bench::new(PolicySettings::default(), catalog(1, 0));
+fn flooding_workspace_does_not_get_another_refused() {
+    let mut harness = Harness::new(PolicySettings::default(), catalog(1, 0));
     for _ in 0..100 {
-        bench.submit_for("press", "pure", None, 1_000);
+        harness.submit_for("press", "pure", None, 1_000);
     }
-    let flooded = bench.submit_for("press", "pure", None, 1_000);
-    assert_eq!(bench.code(flooded), Some(ResultCode::WouldBeLate));
-    let small = bench.submit_for("members", "pure", None, 1_000);
-    assert_eq!(bench.code(small), None);
-    // It is also next in the queue.
-    let first = bench.dispatches().remove(0);
-    bench.complete(&first);
-    let next: Vec<_> = bench.dispatches().into_iter().map(|dispatch| dispatch.uid).collect();
+    let flooded = harness.submit_for("press", "pure", None, 1_000);
+    assert_eq!(harness.answer_code(flooded), Some(ResultCode::WouldBeLate));
+    let small = harness.submit_for("members", "pure", None, 1_000);
+    assert_eq!(harness.answer_code(small), None);
+    // The request of the small workspace is also the next in the queue.
+    let first = harness.take_dispatches().remove(0);
+    harness.complete(&first);
+    let next: Vec<_> = harness.take_dispatches().into_iter().map(|dispatch| dispatch.uid).collect();
     assert!(next.contains(&Uuid::from_u128(u128::from(small.0))), "{next:?}");
 }
 
 #[test]
-fn a_node_uses_its_share_of_a_pool() {
+fn node_uses_its_share_of_a_pool() {
     let settings = PolicySettings { share_headroom_percent: 100, ..PolicySettings::default() };
-    let mut bench = Bench::new(settings, catalog(6, 0));
-    bench.dispatcher.set_peers(3, &[]);
+    let mut harness = Harness::new(settings, catalog(6, 0));
+    harness.dispatcher.set_peers(3, &[]);
     for _ in 0..20 {
-        bench.submit("pure", None, 10_000);
+        harness.submit("pure", None, 10_000);
     }
-    // Two upstreams of 6 in the own failure domain over 3 nodes, and a quarter of that elsewhere.
-    assert_eq!(bench.dispatches().len(), 4 + 1);
+    // In the own failure domain, 2 upstreams of 6 slots are shared by 3 nodes: 4 slots each. The
+    // other domain adds a quarter of that.
+    assert_eq!(harness.take_dispatches().len(), 4 + 1);
 }
 
 #[test]
-fn a_busy_upstream_gets_no_hedge() {
-    let mut bench = usual();
-    bench.submit("pure", None, 10_000);
-    bench.dispatches();
+fn busy_upstream_gets_no_hedge() {
+    let mut harness = default_harness();
+    harness.submit("pure", None, 10_000);
+    harness.take_dispatches();
     for index in 0..POOL_SIZE {
         let upstream = format!("encode-{index}");
         let report = UpstreamReport { upstream, load: 4, leaving: false };
-        bench.handle(Event::Reported(vec![report]));
+        harness.handle(Event::Reported(vec![report]));
     }
-    bench.advance(300);
-    assert!(bench.dispatches().is_empty());
+    harness.advance(300);
+    assert!(harness.take_dispatches().is_empty());
 }
 
 #[test]
-fn claims_that_come_close_together_share_an_append() {
-    let mut bench = usual();
-    bench.submit("letter", Some(key()), 10_000);
-    assert_eq!(bench.appends(), 1, "the first claim goes at once");
-    bench.handle(Event::ClaimsAppended);
+fn claims_within_interval_share_an_append() {
+    let mut harness = default_harness();
+    harness.submit("letter", Some(minted_key()), 10_000);
+    assert_eq!(harness.append_count(), 1, "the first claim is appended at once");
+    harness.handle(Event::ClaimsAppended);
     for _ in 0..10 {
-        bench.submit("letter", Some(key()), 10_000);
+        harness.submit("letter", Some(minted_key()), 10_000);
     }
-    assert_eq!(bench.appends(), 1, "the next ones wait for the interval");
-    bench.advance(60);
-    assert_eq!(bench.appends(), 2);
-    let entries = bench.actions.iter().rev().find_map(|action| match action {
+    assert_eq!(harness.append_count(), 1, "later claims wait for the append interval");
+    harness.advance(60);
+    assert_eq!(harness.append_count(), 2);
+    let entries = harness.actions.iter().rev().find_map(|action| match action {
         Action::AppendClaims(batch) => Some(batch.entries.len()),
         _ => None,
     });
@@ -523,21 +541,21 @@
 }
 
 #[test]
-fn an_upstream_that_sent_a_part_can_not_say_that_it_ran_nothing() {
-    let mut bench = usual();
-    let waiter = bench.submit("pure", None, 500);
-    let encode = bench.dispatches().pop().unwrap();
+fn not_sent_after_a_part_is_a_failure() {
+    let mut harness = default_harness();
+    let waiter = harness.submit("pure", None, 500);
+    let encode = harness.take_dispatches().pop().unwrap();
     let part = EchoedPart {
         uid: encode.uid,
         stage: encode.attempt.stage,
         attempt: encode.attempt.attempt,
         part: Part { sequence: 0, text: "y".into(), last: false },
     };
-    bench.handle(Event::Parts { attempt: encode.attempt, parts: vec![part] });
-    bench.end(&encode, AttemptEnd::NotSent);
-    for retry in bench.dispatches() {
-        bench.end(&retry, AttemptEnd::NotSent);
+    harness.handle(Event::Parts { attempt: encode.attempt, parts: vec![part] });
+    harness.end_attempt(&encode, AttemptEnd::NotSent);
+    for retry in harness.take_dispatches() {
+        harness.end_attempt(&retry, AttemptEnd::NotSent);
     }
-    bench.advance(500);
-    assert_eq!(bench.answer(waiter).unwrap().code().class(), Class::Late);
+    harness.advance(500);
+    assert_eq!(harness.answer(waiter).unwrap().code().class(), Class::Late);
 }
--- a/crates/fernring-policy/tests/testsuite/explore.rs
+++ b/crates/fernring-policy/tests/testsuite/explore.rs
@@ -1,28 +1,29 @@
-//! Exhaustive exploration of a transition system, breadth first, so that a counterexample is a
-//! shortest one.
+//! Exhaustive breadth-first exploration of a transition system, which finds a shortest
+//! counterexample.
 
 use {
     pathfinding::directed::bfs::bfs,
     std::{cell::Cell, fmt::Debug, hash::Hash},
 };
 
-/// What an exploration found.
-pub(crate) struct Explored<S> {
+/// The result of an exploration.
+pub(crate) struct Exploration<S> {
     /// States whose successors were computed.
     pub(crate) states: u64,
-    /// A shortest way to a state that breaks the property; `None` if there is none.
+    /// A shortest path to a state that violates the property; `None` if there is none.
     pub(crate) counterexample: Option<Vec<S>>,
 }
 
-impl<S: Debug> Explored<S> {
+impl<S: Debug> Exploration<S> {
     /// Returns the number of steps of the counterexample.
-    pub(crate) fn steps(&self) -> Option<usize> {
+    pub(crate) fn counterexample_steps(&self) -> Option<usize> {
         self.counterexample.as_ref().map(|states| states.len() - 1)
     }
 
-    /// Prints one line for the docs, and asserts whether the property holds.
-    pub(crate) fn expect(&self, name: &str, holds: bool) {
-        match self.steps() {
+    /// Prints the result in one line, and asserts that the property holds if `holds` is set, or is
+    /// violated otherwise.
+    pub(crate) fn assert_property(&self, name: &str, holds: bool) {
+        match self.counterexample_steps() {
             None => println!("{name}: holds, {} states", self.states),
             Some(steps) => println!("{name}: broken after {steps} steps, {} states", self.states),
         }
@@ -30,17 +31,17 @@
     }
 }
 
-/// Explores every state that can be reached from `start`.
+/// Explores the states that can be reached from `start`, until one violates the property.
 pub(crate) fn explore<S: Clone + Eq + Hash + Debug>(
     start: S,
     successors: impl Fn(&S) -> Vec<S>,
-    broken: impl Fn(&S) -> bool,
-) -> Explored<S> {
+    violates: impl Fn(&S) -> bool,
+) -> Exploration<S> {
     let states = Cell::new(0);
-    let counted = |state: &S| {
+    let counting_successors = |state: &S| {
         states.set(states.get() + 1);
         successors(state)
     };
-    let counterexample = bfs(&start, counted, broken);
-    Explored { states: states.get(), counterexample }
+    let counterexample = bfs(&start, counting_successors, violates);
+    Exploration { states: states.get(), counterexample }
 }
--- a/crates/fernring-policy/tests/testsuite/queues.rs
+++ b/crates/fernring-policy/tests/testsuite/queues.rs
@@ -1,4 +1,4 @@
-//! Queues, shares of workspaces, and the small model of the given paper on queue splitting.
+//! Pool queues, workspace limits, and the queue-splitting model of the given paper.
 
 use {
     fernring_core::ids::RequestId,
@@ -10,44 +10,48 @@
     std::{sync::Arc, time::Duration},
 };
 
-fn requests(count: usize) -> Vec<RequestId> {
+fn request_ids(count: usize) -> Vec<RequestId> {
     let mut map: SlotMap<RequestId, ()> = SlotMap::with_key();
     (0..count).map(|_| map.insert(())).collect()
 }
 
 #[test]
-fn a_flooding_workspace_does_not_delay_a_small_one() {
-    let ids = requests(101);
+fn flooding_workspace_does_not_delay_a_small_one() {
+    let ids = request_ids(101);
     let (large, small): (Arc<str>, Arc<str>) = ("large".into(), "small".into());
     let mut queue = PoolQueue::new(Order::FairDeadline);
     for id in &ids[..100] {
         queue.push(*id, &large, 1, Duration::from_secs(1));
     }
     queue.push(ids[100], &small, 1, Duration::from_secs(9));
-    let taken: Vec<_> = std::iter::from_fn(|| queue.pop()).collect();
-    let place = taken.iter().position(|id| *id == ids[100]).unwrap();
-    assert!(place <= 1, "the small workspace's request was taken at place {place}");
-    assert_eq!(taken.len(), 101);
+    let popped: Vec<_> = std::iter::from_fn(|| queue.pop()).collect();
+    let position = popped.iter().position(|id| *id == ids[100]).unwrap();
+    assert!(position <= 1, "the request of the small workspace came out at position {position}");
+    assert_eq!(popped.len(), 101);
 }
 
 #[test]
-fn weights_share_a_queue_and_deadlines_order_a_workspace() {
-    let ids = requests(60);
+fn weights_order_workspaces_and_deadlines_order_requests() {
+    let ids = request_ids(60);
     let (heavy, light): (Arc<str>, Arc<str>) = ("heavy".into(), "light".into());
     let mut queue = PoolQueue::new(Order::FairDeadline);
     for (index, id) in ids.iter().enumerate() {
         let (workspace, weight) = if index < 30 { (&heavy, 2) } else { (&light, 1) };
         queue.push(*id, workspace, weight, Duration::from_secs(100 - index as u64));
     }
-    let taken: Vec<_> = (0..30).filter_map(|_| queue.pop()).collect();
-    let of_heavy: Vec<_> = taken.iter().filter(|id| ids[..30].contains(id)).collect();
-    assert!((19..=21).contains(&of_heavy.len()), "{} of 30", of_heavy.len());
-    assert_eq!(*of_heavy[0], ids[29], "the earliest deadline comes first");
+    let popped: Vec<_> = (0..30).filter_map(|_| queue.pop()).collect();
+    let of_heavy: Vec<_> = popped.iter().filter(|id| ids[..30].contains(id)).collect();
+    assert!(
+        (19..=21).contains(&of_heavy.len()),
+        "{} of the first 30 requests are of the heavy workspace",
+        of_heavy.len()
+    );
+    assert_eq!(*of_heavy[0], ids[29], "the earliest deadline must come first");
 }
 
 #[test]
-fn a_request_that_is_taken_out_is_not_given_again() {
-    let ids = requests(3);
+fn removed_request_is_not_popped() {
+    let ids = request_ids(3);
     let workspace: Arc<str> = "one".into();
     let mut queue = PoolQueue::new(Order::FairDeadline);
     let places: Vec<_> =
@@ -55,16 +59,16 @@
     queue.remove(&places[1]);
     queue.remove(&places[1]);
     assert_eq!(queue.len(), 2);
-    let taken: Vec<_> = std::iter::from_fn(|| queue.pop()).collect();
-    assert_eq!(taken, [ids[0], ids[2]]);
+    let popped: Vec<_> = std::iter::from_fn(|| queue.pop()).collect();
+    assert_eq!(popped, [ids[0], ids[2]]);
 }
 
 #[test]
-fn a_limit_is_split_by_demand_and_holds_in_sum() {
+fn limit_is_divided_by_demand_and_holds_in_sum() {
     let workspace: Arc<str> = "one".into();
     let mut nodes = [WorkspaceLimits::default(), WorkspaceLimits::default()];
     let mut admitted = [0_u32; 2];
-    // Node 0 sees 90 requests a second, node 1 sees 30; the limit is 60 for both together.
+    // Node 0 receives 90 requests per second, node 1 receives 30; both share a limit of 60.
     for tick in 0..12_000_u64 {
         let now = Duration::from_millis(tick);
         for (index, every) in [(0, 11), (1, 33)] {
@@ -84,8 +88,10 @@
     assert!(per_s[0] > 1.9 * per_s[1], "{per_s:?}");
 }
 
-/// The model of the given paper, section "Modeling the Problem": four connections, a slow
-/// component of 8 ticks and a fast one of 1 tick, both with requests without end.
+/// A component in the model of the given paper, section "Modeling the Problem".
+///
+/// The model has four connections, a slow component of 8 ticks and a fast one of 1 tick. Both
+/// always have requests waiting.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Component {
     Fast,
@@ -101,8 +107,8 @@
 const TICKS: u32 = 64;
 const CONNECTIONS: usize = 4;
 
-/// Runs the model; `choose` picks what a free connection takes next.
-fn model(mut choose: impl FnMut(usize, u32) -> Component) -> Started {
+/// Runs the model. `choose` picks the component whose request a free connection takes next.
+fn run_model(mut choose: impl FnMut(usize, u32) -> Component) -> Started {
     let mut free_at = [0; CONNECTIONS];
     let mut started = Started::default();
     for tick in 0..TICKS / CONNECTIONS as u32 {
@@ -126,20 +132,21 @@
 }
 
 #[test]
-fn the_papers_model_gives_its_own_figures() {
-    let mut turn = 0;
-    let round_robin = model(|_, _| {
-        turn += 1;
-        if turn % 2 == 1 { Component::Fast } else { Component::Slow }
+fn queue_splitting_model_matches_the_paper() {
+    let mut requests = 0;
+    let round_robin = run_model(|_, _| {
+        requests += 1;
+        if requests % 2 == 1 { Component::Fast } else { Component::Slow }
     });
     assert_eq!(round_robin, Started { fast: 8, slow: 8 });
 
-    let own = |connection| if connection < 2 { Component::Fast } else { Component::Slow };
-    let partitioned = model(|connection, _| own(connection));
+    let own_component = |connection| if connection < 2 { Component::Fast } else { Component::Slow };
+    let partitioned = run_model(|connection, _| own_component(connection));
     assert_eq!(partitioned, Started { fast: 32, slow: 4 });
 
     // The fast queue is empty at tick 4, so its connections take slow requests until tick 12.
-    let starved =
-        model(|connection, tick| if tick == 4 { Component::Slow } else { own(connection) });
+    let starved = run_model(
+        |connection, tick| if tick == 4 { Component::Slow } else { own_component(connection) },
+    );
     assert_eq!(starved, Started { fast: 16, slow: 6 });
 }
--- a/crates/fernring-policy/tests/testsuite/random_run.rs
+++ b/crates/fernring-policy/tests/testsuite/random_run.rs
@@ -1,11 +1,11 @@
-//! Randomised runs of several nodes' decisions over one log, with faults of every kind.
+//! Randomised runs of several dispatchers that share one claim stream, with injected faults.
 //!
-//! The nodes are the shipped `Dispatcher`; around them the log, the upstreams, the forwards and
-//! the callers are as unreliable as a random choice makes them. After every step the world's own
-//! record of what upstreams ran is compared with what callers were told.
+//! Each node is the shipped `Dispatcher`. The claim stream, the upstreams, the forwards between
+//! nodes and the callers are simulated and fail at random. After every step the simulation's own
+//! record of what the upstreams ran is compared with the answers that callers got.
 //!
 //! `FERNRING_SEED`, `FERNRING_CASES` and `FERNRING_STEPS` set the seed, the number of runs and
-//! their longest length; the seed is printed.
+//! the greatest number of steps per run. The seed is printed.
 
 use {
     fernring_core::{
@@ -47,34 +47,36 @@
 const RETENTION_MS: u64 = 10_000;
 const DEFAULT_CASES: u32 = 1_500;
 const DEFAULT_STEPS: usize = 120;
-/// Steps that bring a run to rest: far more than anything outstanding needs.
+/// Rounds at the end of a run that complete outstanding work; far more than it can need.
 const SETTLE_ROUNDS: usize = 200;
 
 /// Steps taken by all runs of this process.
 static STEPS: AtomicU64 = AtomicU64::new(0);
-/// Side effects run in all runs of this process.
+/// Side effects executed in all runs of this process.
 static EFFECTS: AtomicU64 = AtomicU64::new(0);
 /// Final answers given in all runs of this process.
 static ANSWERS: AtomicU64 = AtomicU64::new(0);
 
-/// Which key a submission carries.
+/// The key that a submission carries.
 #[derive(Debug, Clone, Copy)]
 enum KeyChoice {
     None,
-    Fresh,
+    New,
+    /// A key that was used before, by index modulo their number.
     Repeat(usize),
     Ticket,
 }
 
-/// What becomes of an attempt.
+/// How an attempt ends.
 #[derive(Debug, Clone, Copy)]
-enum Fate {
+enum AttemptFate {
     Completes,
-    /// Parts come twice, in reverse order, behind another attempt's.
-    CompletesInDisorder,
-    /// Only the first part comes for now.
+    /// The parts arrive twice and in reverse order, after parts that belong to other attempts.
+    CompletesOutOfOrder,
+    /// Only the first part arrives; the attempt stays open.
     SendsFirstPart,
-    LosesLastPart,
+    /// The response ends properly, but its last part is missing.
+    OmitsLastPart,
     FailsAfterRunning,
     FailsBeforeRunning,
     NotSent,
@@ -82,31 +84,62 @@
     Leaves,
 }
 
-/// What becomes of an append.
+/// How an append to the claim stream ends.
 #[derive(Debug, Clone, Copy)]
 enum AppendFate {
-    Lands,
-    LandsUnanswered,
-    /// The node is told nothing; the record lands at a later step.
-    LandsLater,
+    Succeeds,
+    /// The record is appended, but the node learns no result.
+    ResponseLost,
+    /// The node learns no result, and the record is appended at a later step.
+    Delayed,
+    /// The record is lost, and the node learns no result.
     Dropped,
 }
 
 #[derive(Debug, Clone)]
 enum Step {
-    Submit { node: usize, effect: bool, key: KeyChoice, window_ms: u64, streaming: bool },
-    Attempt { index: usize, fate: Fate },
-    Append { index: usize, fate: AppendFate },
-    LandLate { index: usize },
-    Read { node: usize, count: usize },
-    Forward { index: usize, lost: bool },
-    Advance { ms: u64 },
-    Crash { node: usize },
-    Drain { node: usize },
-    Leave { index: usize },
+    Submit {
+        node: usize,
+        effect: bool,
+        key: KeyChoice,
+        window_ms: u64,
+        streaming: bool,
+    },
+    /// Ends an attempt, by index modulo the number of attempts; other indices work alike.
+    EndAttempt {
+        index: usize,
+        fate: AttemptFate,
+    },
+    EndAppend {
+        index: usize,
+        fate: AppendFate,
+    },
+    AppendDelayed {
+        index: usize,
+    },
+    ReadClaims {
+        node: usize,
+        count: usize,
+    },
+    DeliverForward {
+        index: usize,
+        lost: bool,
+    },
+    Advance {
+        ms: u64,
+    },
+    Crash {
+        node: usize,
+    },
+    Drain {
+        node: usize,
+    },
+    CallerLeaves {
+        index: usize,
+    },
 }
 
-/// The reference holds nothing: every step is possible at any time.
+/// A reference machine without state: every step is possible at any time.
 struct AnyStep;
 
 impl ReferenceStateMachine for AnyStep {
@@ -122,25 +155,25 @@
         let index = 0..64_usize;
         let key = prop_oneof![
             1 => Just(KeyChoice::None),
-            4 => Just(KeyChoice::Fresh),
+            4 => Just(KeyChoice::New),
             4 => (0..16_usize).prop_map(KeyChoice::Repeat),
             1 => Just(KeyChoice::Ticket),
         ];
         let fate = prop_oneof![
-            8 => Just(Fate::Completes),
-            2 => Just(Fate::CompletesInDisorder),
-            2 => Just(Fate::SendsFirstPart),
-            1 => Just(Fate::LosesLastPart),
-            1 => Just(Fate::FailsAfterRunning),
-            1 => Just(Fate::FailsBeforeRunning),
-            1 => Just(Fate::NotSent),
-            1 => Just(Fate::Refuses),
-            1 => Just(Fate::Leaves),
+            8 => Just(AttemptFate::Completes),
+            2 => Just(AttemptFate::CompletesOutOfOrder),
+            2 => Just(AttemptFate::SendsFirstPart),
+            1 => Just(AttemptFate::OmitsLastPart),
+            1 => Just(AttemptFate::FailsAfterRunning),
+            1 => Just(AttemptFate::FailsBeforeRunning),
+            1 => Just(AttemptFate::NotSent),
+            1 => Just(AttemptFate::Refuses),
+            1 => Just(AttemptFate::Leaves),
         ];
         let append = prop_oneof![
-            6 => Just(AppendFate::Lands),
-            2 => Just(AppendFate::LandsUnanswered),
-            2 => Just(AppendFate::LandsLater),
+            6 => Just(AppendFate::Succeeds),
+            2 => Just(AppendFate::ResponseLost),
+            2 => Just(AppendFate::Delayed),
             1 => Just(AppendFate::Dropped),
         ];
         let submit = (node.clone(), any::<bool>(), key, 1..4_000_u64, any::<bool>());
@@ -148,17 +181,18 @@
             8 => submit.prop_map(|(node, effect, key, window_ms, streaming)| {
                 Step::Submit { node, effect, key, window_ms, streaming }
             }),
-            24 => (index.clone(), fate).prop_map(|(index, fate)| Step::Attempt { index, fate }),
-            10 => (index.clone(), append).prop_map(|(index, fate)| Step::Append { index, fate }),
-            2 => index.clone().prop_map(|index| Step::LandLate { index }),
-            16 => (node.clone(), 1..8_usize).prop_map(|(node, count)| Step::Read { node, count }),
+            24 => (index.clone(), fate).prop_map(|(index, fate)| Step::EndAttempt { index, fate }),
+            10 => (index.clone(), append).prop_map(|(index, fate)| Step::EndAppend { index, fate }),
+            2 => index.clone().prop_map(|index| Step::AppendDelayed { index }),
+            16 => (node.clone(), 1..8_usize)
+                .prop_map(|(node, count)| Step::ReadClaims { node, count }),
             4 => (index.clone(), prop::bool::weighted(0.2))
-                .prop_map(|(index, lost)| Step::Forward { index, lost }),
+                .prop_map(|(index, lost)| Step::DeliverForward { index, lost }),
             4 => prop_oneof![1..50_u64, 50..1_500_u64, 4_000..12_000_u64]
                 .prop_map(|ms| Step::Advance { ms }),
             1 => node.clone().prop_map(|node| Step::Crash { node }),
             1 => node.prop_map(|node| Step::Drain { node }),
-            1 => index.prop_map(|index| Step::Leave { index }),
+            1 => index.prop_map(|index| Step::CallerLeaves { index }),
         ]
         .boxed()
     }
@@ -172,32 +206,32 @@
     configured: bool,
 }
 
-/// An attempt that an upstream has.
+/// An attempt that an upstream is working on.
 struct Attempt {
     node: usize,
     incarnation: Incarnation,
     dispatch: Dispatch,
 }
 
-/// An append on its way.
+/// An append that has not taken effect yet.
 struct Append {
     node: usize,
     incarnation: Incarnation,
     batch: ClaimBatch,
 }
 
-/// A submission on its way to the owner of its key.
-struct Passed {
+/// A submission that was forwarded but has not reached the owner of its key yet.
+struct PendingForward {
     node: usize,
     incarnation: Incarnation,
     forward: Forward,
 }
 
-/// Who waits under a waiter's number.
+/// The party that waits for an answer under a [`WaiterId`].
 #[derive(Clone)]
 enum Waiter {
     Caller(Box<Caller>),
-    /// Another node, for its own waiter.
+    /// Another node, on behalf of its own waiter.
     Node {
         node: usize,
         incarnation: Incarnation,
@@ -205,39 +239,42 @@
     },
 }
 
-/// A caller and what it was told.
+/// A caller, its submission and what it has received.
 #[derive(Clone)]
 struct Caller {
     submission: Submission,
     effect: bool,
-    told: Option<Answer>,
-    /// The parts that it was given.
+    answer_given: Option<Answer>,
+    /// The streamed parts received so far, joined.
     text: String,
 }
 
-struct World {
+/// The nodes and their simulated environment.
+struct Simulation {
     now: Duration,
     nodes: Vec<Node>,
+    /// Records of the claim stream that are still retained.
     log: Vec<ClaimRecord>,
     first_offset: u64,
-    late: Vec<ClaimBatch>,
+    delayed_appends: Vec<ClaimBatch>,
+    /// Attempts in flight, also of incarnations that have crashed.
     attempts: Vec<Attempt>,
     appends: Vec<Append>,
-    passed: Vec<Passed>,
+    forwards: Vec<PendingForward>,
     waiters: BTreeMap<WaiterId, Waiter>,
-    /// Keys used so far, with the pipeline they were used for.
+    /// Keys used so far; `true` if used for the pipeline with a side effect.
     keys: Vec<(RequestKey, bool)>,
-    /// Requests whose stages an upstream ran, by identity.
-    ran: BTreeSet<Uuid>,
-    /// Side effects that an upstream ran, by key.
-    effects: BTreeMap<RequestKey, u32>,
-    /// Keys that a caller was told will not run, or have not had their side effect.
-    promised: BTreeSet<RequestKey>,
+    /// Uids of requests of which an upstream ran at least one stage.
+    executed_requests: BTreeSet<Uuid>,
+    /// Number of times that upstreams ran the side effect, by key.
+    effect_runs: BTreeMap<RequestKey, u32>,
+    /// Keys whose answer told a caller that the side effect has not run and never will.
+    effect_free_keys: BTreeSet<RequestKey>,
     serial: u64,
-    /// Callers by the node they sent their request to.
-    waiting_at: BTreeMap<usize, BTreeSet<WaiterId>>,
-    /// Callers that left, or whose node crashed: they may get no answer.
-    crashed: BTreeSet<WaiterId>,
+    /// Callers by the node that they sent their request to.
+    callers_by_node: BTreeMap<usize, BTreeSet<WaiterId>>,
+    /// Callers that left or whose node crashed, which need not get an answer.
+    may_lack_answer: BTreeSet<WaiterId>,
 }
 
 fn catalog() -> Catalog {
@@ -284,41 +321,42 @@
     }
 }
 
-/// What a stage makes of its input.
+/// Returns the output of a stage for an input.
 fn output_of(stage: &str, input: &str) -> String {
     format!("{stage}({input})")
 }
 
-fn whole(effect: bool, input: &str) -> String {
+/// Returns the output of a whole pipeline for an input.
+fn expected_output(effect: bool, input: &str) -> String {
     let stages = if effect { ["generate", "post"] } else { ["encode", "generate"] };
     stages.iter().fold(input.to_owned(), |text, stage| output_of(stage, &text))
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             now: Duration::ZERO,
             nodes: Vec::new(),
             log: Vec::new(),
             first_offset: 0,
-            late: Vec::new(),
+            delayed_appends: Vec::new(),
             attempts: Vec::new(),
             appends: Vec::new(),
-            passed: Vec::new(),
+            forwards: Vec::new(),
             waiters: BTreeMap::new(),
             keys: Vec::new(),
-            ran: BTreeSet::new(),
-            effects: BTreeMap::new(),
-            promised: BTreeSet::new(),
+            executed_requests: BTreeSet::new(),
+            effect_runs: BTreeMap::new(),
+            effect_free_keys: BTreeSet::new(),
             serial: 0,
-            waiting_at: BTreeMap::new(),
-            crashed: BTreeSet::new(),
+            callers_by_node: BTreeMap::new(),
+            may_lack_answer: BTreeSet::new(),
         };
         for node in 0..NODES {
-            let fresh = world.fresh_node(node);
-            world.nodes.push(fresh);
+            let new_node = simulation.new_node(node);
+            simulation.nodes.push(new_node);
         }
-        world
+        simulation
     }
 
     fn next_serial(&mut self) -> u64 {
@@ -326,9 +364,9 @@
         self.serial
     }
 
-    fn fresh_node(&mut self, node: usize) -> Node {
+    fn new_node(&mut self, node: usize) -> Node {
         let incarnation = Incarnation(Uuid::from_u128(u128::from(self.next_serial()) << 64));
-        // A restarted node has its predecessor's address.
+        // A restarted node keeps its address.
         let address: SocketAddr = format!("127.0.0.1:{}", 9_000 + node).parse().unwrap();
         let failure_domain = if node == 0 { "a" } else { "b" }.into();
         let identity = Identity { incarnation, address, failure_domain };
@@ -336,7 +374,7 @@
         Node { dispatcher, identity, configured: false }
     }
 
-    /// Nodes' clocks differ a little.
+    /// Returns the time at a node. Wall clocks of neighbouring nodes differ by 100 ms.
     fn now_at(&self, node: usize) -> Now {
         let skew = Duration::from_millis(node as u64 * 100);
         Now {
@@ -355,13 +393,13 @@
             self.nodes[node].configured = true;
             let catalog = Event::Configured(Arc::new(catalog()));
             let actions = self.nodes[node].dispatcher.handle(now, catalog);
-            self.act(node, actions);
+            self.perform(node, actions);
         }
         let actions = self.nodes[node].dispatcher.handle(now, event);
-        self.act(node, actions);
+        self.perform(node, actions);
     }
 
-    fn act(&mut self, node: usize, actions: Vec<Action>) {
+    fn perform(&mut self, node: usize, actions: Vec<Action>) {
         let incarnation = self.nodes[node].identity.incarnation;
         for action in actions {
             match action {
@@ -375,7 +413,7 @@
                     self.appends.push(Append { node, incarnation, batch });
                 }
                 Action::Forward(forward) => {
-                    self.passed.push(Passed { node, incarnation, forward: *forward });
+                    self.forwards.push(PendingForward { node, incarnation, forward: *forward });
                 }
                 Action::Log(_) => {}
             }
@@ -387,13 +425,13 @@
     }
 
     fn cancel(&mut self, node: usize, incarnation: Incarnation, reference: AttemptRef) {
-        let same = |attempt: &Attempt| {
+        let is_cancelled = |attempt: &Attempt| {
             attempt.incarnation == incarnation && attempt.dispatch.attempt == reference
         };
-        if let Some(index) = self.attempts.iter().position(same) {
+        if let Some(index) = self.attempts.iter().position(is_cancelled) {
             let attempt = self.attempts.remove(index);
             assert!(!attempt.dispatch.effect, "a side effect was cancelled");
-            self.ran.insert(attempt.dispatch.uid);
+            self.executed_requests.insert(attempt.dispatch.uid);
             self.handle(
                 node,
                 Event::AttemptEnded { attempt: reference, end: AttemptEnd::Cancelled },
@@ -403,154 +441,166 @@
 
     fn deliver(&mut self, waiter: WaiterId, part: &str) {
         let Some(Waiter::Caller(caller)) = self.waiters.get_mut(&waiter) else {
-            panic!("a part for somebody who takes none");
+            panic!("a part was delivered to a waiter that is not a caller");
         };
-        let Caller { submission, effect, told, text } = caller.as_mut();
-        assert!(told.is_none(), "a part behind the final answer");
+        let Caller { submission, effect, answer_given, text } = caller.as_mut();
+        assert!(answer_given.is_none(), "a part was delivered after the final answer");
         text.push_str(part);
-        let whole = whole(*effect, &submission.input);
-        assert!(whole.starts_with(text.as_str()), "{text} is not of {whole}");
+        let expected = expected_output(*effect, &submission.input);
+        assert!(expected.starts_with(text.as_str()), "{text} is not the start of {expected}");
     }
 
     fn finish(&mut self, waiter: WaiterId, answer: Answer) {
         match self.waiters.get_mut(&waiter) {
-            None => panic!("an answer for nobody"),
+            None => panic!("an answer for an unknown waiter"),
             Some(Waiter::Caller(caller)) => {
-                let Caller { submission, effect, told, text } = caller.as_mut();
-                assert!(told.is_none(), "a second answer");
+                let Caller { submission, effect, answer_given, text } = caller.as_mut();
+                assert!(answer_given.is_none(), "a caller got a second answer");
                 ANSWERS.fetch_add(1, Ordering::Relaxed);
                 if let Some(output) = answer.output() {
-                    assert_eq!(output.as_ref(), whole(*effect, &submission.input));
-                    assert!(text.is_empty() || *text == output.as_ref(), "parts are not whole");
+                    assert_eq!(output.as_ref(), expected_output(*effect, &submission.input));
+                    assert!(
+                        text.is_empty() || *text == output.as_ref(),
+                        "the parts do not add up to the output"
+                    );
                 }
-                *told = Some(answer.clone());
+                *answer_given = Some(answer.clone());
                 let (submission, effect) = (submission.clone(), *effect);
                 self.check_answer(&submission, effect, &answer);
             }
             Some(Waiter::Node { node, incarnation, waiter }) => {
                 let (node, incarnation, waiter) = (*node, *incarnation, *waiter);
                 if self.is_alive(node, incarnation) {
-                    let word = OwnerWord {
+                    let owner_answer = OwnerWord {
                         code: answer.code(),
                         output: answer.output().cloned(),
                         retry_after_ms: answer.retry_after_ms(),
                     };
-                    let answer = Some(word);
+                    let answer = Some(owner_answer);
                     self.handle(node, Event::OwnerAnswered { waiter, answer });
                 }
             }
         }
     }
 
-    /// Compares an answer with what the upstreams ran.
+    /// Checks that an answer agrees with what the upstreams ran.
     fn check_answer(&mut self, submission: &Submission, effect: bool, answer: &Answer) {
         let class = answer.code().class();
         if class == Class::NotRun {
-            assert!(!self.ran.contains(&submission.uid), "NOT_RUN, but it ran: {answer:?}");
+            assert!(
+                !self.executed_requests.contains(&submission.uid),
+                "NOT_RUN, but a stage ran: {answer:?}"
+            );
         }
         let Some(key) = submission.key.filter(|_| effect) else {
             return;
         };
-        let runs = self.effects.get(&key).copied().unwrap_or(0);
+        let runs = self.effect_runs.get(&key).copied().unwrap_or(0);
         if class == Class::Answered {
-            assert_eq!(runs, 1, "answered, but its effect ran {runs} times");
+            assert_eq!(runs, 1, "answered, but its side effect ran {runs} times");
         }
-        // The caller may use a new key only if the old one never has its effect.
+        // Advice to use a new key means that the old key's side effect has not run and never will.
         if answer.advice() == Some(Advice::NewKey) {
-            assert_eq!(runs, 0, "{answer:?}, but its effect ran");
-            self.promised.insert(key);
+            assert_eq!(runs, 0, "{answer:?}, but its side effect ran");
+            self.effect_free_keys.insert(key);
         }
     }
 
+    /// Records that an upstream ran a stage, and checks that no side effect runs twice.
     fn run_stage(&mut self, dispatch: &Dispatch, key: Option<RequestKey>) {
-        self.ran.insert(dispatch.uid);
+        self.executed_requests.insert(dispatch.uid);
         if !dispatch.effect {
             return;
         }
         let key = key.expect("a side effect has a key");
         EFFECTS.fetch_add(1, Ordering::Relaxed);
-        let runs = self.effects.entry(key).or_default();
+        let runs = self.effect_runs.entry(key).or_default();
         *runs += 1;
         assert_eq!(*runs, 1, "a side effect ran twice: {key}");
-        assert!(!self.promised.contains(&key), "a side effect that was promised not to run");
+        assert!(
+            !self.effect_free_keys.contains(&key),
+            "a side effect ran after its caller was told to use a new key: {key}"
+        );
     }
 
-    /// The key of a dispatch: effects are told apart by the innermost input, which is the key.
+    /// Returns the key of a dispatch. The input of a keyed request is its key, so the key is the
+    /// innermost part of the stage's nested input.
     fn key_of(&self, dispatch: &Dispatch) -> Option<RequestKey> {
         let innermost = dispatch.input.rsplit('(').next()?.trim_end_matches(')');
         innermost.parse().ok()
     }
 
-    fn end_attempt(&mut self, index: usize, fate: Fate) {
+    fn end_attempt(&mut self, index: usize, fate: AttemptFate) {
         if self.attempts.is_empty() {
             return;
         }
         let index = index % self.attempts.len();
-        let keeps = matches!(fate, Fate::SendsFirstPart);
+        let stays_open = matches!(fate, AttemptFate::SendsFirstPart);
         let (node, incarnation) = (self.attempts[index].node, self.attempts[index].incarnation);
         let dispatch = self.attempts[index].dispatch.clone();
-        if !keeps {
+        if !stays_open {
             self.attempts.remove(index);
         }
         let runs = !matches!(
             fate,
-            Fate::FailsBeforeRunning
-                | Fate::NotSent
-                | Fate::Refuses
-                | Fate::Leaves
-                | Fate::SendsFirstPart
+            AttemptFate::FailsBeforeRunning
+                | AttemptFate::NotSent
+                | AttemptFate::Refuses
+                | AttemptFate::Leaves
+                | AttemptFate::SendsFirstPart
         );
         if runs {
             let key = self.key_of(&dispatch);
             self.run_stage(&dispatch, key);
         }
-        if keeps && !dispatch.effect {
-            self.ran.insert(dispatch.uid);
+        if stays_open && !dispatch.effect {
+            self.executed_requests.insert(dispatch.uid);
         }
         if !self.is_alive(node, incarnation) {
             return;
         }
         let attempt = dispatch.attempt;
-        // A side effect's first part would say that it runs; here it has not begun.
-        let parts = if keeps && dispatch.effect { Vec::new() } else { parts_of(&dispatch, fate) };
+        // A first part proves that the stage runs; a side effect that stays open has not begun.
+        let parts =
+            if stays_open && dispatch.effect { Vec::new() } else { parts_of(&dispatch, fate) };
         if !parts.is_empty() {
             self.handle(node, Event::Parts { attempt, parts });
         }
         let end = match fate {
-            Fate::Completes | Fate::CompletesInDisorder | Fate::LosesLastPart => {
-                AttemptEnd::Completed
-            }
-            Fate::SendsFirstPart => return,
-            Fate::FailsAfterRunning | Fate::FailsBeforeRunning => AttemptEnd::Failed,
-            Fate::NotSent => AttemptEnd::NotSent,
-            Fate::Refuses => AttemptEnd::Refused,
-            Fate::Leaves => AttemptEnd::Leaving,
+            AttemptFate::Completes
+            | AttemptFate::CompletesOutOfOrder
+            | AttemptFate::OmitsLastPart => AttemptEnd::Completed,
+            AttemptFate::SendsFirstPart => return,
+            AttemptFate::FailsAfterRunning | AttemptFate::FailsBeforeRunning => AttemptEnd::Failed,
+            AttemptFate::NotSent => AttemptEnd::NotSent,
+            AttemptFate::Refuses => AttemptEnd::Refused,
+            AttemptFate::Leaves => AttemptEnd::Leaving,
         };
-        // A part that was handled may have ended the request and with it this attempt.
+        // Handling the parts may already have ended the request and this attempt.
         self.handle(node, Event::AttemptEnded { attempt, end });
     }
 
-    fn land(&mut self, batch: ClaimBatch) {
+    fn append_to_log(&mut self, batch: ClaimBatch) {
         let offset = self.first_offset + self.log.len() as u64;
         self.log.push(ClaimRecord { offset, time_ms: self.log_time_ms(), batch: Some(batch) });
     }
 
-    fn append(&mut self, index: usize, fate: AppendFate) {
+    fn end_append(&mut self, index: usize, fate: AppendFate) {
         if self.appends.is_empty() {
             return;
         }
         let append = self.appends.remove(index % self.appends.len());
         let event = match fate {
-            AppendFate::Lands => {
-                self.land(append.batch);
+            AppendFate::Succeeds => {
+                self.append_to_log(append.batch);
                 Event::ClaimsAppended
             }
-            AppendFate::LandsUnanswered => {
-                self.land(append.batch);
+            AppendFate::ResponseLost => {
+                self.append_to_log(append.batch);
                 Event::ClaimsInDoubt
             }
-            AppendFate::LandsLater => {
-                self.late.push(append.batch);
+            AppendFate::Delayed => {
+                self.delayed_appends.push(append.batch);
                 Event::ClaimsInDoubt
             }
             AppendFate::Dropped => Event::ClaimsInDoubt,
@@ -560,7 +610,7 @@
         }
     }
 
-    fn read(&mut self, node: usize, count: usize) {
+    fn read_claims(&mut self, node: usize, count: usize) {
         let from = self.nodes[node].dispatcher.claim_view().next_offset();
         let skip = from.saturating_sub(self.first_offset) as usize;
         let records: Vec<_> = self.log.iter().skip(skip).take(count).cloned().collect();
@@ -574,12 +624,12 @@
         self.handle(node, Event::ClaimsRead(page));
     }
 
-    fn pass(&mut self, index: usize, lost: bool) {
-        if self.passed.is_empty() {
+    fn deliver_forward(&mut self, index: usize, lost: bool) {
+        if self.forwards.is_empty() {
             return;
         }
-        let passed = self.passed.remove(index % self.passed.len());
-        let Passed { node, incarnation, forward } = passed;
+        let pending = self.forwards.remove(index % self.forwards.len());
+        let PendingForward { node, incarnation, forward } = pending;
         let owner = self.nodes.iter().position(|node| {
             let identity = &node.identity;
             identity.address == forward.address && identity.incarnation == forward.incarnation
@@ -599,7 +649,14 @@
         self.handle(owner, Event::Submit(submission));
     }
 
-    fn submit(&mut self, node: usize, effect: bool, key: KeyChoice, ms: u64, streaming: bool) {
+    fn submit(
+        &mut self,
+        node: usize,
+        effect: bool,
+        key: KeyChoice,
+        window_ms: u64,
+        streaming: bool,
+    ) {
         let (key, effect) = match key {
             KeyChoice::None => (None, effect),
             KeyChoice::Repeat(index) if !self.keys.is_empty() => {
@@ -611,14 +668,14 @@
                 let minted = self.nodes[node].dispatcher.mint_tickets(now, 1);
                 (minted.ok().and_then(|mut tickets| tickets.pop()), effect)
             }
-            _ => (Some(self.fresh_key()), effect),
+            _ => (Some(self.mint_key()), effect),
         };
         if let Some(key) = key {
             self.keys.push((key, effect));
         }
         let waiter = WaiterId(self.next_serial());
         let uid = Uuid::from_u128(u128::from(self.next_serial()));
-        // The input names the key, so that an effect can be traced back to it.
+        // The input is the key, so that a side effect can be traced back to its key.
         let input: Arc<str> = match key {
             Some(key) => key.to_string().into(),
             None => format!("request {uid}").into(),
@@ -630,23 +687,23 @@
             workspace: "members".into(),
             key,
             non_idempotent: false,
-            window_ms: Some(ms),
+            window_ms: Some(window_ms),
             input,
             prefix: None,
             streaming,
             forwarded: false,
         };
-        let (told, text) = (None, String::new());
-        let caller = Caller { submission: submission.clone(), effect, told, text };
+        let (answer_given, text) = (None, String::new());
+        let caller = Caller { submission: submission.clone(), effect, answer_given, text };
         let caller = Waiter::Caller(Box::new(caller));
         self.waiters.insert(waiter, caller);
-        self.crashed.remove(&waiter);
+        self.may_lack_answer.remove(&waiter);
         self.handle(node, Event::Submit(submission));
-        self.waiting_at.entry(node).or_default().insert(waiter);
+        self.callers_by_node.entry(node).or_default().insert(waiter);
     }
 
-    /// Mints a key whose bits depend on nothing but the run, so that a run can be replayed.
-    fn fresh_key(&mut self) -> RequestKey {
+    /// Mints a key whose bits depend only on the run, so that a run can be replayed from its seed.
+    fn mint_key(&mut self) -> RequestKey {
         let minted = u128::from(self.log_time_ms()) << 80;
         let version_and_variant = (7 << 76) | (2 << 62);
         let serial = u128::from(self.next_serial());
@@ -654,10 +711,10 @@
     }
 
     fn crash(&mut self, node: usize) {
-        let waiting = self.waiting_at.remove(&node).unwrap_or_default();
-        self.crashed.extend(waiting);
-        self.nodes[node] = self.fresh_node(node);
-        self.passed.retain(|passed| passed.node != node);
+        let waiting = self.callers_by_node.remove(&node).unwrap_or_default();
+        self.may_lack_answer.extend(waiting);
+        self.nodes[node] = self.new_node(node);
+        self.forwards.retain(|pending| pending.node != node);
     }
 
     fn advance(&mut self, ms: u64) {
@@ -678,27 +735,27 @@
             Step::Submit { node, effect, key, window_ms, streaming } => {
                 self.submit(node, effect, key, window_ms, streaming);
             }
-            Step::Attempt { index, fate } => self.end_attempt(index, fate),
-            Step::Append { index, fate } => self.append(index, fate),
-            Step::LandLate { index } => {
-                if !self.late.is_empty() {
-                    let batch = self.late.remove(index % self.late.len());
-                    self.land(batch);
+            Step::EndAttempt { index, fate } => self.end_attempt(index, fate),
+            Step::EndAppend { index, fate } => self.end_append(index, fate),
+            Step::AppendDelayed { index } => {
+                if !self.delayed_appends.is_empty() {
+                    let batch = self.delayed_appends.remove(index % self.delayed_appends.len());
+                    self.append_to_log(batch);
                 }
             }
-            Step::Read { node, count } => self.read(node, count),
-            Step::Forward { index, lost } => self.pass(index, lost),
+            Step::ReadClaims { node, count } => self.read_claims(node, count),
+            Step::DeliverForward { index, lost } => self.deliver_forward(index, lost),
             Step::Advance { ms } => self.advance(ms),
             Step::Crash { node } => self.crash(node),
             Step::Drain { node } => self.handle(node, Event::Drain),
-            Step::Leave { index } => self.leave(index),
+            Step::CallerLeaves { index } => self.caller_leaves(index),
         }
         self.check_keys();
     }
 
-    fn leave(&mut self, index: usize) {
+    fn caller_leaves(&mut self, index: usize) {
         let waiting: Vec<_> = self
-            .waiting_at
+            .callers_by_node
             .iter()
             .flat_map(|(node, waiters)| waiters.iter().map(|waiter| (*node, *waiter)))
             .collect();
@@ -706,50 +763,50 @@
             return;
         }
         let (node, waiter) = waiting[index % waiting.len()];
-        let untold = match &self.waiters[&waiter] {
-            Waiter::Caller(caller) => caller.told.is_none(),
+        let unanswered = match &self.waiters[&waiter] {
+            Waiter::Caller(caller) => caller.answer_given.is_none(),
             Waiter::Node { .. } => false,
         };
-        if untold {
-            self.crashed.insert(waiter);
+        if unanswered {
+            self.may_lack_answer.insert(waiter);
             self.handle(node, Event::WaiterLeft(waiter));
         }
     }
 
-    /// What a node says of a key must agree with what the upstreams ran.
+    /// Checks that each node's status of a key agrees with what the upstreams ran.
     fn check_keys(&self) {
         for (key, _) in self.keys.iter().filter(|(_, effect)| *effect) {
-            let runs = self.effects.get(key).copied().unwrap_or(0);
+            let runs = self.effect_runs.get(key).copied().unwrap_or(0);
             let scoped = ScopedKey { workspace: "members".into(), key: *key };
             for node in &self.nodes {
                 if let KeyStatus::Ended(answer) = node.dispatcher.key_status(&scoped) {
-                    let none = answer.advice() == Some(Advice::NewKey);
-                    assert!(!none || runs == 0, "{answer:?}, but its effect ran");
+                    let says_effect_free = answer.advice() == Some(Advice::NewKey);
+                    assert!(!says_effect_free || runs == 0, "{answer:?}, but its side effect ran");
                     let answered = answer.code() == ResultCode::Ok;
-                    assert!(!answered || runs == 1, "answered without its effect");
+                    assert!(!answered || runs == 1, "answered, but its side effect did not run");
                 }
             }
         }
     }
 
-    /// Lets everything outstanding end well, and checks that nobody waits for nothing.
+    /// Completes all outstanding work and checks that every caller got its answer.
     fn settle(&mut self) {
         for _ in 0..SETTLE_ROUNDS {
             self.advance(100);
-            while !self.late.is_empty() {
-                self.step(Step::LandLate { index: 0 });
+            while !self.delayed_appends.is_empty() {
+                self.step(Step::AppendDelayed { index: 0 });
             }
             while !self.appends.is_empty() {
-                self.append(0, AppendFate::Lands);
+                self.end_append(0, AppendFate::Succeeds);
             }
             for node in 0..NODES {
-                self.read(node, usize::MAX);
+                self.read_claims(node, usize::MAX);
             }
-            while !self.passed.is_empty() {
-                self.pass(0, false);
+            while !self.forwards.is_empty() {
+                self.deliver_forward(0, false);
             }
             while !self.attempts.is_empty() {
-                self.end_attempt(0, Fate::Completes);
+                self.end_attempt(0, AttemptFate::Completes);
             }
         }
         for node in &self.nodes {
@@ -759,21 +816,25 @@
         }
         for (id, waiter) in &self.waiters {
             if let Waiter::Caller(caller) = waiter
-                && !self.crashed.contains(id)
+                && !self.may_lack_answer.contains(id)
             {
-                let Caller { submission, effect, told, text } = caller.as_ref();
-                let answer = told.as_ref().unwrap_or_else(|| panic!("no answer: {submission:?}"));
+                let Caller { submission, effect, answer_given, text } = caller.as_ref();
+                let answer =
+                    answer_given.as_ref().unwrap_or_else(|| panic!("no answer: {submission:?}"));
                 let streamed = !text.is_empty() && answer.code() == ResultCode::Ok;
-                assert!(!streamed || *text == whole(*effect, &submission.input));
+                assert!(!streamed || *text == expected_output(*effect, &submission.input));
                 if answer.code().class() == Class::NotRun {
-                    assert!(!self.ran.contains(&submission.uid), "NOT_RUN, but it ran later");
+                    assert!(
+                        !self.executed_requests.contains(&submission.uid),
+                        "NOT_RUN, but a stage ran later"
+                    );
                 }
             }
         }
     }
 }
 
-fn parts_of(dispatch: &Dispatch, fate: Fate) -> Vec<EchoedPart> {
+fn parts_of(dispatch: &Dispatch, fate: AttemptFate) -> Vec<EchoedPart> {
     let text = output_of(&dispatch.stage_name, &dispatch.input);
     let (head, tail) = text.split_at(dispatch.stage_name.len());
     let part = |sequence, text: &str, last| EchoedPart {
@@ -784,26 +845,27 @@
     };
     let (first, last) = (part(0, head, false), part(1, tail, true));
     match fate {
-        Fate::Completes => vec![first, last],
-        Fate::CompletesInDisorder => {
-            let other =
+        AttemptFate::Completes => vec![first, last],
+        AttemptFate::CompletesOutOfOrder => {
+            let other_attempt =
                 EchoedPart { attempt: dispatch.attempt.attempt + 1, ..part(0, "not", false) };
-            let stranger = EchoedPart { uid: Uuid::from_u128(1 << 100), ..part(0, "me", false) };
-            vec![other, stranger, last.clone(), last, first.clone(), first]
+            let other_request =
+                EchoedPart { uid: Uuid::from_u128(1 << 100), ..part(0, "me", false) };
+            vec![other_attempt, other_request, last.clone(), last, first.clone(), first]
         }
-        Fate::SendsFirstPart | Fate::LosesLastPart => vec![first],
+        AttemptFate::SendsFirstPart | AttemptFate::OmitsLastPart => vec![first],
         _ => Vec::new(),
     }
 }
 
-struct Run(World);
+struct RandomRun(Simulation);
 
-impl StateMachineTest for Run {
+impl StateMachineTest for RandomRun {
     type SystemUnderTest = Self;
     type Reference = AnyStep;
 
     fn init_test((): &()) -> Self {
-        Self(World::new())
+        Self(Simulation::new())
     }
 
     fn apply(mut state: Self, (): &(), step: Step) -> Self {
@@ -816,15 +878,15 @@
     }
 }
 
-fn number(name: &str) -> Option<u64> {
+fn env_number(name: &str) -> Option<u64> {
     std::env::var(name).ok().map(|text| text.parse().expect("must be a number"))
 }
 
 #[test]
-fn nothing_is_lost_doubled_or_untrue_whatever_happens() {
-    let seed = number("FERNRING_SEED").unwrap_or(20_261_202);
-    let cases = number("FERNRING_CASES").map_or(DEFAULT_CASES, |cases| cases as u32);
-    let steps = number("FERNRING_STEPS").map_or(DEFAULT_STEPS, |steps| steps as usize);
+fn invariants_hold_under_random_faults() {
+    let seed = env_number("FERNRING_SEED").unwrap_or(20_261_202);
+    let cases = env_number("FERNRING_CASES").map_or(DEFAULT_CASES, |cases| cases as u32);
+    let steps = env_number("FERNRING_STEPS").map_or(DEFAULT_STEPS, |steps| steps as usize);
     println!("seed {seed}, {cases} runs of up to {steps} steps");
     let config = Config {
         cases,
@@ -835,7 +897,7 @@
     let mut runner = TestRunner::new(config.clone());
     let strategy = AnyStep::sequential_strategy(steps / 2..=steps);
     let outcome = runner.run(&strategy, |(initial, steps, seen)| {
-        Run::test_sequential(config.clone(), initial, steps, seen);
+        RandomRun::test_sequential(config.clone(), initial, steps, seen);
         Ok(())
     });
     println!(
