--- a/crates/fernctl/src/stream.rs
+++ b/crates/fernctl/src/stream.rs
@@ -92,7 +92,7 @@
         let page = page.context("could not read the configuration stream");
         let page = ConfigPage::decode(from, page.map_err(Failure::Failed)?);
         let next_offset = page.next_offset;
-        self.fold.read(page);
+        self.fold.apply_page(page);
         Ok(self.fold.next_offset() >= next_offset)
     }
 }
--- a/crates/fernring-policy/src/answer.rs
+++ b/crates/fernring-policy/src/answer.rs
@@ -49,7 +49,7 @@
     ///
     /// # Panics
     /// If the code says ANSWERED or NOT_RUN.
-    pub fn ran(code: ResultCode, retry_after_ms: u64) -> Self {
+    pub fn failure(code: ResultCode, retry_after_ms: u64) -> Self {
         let class = code.class();
         assert!(!matches!(class, Class::Answered | Class::NotRun), "{code:?} needs proof");
         Self { code, output: None, retry_after_ms: Some(retry_after_ms) }
--- a/crates/fernring-policy/src/assembly.rs
+++ b/crates/fernring-policy/src/assembly.rs
@@ -4,7 +4,7 @@
 
 /// One part of an answer, as an upstream sent it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Part {
+pub struct ResponsePart {
     /// Position of the part, from 0.
     pub sequence: u32,
     /// Its text.
@@ -15,9 +15,9 @@
 
 /// What became of a part that was added.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Added {
+pub enum AddOutcome {
     /// It is part of the answer.
-    Kept,
+    Accepted,
     /// It was there before; the copy is dropped.
     Duplicate,
     /// It contradicts what is known of the answer, or the answer is too large.
@@ -29,22 +29,22 @@
 /// Invariant: `ordered` holds the texts of the sequence numbers `0..next`, each once; `ahead`
 /// holds only numbers above `next`; no number is beyond `last`.
 #[derive(Debug, Default)]
-pub struct Assembly {
+pub struct ResponseAssembly {
     ordered: Vec<Arc<str>>,
     ahead: BTreeMap<u32, Arc<str>>,
     last: Option<u32>,
     bytes: usize,
 }
 
-impl Assembly {
+impl ResponseAssembly {
     /// Adds a part; `bytes_max` bounds the whole answer.
-    pub fn add(&mut self, part: Part, bytes_max: usize) -> Added {
+    pub fn add(&mut self, part: ResponsePart, bytes_max: usize) -> AddOutcome {
         let next = self.ordered.len() as u32;
         if part.sequence < next || self.ahead.contains_key(&part.sequence) {
-            return Added::Duplicate;
+            return AddOutcome::Duplicate;
         }
         if !self.fits(&part, bytes_max) {
-            return Added::Invalid;
+            return AddOutcome::Invalid;
         }
         self.bytes += part.text.len();
         if part.last {
@@ -52,7 +52,7 @@
         }
         self.ahead.insert(part.sequence, part.text);
         self.advance();
-        Added::Kept
+        AddOutcome::Accepted
     }
 
     /// Returns the texts that are in order so far.
@@ -71,11 +71,11 @@
     }
 
     /// Returns the whole text; `None` while a part is missing.
-    pub fn whole(&self) -> Option<Arc<str>> {
+    pub fn complete_text(&self) -> Option<Arc<str>> {
         self.is_complete().then(|| self.ordered.concat().into())
     }
 
-    fn fits(&self, part: &Part, bytes_max: usize) -> bool {
+    fn fits(&self, part: &ResponsePart, bytes_max: usize) -> bool {
         let beyond_last = self.last.is_some_and(|last| part.last || part.sequence > last);
         let highest = self.ahead.keys().next_back();
         let ends_too_early = part.last && highest.is_some_and(|&known| known > part.sequence);
--- a/crates/fernring-policy/src/budget.rs
+++ b/crates/fernring-policy/src/budget.rs
@@ -21,12 +21,12 @@
     }
 
     /// Notes a first attempt.
-    pub fn first_attempt(&mut self) {
+    pub fn record_first_attempt(&mut self) {
         self.saved = (self.saved + self.share).min(SAVED_MAX);
     }
 
     /// Takes one extra attempt, if the budget has one.
-    pub fn take(&mut self) -> bool {
+    pub fn try_spend(&mut self) -> bool {
         if self.saved < 1.0 {
             return false;
         }
--- a/crates/fernring-policy/src/claims.rs
+++ b/crates/fernring-policy/src/claims.rs
@@ -50,7 +50,7 @@
     Owned(Owner),
     /// This incarnation's claim is the first that was read, but the reading began too late to
     /// exclude an earlier one.
-    ViewTooShort,
+    HistoryIncomplete,
 }
 
 /// What this node knows of the claim stream.
@@ -62,7 +62,7 @@
     next_offset: u64,
     /// Log time from which the reading has no gap; 0 if it goes back to the first record ever.
     /// Invariant: every record with a log time above it was read, up to `next_offset`.
-    began_ms: Option<u64>,
+    history_from_ms: Option<u64>,
     /// Log time of the newest record or answer. Never goes backwards.
     log_time_ms: u64,
     owners: HashMap<ScopedKey, Owner>,
@@ -77,7 +77,7 @@
             me,
             rules,
             next_offset: 0,
-            began_ms: None,
+            history_from_ms: None,
             log_time_ms: 0,
             owners: HashMap::new(),
             by_minting: BTreeMap::new(),
@@ -90,8 +90,8 @@
     }
 
     /// Returns the log time from which the view has no gap; `None` before the first answer.
-    pub fn began_ms(&self) -> Option<u64> {
-        self.began_ms
+    pub fn history_from_ms(&self) -> Option<u64> {
+        self.history_from_ms
     }
 
     /// Returns the number of keys that are remembered.
@@ -105,7 +105,7 @@
     }
 
     /// Folds a page in and returns the keys that it said something of.
-    pub fn read(&mut self, page: ClaimPage) -> Vec<ScopedKey> {
+    pub fn apply_page(&mut self, page: ClaimPage) -> Vec<ScopedKey> {
         if page.from != self.next_offset {
             return Vec::new();
         }
@@ -129,18 +129,18 @@
         if owner.incarnation != self.me || owner.kind != ClaimKind::Claim {
             return Verdict::Owned(*owner);
         }
-        if self.reaches_back_to(key) { Verdict::Won } else { Verdict::ViewTooShort }
+        if self.covers_history_of(key) { Verdict::Won } else { Verdict::HistoryIncomplete }
     }
 
     /// Tells whether the reading began early enough to have seen every claim of a key.
-    pub fn reaches_back_to(&self, key: &ScopedKey) -> bool {
+    pub fn covers_history_of(&self, key: &ScopedKey) -> bool {
         let minted_ms = key.key.minted_ms().unwrap_or(0);
         let earliest_claim_ms = minted_ms.saturating_sub(self.rules.skew_ms);
-        self.began_ms.is_some_and(|began_ms| began_ms < earliest_claim_ms.max(1))
+        self.history_from_ms.is_some_and(|began_ms| began_ms < earliest_claim_ms.max(1))
     }
 
     fn note_start(&mut self, page: &ClaimPage) {
-        let first_answer = self.began_ms.is_none();
+        let first_answer = self.history_from_ms.is_none();
         let has_gap = page.first_offset > self.next_offset;
         if !first_answer && !has_gap {
             return;
@@ -149,7 +149,7 @@
         let complete = first_answer && page.first_offset == 0 && page.from == 0;
         let first_record_ms = page.records.first().map(|record| record.time_ms);
         let began_ms = if complete { 0 } else { first_record_ms.unwrap_or(page.time_ms) };
-        self.began_ms = Some(began_ms);
+        self.history_from_ms = Some(began_ms);
     }
 
     fn fold_record(&mut self, record: ClaimRecord, touched: &mut Vec<ScopedKey>) {
@@ -229,7 +229,7 @@
 
     /// Takes the next record's entries if one may be appended now; `interval` is the least time
     /// to the one after it.
-    pub fn take(&mut self, now: Duration, interval: Duration) -> Option<Vec<ClaimEntry>> {
+    pub fn take_batch(&mut self, now: Duration, interval: Duration) -> Option<Vec<ClaimEntry>> {
         if self.waiting.is_empty() || !self.in_flight.is_empty() || now < self.next_at {
             return None;
         }
@@ -240,14 +240,14 @@
     }
 
     /// Notes that the append in flight took effect.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         self.in_flight.clear();
         self.failing_since = None;
     }
 
     /// Notes that it is not known whether the append in flight took effect; its entries are
     /// appended again after a pause, which is harmless if they were there already.
-    pub fn in_doubt(&mut self, now: Duration, pause: Duration) {
+    pub fn record_unknown_outcome(&mut self, now: Duration, pause: Duration) {
         let mut again = std::mem::take(&mut self.in_flight);
         again.append(&mut self.waiting);
         self.waiting = again;
@@ -261,7 +261,7 @@
     }
 
     /// Returns when the next append may be sent, if entries wait for that time alone.
-    pub fn due_at(&self) -> Option<Duration> {
+    pub fn next_append_at(&self) -> Option<Duration> {
         let waits = !self.waiting.is_empty() && self.in_flight.is_empty();
         waits.then_some(self.next_at)
     }
@@ -273,6 +273,6 @@
 }
 
 /// Builds the record of a batch.
-pub fn batch(me: Incarnation, address: SocketAddr, entries: Vec<ClaimEntry>) -> ClaimBatch {
+pub fn build_batch(me: Incarnation, address: SocketAddr, entries: Vec<ClaimEntry>) -> ClaimBatch {
     ClaimBatch { incarnation: me, address, entries }
 }
--- a/crates/fernring-policy/src/cost.rs
+++ b/crates/fernring-policy/src/cost.rs
@@ -5,7 +5,7 @@
 /// Most rows that are kept; the rest is added up under [`OTHER`].
 const ROWS_MAX: usize = 4_096;
 /// Name under which rows beyond the limit are added up.
-pub const OTHER: &str = "other";
+pub const OTHER_WORKSPACE: &str = "other";
 
 /// What a cost belongs to.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -20,7 +20,7 @@
 
 /// What an attempt's time was spent on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Spent {
+pub enum CostCategory {
     /// Its result was used.
     Useful,
     /// It failed.
@@ -54,16 +54,16 @@
 
 impl CostTable {
     /// Adds one ended attempt.
-    pub fn add(&mut self, key: CostKey, spent: Spent, busy_ms: f64) {
+    pub fn add(&mut self, key: CostKey, spent: CostCategory, busy_ms: f64) {
         let full = self.rows.len() >= ROWS_MAX && !self.rows.contains_key(&key);
-        let key = if full { CostKey { workspace: OTHER.into(), ..key } } else { key };
+        let key = if full { CostKey { workspace: OTHER_WORKSPACE.into(), ..key } } else { key };
         let cost = self.rows.entry(key).or_default();
         cost.attempts += 1;
         match spent {
-            Spent::Useful => cost.useful_ms += busy_ms,
-            Spent::Failed => cost.failed_ms += busy_ms,
-            Spent::Hedged => cost.hedged_ms += busy_ms,
-            Spent::Abandoned => cost.abandoned_ms += busy_ms,
+            CostCategory::Useful => cost.useful_ms += busy_ms,
+            CostCategory::Failed => cost.failed_ms += busy_ms,
+            CostCategory::Hedged => cost.hedged_ms += busy_ms,
+            CostCategory::Abandoned => cost.abandoned_ms += busy_ms,
         }
     }
 
--- a/crates/fernring-policy/src/dispatcher/admit.rs
+++ b/crates/fernring-policy/src/dispatcher/admit.rs
@@ -109,7 +109,7 @@
         if let Err(retry_after_ms) = self.limits.admit(now.monotonic, workspace, limit_per_s) {
             return Some(Refusal { code: ResultCode::OverLimit, retry_after_ms });
         }
-        if !self.settings.full() {
+        if !self.settings.is_full() {
             return None;
         }
         self.refusal_by_load(now, submission, terms)
@@ -235,7 +235,7 @@
         self.log(line);
         let answer = match code.class() {
             Class::NotRun => Answer::not_run(Unattempted::never_accepted(), code, retry_after_ms),
-            _ => Answer::ran(code, retry_after_ms),
+            _ => Answer::failure(code, retry_after_ms),
         };
         self.finish_waiter(submission.waiter, answer);
     }
--- a/crates/fernring-policy/src/dispatcher/entry.rs
+++ b/crates/fernring-policy/src/dispatcher/entry.rs
@@ -2,7 +2,7 @@
 
 use {
     super::predict::Requester,
-    crate::{assembly::Assembly, event::Submission, queue::Place},
+    crate::{assembly::ResponseAssembly, event::Submission, queue::QueuePosition},
     fernring_core::{
         catalog::{Pipeline, Stage},
         ids::{AttemptRef, ScopedKey, UpstreamId, WaiterId},
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Phase {
     /// It waits for an upstream of its stage's pool.
-    Queued(Place),
+    Queued(QueuePosition),
     /// It waits to be told that its key is its own.
     AwaitingClaim,
     /// At least one attempt of its stage is under way.
@@ -167,7 +167,7 @@
     pub(crate) workspace: Arc<str>,
     pub(crate) stage_name: Arc<str>,
     pub(crate) pool: String,
-    pub(crate) assembly: Assembly,
+    pub(crate) assembly: ResponseAssembly,
     /// Whether a part contradicted the answer; then the attempt can't succeed.
     pub(crate) invalid: bool,
     /// Whether its twin's result was used instead.
@@ -192,7 +192,7 @@
             workspace: entry.submission.workspace.clone(),
             stage_name: stage.name.as_str().into(),
             pool: stage.pool.clone(),
-            assembly: Assembly::default(),
+            assembly: ResponseAssembly::default(),
             invalid: false,
             superseded: false,
         }
--- a/crates/fernring-policy/src/dispatcher/finish.rs
+++ b/crates/fernring-policy/src/dispatcher/finish.rs
@@ -8,7 +8,7 @@
     },
     crate::{
         answer::{Answer, Unattempted},
-        cost::{CostKey, Spent},
+        cost::{CostKey, CostCategory},
         settings::PolicySettings,
     },
     fernring_core::{
@@ -64,7 +64,7 @@
 
     fn keep(&mut self, now: Duration, key: ScopedKey, kept: Kept, settings: &PolicySettings) {
         if kept.answer.output().is_some() {
-            let at = now + settings.kept_answer();
+            let at = now + settings.answer_retention();
             self.outputs.push_back(Expiry { at, key: key.clone() });
         }
         let (queue, valid_ms) = match key.key {
@@ -145,8 +145,8 @@
             Some(proof) if code.class() == Class::NotRun => {
                 Answer::not_run(proof, code, retry_after_ms)
             }
-            _ if code.class() == Class::NotRun => Answer::ran(ResultCode::KeyEnded, retry_after_ms),
-            _ => Answer::ran(code, retry_after_ms),
+            _ if code.class() == Class::NotRun => Answer::failure(ResultCode::KeyEnded, retry_after_ms),
+            _ => Answer::failure(code, retry_after_ms),
         };
         self.end(now, request, answer);
     }
@@ -211,7 +211,7 @@
 
     fn settle_cost(&mut self, entry: &Entry, answer: &Answer) {
         let used = answer.code() == ResultCode::Ok;
-        let spent = if used { Spent::Useful } else { Spent::Abandoned };
+        let spent = if used { CostCategory::Useful } else { CostCategory::Abandoned };
         for time in &entry.times {
             let stage = &entry.pipeline.stages[usize::from(time.stage)];
             let key = CostKey {
@@ -231,7 +231,7 @@
             return;
         }
         self.waiter_left(waiter);
-        let answer = Answer::ran(ResultCode::StillRunning, self.settings.retry_after_ms);
+        let answer = Answer::failure(ResultCode::StillRunning, self.settings.retry_after_ms);
         self.finish_waiter(waiter, answer);
     }
 
--- a/crates/fernring-policy/src/dispatcher/mod.rs
+++ b/crates/fernring-policy/src/dispatcher/mod.rs
@@ -26,9 +26,9 @@
         claims::{ClaimQueue, ClaimRules, ClaimView},
         cost::CostTable,
         event::{Action, Counters, Event, KeyStatus},
-        queue::{Order, PoolQueue},
-        settings::{Mode, PolicySettings},
-        shares::{Demand, WorkspaceLimits},
+        queue::{QueueOrder, PoolQueue},
+        settings::{PolicyMode, PolicySettings},
+        workspace_limits::{WorkspaceDemand, WorkspaceLimits},
         upstreams::Upstreams,
     },
     entry::{Attempt, Entry},
@@ -144,17 +144,17 @@
             Event::Parts { attempt, parts } => self.take_parts(now, attempt, parts),
             Event::AttemptEnded { attempt, end } => self.attempt_ended(now, attempt, end),
             Event::ClaimsRead(page) => self.claims_read(now, page),
-            Event::ClaimsAppended => self.claim_queue.succeeded(),
-            Event::ClaimsInDoubt => self.claims_in_doubt(now),
+            Event::ClaimsAppended => self.claim_queue.record_success(),
+            Event::ClaimsOutcomeUnknown => self.claims_in_doubt(now),
             Event::OwnerAnswered { waiter, answer } => self.owner_answered(now, waiter, answer),
             Event::Configured(catalog) => self.configure(now, catalog),
-            Event::Reported(reports) => {
+            Event::UpstreamsReported(reports) => {
                 for report in &reports {
-                    self.upstreams.report(now.monotonic, report);
+                    self.upstreams.record_report(now.monotonic, report);
                 }
                 self.pump_all(now);
             }
-            Event::VmsLeaving(names) => self.upstreams.set_unlisted(&names),
+            Event::VmsLeaving(names) => self.upstreams.set_leaving_vms(&names),
             Event::Drain => self.draining = true,
             Event::Tick => self.pump_all(now),
         }
@@ -196,14 +196,14 @@
     }
 
     /// Returns the demand by workspace, for the heartbeat.
-    pub fn demand(&mut self, now: Now) -> Vec<Demand> {
+    pub fn demand(&mut self, now: Now) -> Vec<WorkspaceDemand> {
         self.limits.demand(now.monotonic)
     }
 
     /// Takes in the number of live nodes of the failure domain and the others' demand.
-    pub fn set_peers(&mut self, live_nodes: u32, demand: &[Demand]) {
+    pub fn set_peers(&mut self, live_nodes: u32, demand: &[WorkspaceDemand]) {
         self.upstreams.set_live_nodes(live_nodes);
-        self.limits.set_peers(live_nodes, demand);
+        self.limits.set_peer_demand(live_nodes, demand);
     }
 
     /// Tells what is known of a key.
@@ -218,13 +218,13 @@
             && ticket.incarnation != self.me.incarnation
         {
             let address = ticket.address;
-            return KeyStatus::Elsewhere { incarnation: ticket.incarnation, address };
+            return KeyStatus::OwnedElsewhere { incarnation: ticket.incarnation, address };
         }
         self.status_by_claims(key)
     }
 
     fn configure(&mut self, now: Now, catalog: Arc<Catalog>) {
-        self.upstreams.follow(&catalog);
+        self.upstreams.apply_catalog(&catalog);
         self.catalog = catalog;
         let order = self.queue_order();
         for pool in self.upstreams.pool_names() {
@@ -233,10 +233,10 @@
         self.pump_all(now);
     }
 
-    fn queue_order(&self) -> Order {
+    fn queue_order(&self) -> QueueOrder {
         match self.settings.mode {
-            Mode::Full => Order::FairDeadline,
-            Mode::Baseline => Order::Arrival,
+            PolicyMode::Full => QueueOrder::FairDeadline,
+            PolicyMode::Baseline => QueueOrder::Arrival,
         }
     }
 
--- a/crates/fernring-policy/src/dispatcher/own.rs
+++ b/crates/fernring-policy/src/dispatcher/own.rs
@@ -9,8 +9,8 @@
     },
     crate::{
         answer::{Answer, Unattempted},
-        claims::{Owner, Verdict, batch},
-        event::{Action, Forward, KeyStatus, OwnerWord, Submission},
+        claims::{Owner, Verdict, build_batch},
+        event::{Action, Forward, KeyStatus, OwnerAnswer, Submission},
         settings::PolicySettings,
     },
     fernring_core::{
@@ -153,7 +153,7 @@
             _ if kept.answer.code().class() == Class::NotRun => {
                 KeyPath::Refuse(ResultCode::KeySpent)
             }
-            _ => KeyPath::Answer(Answer::ran(ResultCode::KeyEnded, 0)),
+            _ => KeyPath::Answer(Answer::failure(ResultCode::KeyEnded, 0)),
         }
     }
 
@@ -164,7 +164,7 @@
         }
         match self.tickets.state(ticket.serial) {
             TicketState::Valid => KeyPath::Fresh,
-            TicketState::Expired => KeyPath::Answer(Answer::ran(ResultCode::KeyExpired, 0)),
+            TicketState::Expired => KeyPath::Answer(Answer::failure(ResultCode::KeyExpired, 0)),
             TicketState::NeverMinted => KeyPath::Refuse(ResultCode::BadKey),
         }
     }
@@ -174,18 +174,18 @@
             Verdict::Undecided => {}
             Verdict::Owned(owner) => return self.owned_path(owner),
             // This incarnation owned the key and no longer remembers what became of it.
-            Verdict::Won | Verdict::ViewTooShort => {
-                return KeyPath::Answer(Answer::ran(ResultCode::AnswerNotKept, 0));
+            Verdict::Won | Verdict::HistoryIncomplete => {
+                return KeyPath::Answer(Answer::failure(ResultCode::AnswerNotKept, 0));
             }
         }
         if submission.forwarded {
-            return KeyPath::Answer(Answer::ran(ResultCode::OwnerUnreachable, 0));
+            return KeyPath::Answer(Answer::failure(ResultCode::OwnerUnreachable, 0));
         }
         let minted_ms = key.key.minted_ms().unwrap_or(0);
         let wall_ms = now.wall_ms();
         if minted_ms + self.settings.claim_horizon_ms < wall_ms {
             // An earlier submission may have run; nobody can tell any more.
-            return KeyPath::Answer(Answer::ran(ResultCode::KeyExpired, 0));
+            return KeyPath::Answer(Answer::failure(ResultCode::KeyExpired, 0));
         }
         if minted_ms > wall_ms + self.settings.clock_skew_ms {
             return KeyPath::Refuse(ResultCode::KeyFromFuture);
@@ -196,7 +196,7 @@
     fn owned_path(&self, owner: Owner) -> KeyPath {
         match owner.kind {
             ClaimKind::Spent => KeyPath::Refuse(ResultCode::KeySpent),
-            ClaimKind::Ended => KeyPath::Answer(Answer::ran(ResultCode::KeyEnded, 0)),
+            ClaimKind::Ended => KeyPath::Answer(Answer::failure(ResultCode::KeyEnded, 0)),
             ClaimKind::Claim => KeyPath::Owner(address_of(owner)),
         }
     }
@@ -208,13 +208,13 @@
                 KeyStatus::Ended(Answer::not_run(proof, ResultCode::KeySpent, 0))
             }
             Verdict::Owned(Owner { kind: ClaimKind::Ended, .. }) => {
-                KeyStatus::Ended(Answer::ran(ResultCode::KeyEnded, 0))
+                KeyStatus::Ended(Answer::failure(ResultCode::KeyEnded, 0))
             }
             Verdict::Owned(Owner { incarnation, address, .. }) => {
-                KeyStatus::Elsewhere { incarnation, address }
+                KeyStatus::OwnedElsewhere { incarnation, address }
             }
-            Verdict::Won | Verdict::ViewTooShort => {
-                KeyStatus::Ended(Answer::ran(ResultCode::AnswerNotKept, 0))
+            Verdict::Won | Verdict::HistoryIncomplete => {
+                KeyStatus::Ended(Answer::failure(ResultCode::AnswerNotKept, 0))
             }
             Verdict::Undecided => KeyStatus::Unknown,
         }
@@ -233,7 +233,7 @@
         let waiter = submission.waiter;
         if submission.forwarded {
             let retry_after_ms = self.settings.retry_after_ms;
-            let answer = Answer::ran(ResultCode::OwnerUnreachable, retry_after_ms);
+            let answer = Answer::failure(ResultCode::OwnerUnreachable, retry_after_ms);
             return self.finish_waiter(waiter, answer);
         }
         self.counters.forwarded += 1;
@@ -259,8 +259,8 @@
         self.out.push(Action::Forward(Box::new(forward)));
     }
 
-    pub(super) fn owner_answered(&mut self, now: Now, waiter: WaiterId, word: Option<OwnerWord>) {
-        let word = word.unwrap_or(OwnerWord {
+    pub(super) fn owner_answered(&mut self, now: Now, waiter: WaiterId, word: Option<OwnerAnswer>) {
+        let word = word.unwrap_or(OwnerAnswer {
             code: ResultCode::OwnerUnreachable,
             output: None,
             retry_after_ms: Some(self.settings.retry_after_ms),
@@ -285,26 +285,26 @@
         self.claim_queue.retain(|entry| match view.verdict(&entry.key) {
             Verdict::Undecided => true,
             Verdict::Owned(owner) => owner.incarnation == me && owner.kind < entry.kind,
-            Verdict::Won | Verdict::ViewTooShort => entry.kind != ClaimKind::Claim,
+            Verdict::Won | Verdict::HistoryIncomplete => entry.kind != ClaimKind::Claim,
         });
         let interval = Duration::from_millis(self.settings.claim_interval_ms);
-        if let Some(entries) = self.claim_queue.take(now.monotonic, interval) {
+        if let Some(entries) = self.claim_queue.take_batch(now.monotonic, interval) {
             self.counters.appends += 1;
-            let record = batch(me, self.me.address, entries);
+            let record = build_batch(me, self.me.address, entries);
             self.out.push(Action::AppendClaims(record));
         }
-        if let Some(due_at) = self.claim_queue.due_at() {
+        if let Some(due_at) = self.claim_queue.next_append_at() {
             self.timers.set_pump(due_at);
         }
     }
 
     pub(super) fn claims_in_doubt(&mut self, now: Now) {
         let pause = Duration::from_millis(self.settings.claim_retry_ms);
-        self.claim_queue.in_doubt(now.monotonic, pause);
+        self.claim_queue.record_unknown_outcome(now.monotonic, pause);
     }
 
     pub(super) fn claims_read(&mut self, now: Now, page: ClaimPage) {
-        for key in self.claim_view.read(page) {
+        for key in self.claim_view.apply_page(page) {
             if let Some(request) = self.by_key.get(&key).copied() {
                 self.claim_decided(now, request, &key);
             }
@@ -324,7 +324,7 @@
                     self.enter_stage(now, request);
                 }
             }
-            Verdict::ViewTooShort => self.end_with(now, request, ResultCode::ClaimViewTooShort),
+            Verdict::HistoryIncomplete => self.end_with(now, request, ResultCode::ClaimViewTooShort),
             Verdict::Owned(owner) => self.claim_lost(now, request, owner),
         }
     }
--- a/crates/fernring-policy/src/dispatcher/parts.rs
+++ b/crates/fernring-policy/src/dispatcher/parts.rs
@@ -3,7 +3,7 @@
 use {
     super::Dispatcher,
     crate::{
-        assembly::{Added, Assembly},
+        assembly::{AddOutcome, ResponseAssembly},
         event::{Action, EchoedPart},
     },
     fernring_core::{
@@ -67,9 +67,9 @@
             return;
         }
         match attempt.assembly.add(echoed.part, self.settings.answer_max_bytes) {
-            Added::Kept => {}
-            Added::Duplicate => self.counters.parts_duplicate += 1,
-            Added::Invalid => attempt.invalid = true,
+            AddOutcome::Accepted => {}
+            AddOutcome::Duplicate => self.counters.parts_duplicate += 1,
+            AddOutcome::Invalid => attempt.invalid = true,
         }
     }
 
@@ -84,7 +84,7 @@
     }
 
     /// Gives streaming waiters the parts of an answer that they have not got yet.
-    pub(super) fn deliver_rest(&mut self, request: RequestId, assembly: &Assembly) {
+    pub(super) fn deliver_rest(&mut self, request: RequestId, assembly: &ResponseAssembly) {
         let Some(entry) = self.ledger.get_mut(request) else {
             return;
         };
--- a/crates/fernring-policy/src/dispatcher/predict.rs
+++ b/crates/fernring-policy/src/dispatcher/predict.rs
@@ -1,7 +1,7 @@
 //! When a request would finish.
 
 use {
-    crate::{estimate::Estimate, upstreams::Slots},
+    crate::{service_time::ServiceTimeEstimate, upstreams::Slots},
     fernring_core::catalog::Pipeline,
     std::{
         collections::{BTreeMap, HashMap},
@@ -29,8 +29,8 @@
 /// Service times by stage and the work that is still to come to each pool.
 #[derive(Debug, Default)]
 pub(crate) struct Forecast {
-    stages: HashMap<StageKey, Estimate>,
-    pools: HashMap<String, Estimate>,
+    stages: HashMap<StageKey, ServiceTimeEstimate>,
+    pools: HashMap<String, ServiceTimeEstimate>,
     /// Requests accepted whose stage at the pool was not sent yet.
     pending: BTreeMap<String, PoolPending>,
 }
@@ -121,9 +121,9 @@
         let declared = &pipeline.stages[usize::from(stage)];
         let key = StageKey { pipeline: name.clone(), stage };
         let by_stage = self.stages.entry(key);
-        by_stage.or_insert_with(|| Estimate::expecting(declared.expected_ms)).record(ms);
+        by_stage.or_insert_with(|| ServiceTimeEstimate::with_expected_ms(declared.expected_ms)).record(ms);
         let by_pool = self.pools.entry(declared.pool.clone());
-        by_pool.or_insert_with(|| Estimate::expecting(declared.expected_ms)).record(ms);
+        by_pool.or_insert_with(|| ServiceTimeEstimate::with_expected_ms(declared.expected_ms)).record(ms);
     }
 
     /// Predicts the time that a new request needs for all its stages, in milliseconds: work
@@ -184,7 +184,7 @@
             return f64::INFINITY;
         }
         let ahead = self.pending.get(pool).map_or(0.0, |pending| pending.ahead_of(requester));
-        let mean_ms = self.pools.get(pool).map_or(expected_ms as f64, Estimate::mean_ms);
+        let mean_ms = self.pools.get(pool).map_or(expected_ms as f64, ServiceTimeEstimate::mean_ms);
         (ahead - free as f64).max(0.0) * mean_ms / total as f64
     }
 
@@ -193,14 +193,14 @@
         name: &Arc<str>,
         pipeline: &Pipeline,
         stage: u16,
-        read: impl Fn(&Estimate) -> T,
+        read: impl Fn(&ServiceTimeEstimate) -> T,
     ) -> T {
         let key = StageKey { pipeline: name.clone(), stage };
         match self.stages.get(&key) {
             Some(estimate) => read(estimate),
             None => {
                 let declared = &pipeline.stages[usize::from(stage)];
-                read(&Estimate::expecting(declared.expected_ms))
+                read(&ServiceTimeEstimate::with_expected_ms(declared.expected_ms))
             }
         }
     }
--- a/crates/fernring-policy/src/dispatcher/run.rs
+++ b/crates/fernring-policy/src/dispatcher/run.rs
@@ -7,7 +7,7 @@
         timers::TimerKind,
     },
     crate::{
-        cost::{CostKey, Spent},
+        cost::{CostKey, CostCategory},
         event::{Action, AttemptEnd, Dispatch},
         queue::PoolQueue,
         upstreams::Choice,
@@ -90,7 +90,7 @@
 
     /// Tells whether a request can't finish within its window even if all goes well.
     fn is_hopeless(&self, now: Now, request: RequestId) -> bool {
-        if !self.settings.full() || !self.settings.admission {
+        if !self.settings.is_full() || !self.settings.admission {
             return false;
         }
         let entry = &self.ledger[request];
@@ -121,7 +121,7 @@
         self.watch_straggler(now, &attempt, kind);
         self.count_sent(kind, attempt.effect);
         self.attempts.insert(reference.attempt, attempt);
-        self.upstreams.started(choice.upstream);
+        self.upstreams.record_sent(choice.upstream);
         self.log_route(&dispatch, choice, kind);
         self.out.push(Action::Dispatch(dispatch));
     }
@@ -152,7 +152,7 @@
 
     /// Sets the time at which a first attempt becomes a straggler.
     fn watch_straggler(&mut self, now: Now, attempt: &Attempt, kind: AttemptKind) {
-        let hedges = self.settings.full() && self.settings.hedging;
+        let hedges = self.settings.is_full() && self.settings.hedging;
         if !hedges || attempt.effect || kind != AttemptKind::First {
             return;
         }
@@ -173,7 +173,7 @@
             .with("attempt_kind", kind.name())
             .with_some("upstream", name(choice.upstream))
             .with_some("runner_up", choice.runner_up.and_then(name))
-            .with("why", choice.why.name())
+            .with("why", choice.reason.name())
             .with("remaining_ms", dispatch.remaining_ms);
         self.log(line);
     }
@@ -183,7 +183,7 @@
         match kind {
             AttemptKind::First => {
                 self.counters.first_attempts += 1;
-                self.budget.first_attempt();
+                self.budget.record_first_attempt();
             }
             AttemptKind::Retry => self.counters.retries += 1,
             AttemptKind::Resend => self.counters.resends += 1,
@@ -207,10 +207,10 @@
             return;
         };
         // Near saturation a hedge takes its slot from somebody else's first attempt.
-        if !self.upstreams.is_calm(now.monotonic, choice.upstream) {
+        if !self.upstreams.may_take_hedge(now.monotonic, choice.upstream) {
             return;
         }
-        if !self.budget.take() {
+        if !self.budget.try_spend() {
             return;
         }
         self.ledger[attempt.request].hedged = true;
@@ -224,7 +224,7 @@
         let busy = now.monotonic.saturating_sub(attempt.started);
         let busy_ms = busy.as_secs_f64() * 1_000.0;
         let output = match end {
-            AttemptEnd::Completed if !attempt.invalid => attempt.assembly.whole(),
+            AttemptEnd::Completed if !attempt.invalid => attempt.assembly.complete_text(),
             _ => None,
         };
         let end = match end {
@@ -257,20 +257,20 @@
         let upstream = attempt.upstream;
         let ejected = match end {
             AttemptEnd::Completed => {
-                self.upstreams.succeeded(upstream);
+                self.upstreams.record_success(upstream);
                 false
             }
             AttemptEnd::Leaving => {
-                self.upstreams.note_leaving(upstream);
-                self.upstreams.released(upstream);
+                self.upstreams.mark_leaving(upstream);
+                self.upstreams.record_release(upstream);
                 false
             }
             AttemptEnd::Refused | AttemptEnd::Cancelled => {
-                self.upstreams.released(upstream);
+                self.upstreams.record_release(upstream);
                 false
             }
-            AttemptEnd::NotSent => self.upstreams.failed(now.monotonic, upstream, NOT_SENT_WEIGHT),
-            AttemptEnd::Failed => self.upstreams.failed(now.monotonic, upstream, 1),
+            AttemptEnd::NotSent => self.upstreams.record_failure(now.monotonic, upstream, NOT_SENT_WEIGHT),
+            AttemptEnd::Failed => self.upstreams.record_failure(now.monotonic, upstream, 1),
         };
         if ejected && let Some(state) = self.upstreams.get(upstream) {
             let line = LogLine::event("eject").with("upstream", &state.name);
@@ -280,7 +280,7 @@
 
     /// Accounts for an attempt that nobody waits for any more.
     fn ended_after_use(&mut self, attempt: &Attempt, end: AttemptEnd, busy_ms: f64) {
-        let spent = if attempt.superseded { Spent::Hedged } else { Spent::Abandoned };
+        let spent = if attempt.superseded { CostCategory::Hedged } else { CostCategory::Abandoned };
         self.costs.add(cost_key(attempt), spent, busy_ms);
         if attempt.effect {
             let line = LogLine::event("effect_outcome_after_answer")
@@ -326,7 +326,7 @@
 
     fn stage_attempt_failed(&mut self, now: Now, attempt: &Attempt, end: AttemptEnd, ms: f64) {
         let request = attempt.reference.request;
-        self.costs.add(cost_key(attempt), Spent::Failed, ms);
+        self.costs.add(cost_key(attempt), CostCategory::Failed, ms);
         let unsent = end == AttemptEnd::NotSent;
         let not_run =
             matches!(end, AttemptEnd::NotSent | AttemptEnd::Refused | AttemptEnd::Leaving);
@@ -351,7 +351,7 @@
         let max = self.settings.stage_attempts_max + if not_run { UNSENT_ATTEMPTS_MAX } else { 0 };
         let may_retry = entry.stage_attempts < max;
         // An attempt that ran nothing cost the upstream nothing, so its retry is free.
-        if may_retry && (not_run || self.budget.take()) {
+        if may_retry && (not_run || self.budget.try_spend()) {
             return self.enqueue(now, request);
         }
         self.end_with(now, request, ResultCode::StageFailed);
--- a/crates/fernring-policy/src/event.rs
+++ b/crates/fernring-policy/src/event.rs
@@ -1,7 +1,7 @@
 //! What the dispatcher is told and what it asks for.
 
 use {
-    crate::{answer::Answer, assembly::Part, upstreams::UpstreamReport},
+    crate::{answer::Answer, assembly::ResponsePart, upstreams::UpstreamReport},
     fernring_core::{
         catalog::Catalog,
         claim::{ClaimBatch, ClaimPage},
@@ -51,7 +51,7 @@
     /// Number of the attempt.
     pub attempt: u64,
     /// The part.
-    pub part: Part,
+    pub part: ResponsePart,
 }
 
 /// How an attempt ended, as far as the shell can tell.
@@ -97,18 +97,18 @@
     /// The append in flight took effect.
     ClaimsAppended,
     /// The append in flight failed, or its answer was lost: it may have taken effect.
-    ClaimsInDoubt,
+    ClaimsOutcomeUnknown,
     /// The owner of a key answered a submission that was passed on.
     OwnerAnswered {
         /// The waiter that the submission was passed on for.
         waiter: WaiterId,
         /// The owner's word; `None` if the owner can't be reached or does not know the key.
-        answer: Option<OwnerWord>,
+        answer: Option<OwnerAnswer>,
     },
     /// A new configuration is in force.
     Configured(Arc<Catalog>),
     /// Upstreams reported.
-    Reported(Vec<UpstreamReport>),
+    UpstreamsReported(Vec<UpstreamReport>),
     /// The VM list shows these upstreams as leaving.
     VmsLeaving(Vec<String>),
     /// The node is to take no new requests.
@@ -119,7 +119,7 @@
 
 /// The final word of a key's owner.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct OwnerWord {
+pub struct OwnerAnswer {
     /// Its result code.
     pub code: fernring_core::code::ResultCode,
     /// The whole output, if it was answered.
@@ -202,7 +202,7 @@
     /// Its request has ended here with this answer.
     Ended(Answer),
     /// Another incarnation owns it.
-    Elsewhere {
+    OwnedElsewhere {
         /// That incarnation.
         incarnation: Incarnation,
         /// Its peer address.
--- a/crates/fernring-policy/src/fold.rs
+++ b/crates/fernring-policy/src/fold.rs
@@ -21,7 +21,7 @@
 
 /// A record as read from the log.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ReadRecord {
+pub struct ConfigLogRecord {
     /// Its offset.
     pub offset: u64,
     /// The log's own time of the record, in milliseconds since the Unix epoch.
@@ -40,13 +40,13 @@
     /// The offset that the next record will get.
     pub next_offset: u64,
     /// The records, contiguous from `max(from, first_offset)`.
-    pub records: Vec<ReadRecord>,
+    pub records: Vec<ConfigLogRecord>,
 }
 
 impl ConfigPage {
     /// Reads the records of a page that the log service gave for `from`.
     pub fn decode(from: u64, page: LogPage) -> Self {
-        let record = |record: LogRecord| ReadRecord {
+        let record = |record: LogRecord| ConfigLogRecord {
             offset: record.offset,
             time_ms: record.time_ms,
             record: serde_json::from_slice(&record.data).ok(),
@@ -62,7 +62,7 @@
 
 /// What became of a change.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Outcome {
+pub struct ChangeOutcome {
     /// The change's identity.
     pub id: Uuid,
     /// The version that it made, or why it was refused.
@@ -87,7 +87,7 @@
     gap: bool,
     /// Log time of the newest snapshot, or of the first record that was read.
     covered_time_ms: Option<u64>,
-    outcomes: Vec<Outcome>,
+    outcomes: Vec<ChangeOutcome>,
 }
 
 impl Default for ConfigFold {
@@ -139,7 +139,7 @@
 
     /// Returns what became of a change, if it was folded recently. A change that was appended
     /// twice is accepted at most once; then it counts as accepted.
-    pub fn outcome(&self, id: Uuid) -> Option<&Outcome> {
+    pub fn outcome(&self, id: Uuid) -> Option<&ChangeOutcome> {
         let mut found = self.outcomes.iter().filter(|outcome| outcome.id == id);
         let first = found.next()?;
         found.find(|outcome| outcome.result.is_ok() && first.result.is_err()).or(Some(first))
@@ -155,13 +155,13 @@
 
     /// Tells whether a snapshot should be appended: there are accepted changes, and the newest
     /// snapshot, or the first record if there is none, is older than `age_ms` by the log's time.
-    pub fn wants_snapshot(&self, log_time_ms: u64, age_ms: u64) -> bool {
+    pub fn needs_snapshot(&self, log_time_ms: u64, age_ms: u64) -> bool {
         let due = self.covered_time_ms.is_none_or(|time_ms| time_ms + age_ms <= log_time_ms);
         self.ready && !self.gap && self.version > 0 && due
     }
 
     /// Folds a page in. Returns whether the version in force changed.
-    pub fn read(&mut self, page: ConfigPage) -> bool {
+    pub fn apply_page(&mut self, page: ConfigPage) -> bool {
         if page.from != self.next_offset {
             return false;
         }
@@ -201,7 +201,7 @@
         self.gap = self.version < first_offset;
     }
 
-    fn fold_record(&mut self, read: ReadRecord) {
+    fn fold_record(&mut self, read: ConfigLogRecord) {
         if read.offset != self.next_offset {
             return;
         }
@@ -244,7 +244,7 @@
         if self.outcomes.len() >= OUTCOMES_MAX {
             self.outcomes.drain(..OUTCOMES_MAX / 2);
         }
-        self.outcomes.push(Outcome { id: change.id, result });
+        self.outcomes.push(ChangeOutcome { id: change.id, result });
     }
 
     fn fold_snapshot(&mut self, time_ms: u64, snapshot: Snapshot) {
--- a/crates/fernring-policy/src/membership.rs
+++ b/crates/fernring-policy/src/membership.rs
@@ -4,7 +4,7 @@
 //! of the others, so its cost does not grow with the fleet. The VM list only suggests addresses.
 
 use {
-    crate::shares::Demand,
+    crate::workspace_limits::WorkspaceDemand,
     fernring_core::{change::Version, ids::Incarnation},
     std::{
         collections::{BTreeMap, BTreeSet},
@@ -38,7 +38,7 @@
     /// Whether it is shutting down.
     pub draining: bool,
     /// Demand of the workspaces that have a limit.
-    pub demand: Vec<Demand>,
+    pub demand: Vec<WorkspaceDemand>,
     /// Reports of the upstreams that this node asks; see [`Membership::asks`].
     pub reports: Vec<ReportDigest>,
 }
@@ -56,13 +56,13 @@
 
 /// Hashes an upstream's name for a [`ReportDigest`]. Two names of one failure domain that collide
 /// only mislead routing until the next report.
-pub fn short_hash(name: &str) -> u32 {
+pub fn upstream_hash(name: &str) -> u32 {
     xxh3_64(name.as_bytes()) as u32
 }
 
 /// A VM of the system, as the VM list or the settings suggest it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Hint {
+pub struct PeerHint {
     /// Peer address.
     pub address: SocketAddr,
     /// Failure domain.
@@ -82,7 +82,7 @@
     address: SocketAddr,
     failure_domain: Arc<str>,
     interval: Duration,
-    hints: BTreeSet<Hint>,
+    hints: BTreeSet<PeerHint>,
     /// The newest heartbeat by address. Invariant: never holds this node's own address.
     peers: BTreeMap<SocketAddr, Peer>,
 }
@@ -100,12 +100,12 @@
     }
 
     /// Replaces the hints.
-    pub fn set_hints(&mut self, hints: impl IntoIterator<Item = Hint>) {
+    pub fn set_hints(&mut self, hints: impl IntoIterator<Item = PeerHint>) {
         self.hints = hints.into_iter().filter(|hint| hint.address != self.address).collect();
     }
 
     /// Takes in a heartbeat.
-    pub fn heard(&mut self, now: Duration, heartbeat: Heartbeat) {
+    pub fn record_heartbeat(&mut self, now: Duration, heartbeat: Heartbeat) {
         if heartbeat.incarnation == self.me || heartbeat.address == self.address {
             return;
         }
@@ -116,7 +116,7 @@
 
     /// Lists the addresses to exchange heartbeats with: everybody of the own failure domain that
     /// is known or suggested, and a few of the others.
-    pub fn contacts(&self) -> Vec<SocketAddr> {
+    pub fn heartbeat_targets(&self) -> Vec<SocketAddr> {
         let mut own = BTreeSet::new();
         let mut foreign = BTreeSet::new();
         for hint in &self.hints {
@@ -136,7 +136,7 @@
     }
 
     /// Lists the heartbeats of the live peers of the own failure domain.
-    pub fn live(&self, now: Duration) -> Vec<&Heartbeat> {
+    pub fn live_peers(&self, now: Duration) -> Vec<&Heartbeat> {
         let patience = self.interval * MISSED_MAX;
         let live = |peer: &&Peer| {
             now < peer.heard_at + patience && self.is_own(&peer.heartbeat.failure_domain)
@@ -147,30 +147,30 @@
     /// Returns the number of live nodes of the own failure domain that take requests, this one
     /// included.
     pub fn live_nodes(&self, now: Duration) -> u32 {
-        let others = self.live(now).into_iter().filter(|heartbeat| !heartbeat.draining).count();
+        let others = self.live_peers(now).into_iter().filter(|heartbeat| !heartbeat.draining).count();
         others as u32 + 1
     }
 
     /// Tells whether this node is the one that asks an upstream of the failure domain for reports:
     /// the first by rendezvous hashing among the live nodes, which pass the answers on with their
     /// heartbeats. Without that each node's cost would grow with the domain's upstreams.
-    pub fn asks(&self, now: Duration, upstream: &str) -> bool {
+    pub fn polls(&self, now: Duration, upstream: &str) -> bool {
         let rank = |incarnation: Incarnation| {
             xxh3_64_with_seed(upstream.as_bytes(), incarnation.0.as_u128() as u64)
         };
         let mine = rank(self.me);
-        let mut others = self.live(now).into_iter().filter(|heartbeat| !heartbeat.draining);
+        let mut others = self.live_peers(now).into_iter().filter(|heartbeat| !heartbeat.draining);
         others.all(|heartbeat| rank(heartbeat.incarnation) < mine)
     }
 
     /// Returns the demand that the live peers of the own failure domain report.
-    pub fn peer_demand(&self, now: Duration) -> Vec<Demand> {
-        self.live(now).into_iter().flat_map(|heartbeat| heartbeat.demand.clone()).collect()
+    pub fn peer_demand(&self, now: Duration) -> Vec<WorkspaceDemand> {
+        self.live_peers(now).into_iter().flat_map(|heartbeat| heartbeat.demand.clone()).collect()
     }
 
     /// Returns a peer that is ahead in configuration, if any is: one of those with the newest. `draw`, from 0 to
     /// 1, spreads the nodes, since one link doesn't carry a large configuration to all of them at once.
-    pub fn ahead_of(&self, version: Version, draw: f64) -> Option<SocketAddr> {
+    pub fn newer_config_peer(&self, version: Version, draw: f64) -> Option<SocketAddr> {
         let newest = self.highest_version();
         let has_it = |peer: &&Peer| peer.heartbeat.config_version == newest;
         let ahead: Vec<_> = self.peers.values().filter(has_it).collect();
--- a/crates/fernring-policy/src/placement.rs
+++ b/crates/fernring-policy/src/placement.rs
@@ -45,7 +45,7 @@
 
 /// The incarnation in charge of a failure domain's orders, by the log as read so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Holder {
+pub struct GrantHolder {
     /// The incarnation.
     pub incarnation: Incarnation,
     /// The fencing number of its orders.
@@ -76,11 +76,11 @@
 
 /// The fold of the order stream for one failure domain, and this node's part in it.
 #[derive(Debug)]
-pub struct Placement {
+pub struct PlacementController {
     me: Incarnation,
     failure_domain: Arc<str>,
     valid: Duration,
-    holder: Option<Holder>,
+    holder: Option<GrantHolder>,
     /// Log time up to which the stream was read, and the monotonic time of that reading.
     log_time_ms: u64,
     read_at: Duration,
@@ -91,7 +91,7 @@
     settled_from_ms: u64,
 }
 
-impl Placement {
+impl PlacementController {
     /// Creates the placement of a node that has read nothing.
     pub fn new(me: Incarnation, failure_domain: Arc<str>, valid: Duration) -> Self {
         Self {
@@ -107,7 +107,7 @@
     }
 
     /// Folds records in; `log_time_ms` is the log's time when it answered.
-    pub fn read(&mut self, now: Duration, log_time_ms: u64, records: &[GrantRecord]) {
+    pub fn apply_records(&mut self, now: Duration, log_time_ms: u64, records: &[GrantRecord]) {
         for record in records {
             if let Some(grant) = &record.grant
                 && grant.failure_domain == self.failure_domain.as_ref()
@@ -120,7 +120,7 @@
     }
 
     /// Returns who is in charge.
-    pub fn holder(&self) -> Option<Holder> {
+    pub fn holder(&self) -> Option<GrantHolder> {
         self.holder
     }
 
@@ -159,7 +159,7 @@
 
     fn fold(&mut self, record: &GrantRecord, grant: &Grant) {
         let until_ms = record.time_ms + grant.valid_ms;
-        let next = Holder { incarnation: grant.incarnation, fence: record.offset, until_ms };
+        let next = GrantHolder { incarnation: grant.incarnation, fence: record.offset, until_ms };
         match self.holder {
             Some(held) if held.incarnation == grant.incarnation => self.holder = Some(next),
             Some(held) if record.time_ms <= held.until_ms => {}
--- a/crates/fernring-policy/src/plan.rs
+++ b/crates/fernring-policy/src/plan.rs
@@ -100,7 +100,7 @@
     UnknownPipeline(String),
     /// A value of the intent is not allowed.
     #[error("{key}: {problem}")]
-    BadIntent {
+    InvalidIntent {
         /// The key.
         key: &'static str,
         /// What is wrong and what is allowed.
@@ -172,7 +172,7 @@
     intent: &Intent,
     now_ms: u64,
 ) -> Result<&'a Pipeline, PlanError> {
-    let bad = |key, problem: &str| PlanError::BadIntent { key, problem: problem.to_owned() };
+    let bad = |key, problem: &str| PlanError::InvalidIntent { key, problem: problem.to_owned() };
     let Some(pipeline) = catalog.pipelines.get(&intent.pipeline) else {
         return Err(PlanError::UnknownPipeline(intent.pipeline.clone()));
     };
--- a/crates/fernring-policy/src/queue.rs
+++ b/crates/fernring-policy/src/queue.rs
@@ -17,7 +17,7 @@
 
 /// The order in which requests are taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Order {
+pub enum QueueOrder {
     /// Fair between workspaces, then earliest deadline.
     FairDeadline,
     /// First come, first served.
@@ -26,7 +26,7 @@
 
 /// Where a waiting request stands; needed to take it out.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Place {
+pub struct QueuePosition {
     workspace: Arc<str>,
     rank: Rank,
 }
@@ -51,7 +51,7 @@
 /// `len` is the number of requests in all lanes.
 #[derive(Debug)]
 pub struct PoolQueue {
-    order: Order,
+    order: QueueOrder,
     lanes: HashMap<Arc<str>, Lane>,
     active: BTreeSet<(u64, Arc<str>)>,
     virtual_time: u64,
@@ -61,7 +61,7 @@
 
 impl PoolQueue {
     /// Creates an empty queue.
-    pub fn new(order: Order) -> Self {
+    pub fn new(order: QueueOrder) -> Self {
         Self {
             order,
             lanes: HashMap::new(),
@@ -89,13 +89,13 @@
         workspace: &Arc<str>,
         weight: u32,
         deadline: Duration,
-    ) -> Place {
+    ) -> QueuePosition {
         self.serial += 1;
         let lane_name = match self.order {
-            Order::FairDeadline => workspace.clone(),
-            Order::Arrival => Arc::from(""),
+            QueueOrder::FairDeadline => workspace.clone(),
+            QueueOrder::Arrival => Arc::from(""),
         };
-        let deadline = if self.order == Order::Arrival { Duration::ZERO } else { deadline };
+        let deadline = if self.order == QueueOrder::Arrival { Duration::ZERO } else { deadline };
         let rank = Rank { deadline, serial: self.serial };
         let lane = self.lanes.entry(lane_name.clone()).or_default();
         lane.weight = weight.max(1);
@@ -105,7 +105,7 @@
         }
         lane.waiting.insert(rank, request);
         self.len += 1;
-        Place { workspace: lane_name, rank }
+        QueuePosition { workspace: lane_name, rank }
     }
 
     /// Returns the request that is next, without taking it.
@@ -127,7 +127,7 @@
     }
 
     /// Takes out a request that no longer waits.
-    pub fn remove(&mut self, place: &Place) {
+    pub fn remove(&mut self, place: &QueuePosition) {
         let Some(lane) = self.lanes.get_mut(&place.workspace) else {
             return;
         };
--- a/crates/fernring-policy/src/estimate.rs
+++ b/crates/fernring-policy/src/service_time.rs
@@ -11,15 +11,15 @@
 
 /// Service times of one stage.
 #[derive(Debug, Clone)]
-pub struct Estimate {
+pub struct ServiceTimeEstimate {
     weights: [f32; BUCKETS],
     total: f64,
     sum_ms: f64,
 }
 
-impl Estimate {
+impl ServiceTimeEstimate {
     /// Starts from an operator's expectation, which a few measurements outweigh.
-    pub fn expecting(expected_ms: u64) -> Self {
+    pub fn with_expected_ms(expected_ms: u64) -> Self {
         let mut estimate = Self { weights: [0.0; BUCKETS], total: 0.0, sum_ms: 0.0 };
         estimate.add(expected_ms as f64, PRIOR_WEIGHT);
         estimate
--- a/crates/fernring-policy/src/settings.rs
+++ b/crates/fernring-policy/src/settings.rs
@@ -8,7 +8,7 @@
 /// How much of the policy is at work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Default)]
 #[serde(rename_all = "snake_case")]
-pub enum Mode {
+pub enum PolicyMode {
     /// Everything this crate decides.
     #[default]
     Full,
@@ -21,7 +21,7 @@
 #[serde(deny_unknown_fields, default)]
 pub struct PolicySettings {
     /// Whether the whole policy or the plain baseline decides.
-    pub mode: Mode,
+    pub mode: PolicyMode,
     /// Whether requests that can't finish within their window are refused on arrival.
     pub admission: bool,
     /// Whether a straggling attempt without side effect gets one hedge.
@@ -77,7 +77,7 @@
 impl Default for PolicySettings {
     fn default() -> Self {
         Self {
-            mode: Mode::Full,
+            mode: PolicyMode::Full,
             admission: true,
             hedging: true,
             prefix_affinity: true,
@@ -158,11 +158,11 @@
         Ok(())
     }
 
-    pub(crate) fn full(&self) -> bool {
-        self.mode == Mode::Full
+    pub(crate) fn is_full(&self) -> bool {
+        self.mode == PolicyMode::Full
     }
 
-    pub(crate) fn kept_answer(&self) -> Duration {
+    pub(crate) fn answer_retention(&self) -> Duration {
         Duration::from_millis(self.kept_answer_ms)
     }
 }
--- a/crates/fernring-policy/src/upstreams.rs
+++ b/crates/fernring-policy/src/upstreams.rs
@@ -42,7 +42,7 @@
 
 /// Why an upstream was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Why {
+pub enum ChoiceReason {
     /// It is first in the order of the prompt prefix.
     Prefix,
     /// It is not first for the prefix, but those before it carry too much.
@@ -57,7 +57,7 @@
     Spilled,
 }
 
-impl Why {
+impl ChoiceReason {
     /// Returns the name used in log lines.
     pub fn name(self) -> &'static str {
         match self {
@@ -79,7 +79,7 @@
     /// Where it would have gone otherwise.
     pub runner_up: Option<UpstreamId>,
     /// Why.
-    pub why: Why,
+    pub reason: ChoiceReason,
 }
 
 /// What is known of one upstream.
@@ -158,7 +158,7 @@
     }
 
     /// Follows a new catalog. What is known of an upstream whose address stays is kept.
-    pub fn follow(&mut self, catalog: &Catalog) {
+    pub fn apply_catalog(&mut self, catalog: &Catalog) {
         let gone = |name: &Arc<str>, states: &SlotMap<UpstreamId, UpstreamState>, id| {
             let address = states.get(id).map(|state: &UpstreamState| state.spec.address);
             catalog.upstreams.get(name.as_ref()).map(|spec| spec.address) != address
@@ -194,7 +194,7 @@
     }
 
     /// Takes in a report.
-    pub fn report(&mut self, now: Duration, report: &UpstreamReport) {
+    pub fn record_report(&mut self, now: Duration, report: &UpstreamReport) {
         let Some(state) = self.by_name.get(report.upstream.as_str()) else {
             return;
         };
@@ -210,35 +210,35 @@
 
     /// Takes in the VM list: names of upstreams that it shows as leaving. The list lags, so
     /// being absent from it proves nothing.
-    pub fn set_unlisted(&mut self, leaving: &[String]) {
+    pub fn set_leaving_vms(&mut self, leaving: &[String]) {
         for state in self.states.values_mut() {
             state.unlisted = leaving.iter().any(|name| name.as_str() == state.name.as_ref());
         }
     }
 
     /// Notes an upstream's own answer that it is leaving.
-    pub fn note_leaving(&mut self, id: UpstreamId) {
+    pub fn mark_leaving(&mut self, id: UpstreamId) {
         if let Some(state) = self.states.get_mut(id) {
             state.leaving = true;
         }
     }
 
     /// Notes an attempt that was sent.
-    pub fn started(&mut self, id: UpstreamId) {
+    pub fn record_sent(&mut self, id: UpstreamId) {
         if let Some(state) = self.states.get_mut(id) {
             state.in_flight += 1;
         }
     }
 
     /// Notes an attempt that ended without saying anything of the upstream's health.
-    pub fn released(&mut self, id: UpstreamId) {
+    pub fn record_release(&mut self, id: UpstreamId) {
         if let Some(state) = self.states.get_mut(id) {
             state.in_flight = state.in_flight.saturating_sub(1);
         }
     }
 
     /// Notes an attempt that succeeded.
-    pub fn succeeded(&mut self, id: UpstreamId) {
+    pub fn record_success(&mut self, id: UpstreamId) {
         let Some(state) = self.states.get_mut(id) else {
             return;
         };
@@ -249,7 +249,7 @@
 
     /// Notes an attempt that failed; `weight` failures in a row count towards ejection. Returns
     /// whether the upstream was ejected.
-    pub fn failed(&mut self, now: Duration, id: UpstreamId, weight: u32) -> bool {
+    pub fn record_failure(&mut self, now: Duration, id: UpstreamId, weight: u32) -> bool {
         let Some(state) = self.states.get_mut(id) else {
             return false;
         };
@@ -307,7 +307,7 @@
         tried: &[UpstreamId],
         rng: &mut SmallRng,
     ) -> Option<Choice> {
-        if !self.settings.full() {
+        if !self.settings.is_full() {
             return self.next_in_turn(pool);
         }
         let shares = self.shares(now, pool);
@@ -323,7 +323,7 @@
         let own: Vec<_> = usable.iter().copied().filter(|id| self.is_own(*id)).collect();
         if own.is_empty() {
             let choice = self.choose_among(now, &usable, prefix, rng)?;
-            return Some(Choice { why: Why::Spilled, ..choice });
+            return Some(Choice { reason: ChoiceReason::Spilled, ..choice });
         }
         self.choose_among(now, &own, prefix, rng)
     }
@@ -381,7 +381,7 @@
             let state = &self.states[id];
             if state.is_open() && state.in_flight < state.spec.concurrency {
                 self.turn = self.turn.wrapping_add(step + 1);
-                return Some(Choice { upstream: id, runner_up: None, why: Why::RoundRobin });
+                return Some(Choice { upstream: id, runner_up: None, reason: ChoiceReason::RoundRobin });
             }
         }
         None
@@ -396,7 +396,7 @@
     ) -> Option<Choice> {
         let (&first, rest) = usable.split_first()?;
         if rest.is_empty() {
-            return Some(Choice { upstream: first, runner_up: None, why: Why::OnlyOne });
+            return Some(Choice { upstream: first, runner_up: None, reason: ChoiceReason::OnlyOne });
         }
         let is_engine = self.states[first].spec.kind == UpstreamKind::Engine;
         if is_engine && self.settings.prefix_affinity {
@@ -406,11 +406,11 @@
         let b = (a + rng.random_range(1..usable.len())) % usable.len();
         let (a, b) = (usable[a], usable[b]);
         let (chosen, other) = if self.load(now, a) <= self.load(now, b) { (a, b) } else { (b, a) };
-        Some(Choice { upstream: chosen, runner_up: Some(other), why: Why::LessLoaded })
+        Some(Choice { upstream: chosen, runner_up: Some(other), reason: ChoiceReason::LessLoaded })
     }
 
     /// Tells whether an upstream carries so little that a second attempt there delays nobody.
-    pub fn is_calm(&self, now: Duration, id: UpstreamId) -> bool {
+    pub fn may_take_hedge(&self, now: Duration, id: UpstreamId) -> bool {
         self.states.contains_key(id) && self.load(now, id) < CALM_LOAD
     }
 
@@ -437,9 +437,9 @@
         let bound = (mean * LOAD_BOUND).ceil();
         let fits = |id: &&UpstreamId| f64::from(self.carried(now, **id) + 1) <= bound;
         let upstream = *ranked.iter().find(fits).unwrap_or(&ranked[0]);
-        let why = if upstream == ranked[0] { Why::Prefix } else { Why::PrefixBounded };
+        let why = if upstream == ranked[0] { ChoiceReason::Prefix } else { ChoiceReason::PrefixBounded };
         let runner_up = ranked.iter().copied().find(|id| *id != upstream);
-        Some(Choice { upstream, runner_up, why })
+        Some(Choice { upstream, runner_up, reason: why })
     }
 }
 
--- a/crates/fernring-policy/src/shares.rs
+++ b/crates/fernring-policy/src/workspace_limits.rs
@@ -15,7 +15,7 @@
 
 /// The demand of one workspace at one node, in requests a second.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Demand {
+pub struct WorkspaceDemand {
     /// Name of the workspace.
     pub workspace: Arc<str>,
     /// Requests a second that arrived.
@@ -42,7 +42,7 @@
 
 impl WorkspaceLimits {
     /// Takes in what the other live nodes of the domain report.
-    pub fn set_peers(&mut self, live_nodes: u32, peers: &[Demand]) {
+    pub fn set_peer_demand(&mut self, live_nodes: u32, peers: &[WorkspaceDemand]) {
         self.live_nodes = live_nodes;
         for bucket in self.buckets.values_mut() {
             bucket.peers_per_s = 0.0;
@@ -87,12 +87,12 @@
     }
 
     /// Returns the demand seen here, for the heartbeat.
-    pub fn demand(&mut self, now: Duration) -> Vec<Demand> {
+    pub fn demand(&mut self, now: Duration) -> Vec<WorkspaceDemand> {
         let mut list = Vec::new();
         for (workspace, bucket) in &mut self.buckets {
             bucket.roll(now);
             if bucket.demand_per_s > 0.0 {
-                list.push(Demand { workspace: workspace.clone(), per_s: bucket.demand_per_s });
+                list.push(WorkspaceDemand { workspace: workspace.clone(), per_s: bucket.demand_per_s });
             }
         }
         list
--- a/crates/fernring-policy/tests/testsuite/claim_view.rs
+++ b/crates/fernring-policy/tests/testsuite/claim_view.rs
@@ -102,13 +102,13 @@
         for (more, dropped) in steps {
             end = (end + more).min(log.len() as u64);
             first = (first + dropped).min(end);
-            view.read(page(&log, view.next_offset(), first, end));
+            view.apply_page(page(&log, view.next_offset(), first, end));
             for minted_s in 0..12 {
                 let key = key(minted_s);
                 let owner = true_owner(&log[..end as usize], &key);
                 match view.verdict(&key) {
                     Verdict::Won => prop_assert_eq!(owner, Some(me)),
-                    Verdict::Owned(found) if view.reaches_back_to(&key) => {
+                    Verdict::Owned(found) if view.covers_history_of(&key) => {
                         prop_assert_eq!(owner, Some(found.incarnation));
                     }
                     _ => {}
@@ -123,7 +123,7 @@
         let log = log_of(&said);
         let me = incarnation(1);
         let mut view = ClaimView::new(me, RULES);
-        view.read(page(&log, 0, 0, log.len() as u64));
+        view.apply_page(page(&log, 0, 0, log.len() as u64));
         let last_ms = log.last().unwrap().time_ms;
         for minted_s in 0..12 {
             let key = key(minted_s);
@@ -132,7 +132,7 @@
                 let found = match view.verdict(&key) {
                     Verdict::Won => Some(me),
                     Verdict::Owned(found) => Some(found.incarnation),
-                    Verdict::Undecided | Verdict::ViewTooShort => None,
+                    Verdict::Undecided | Verdict::HistoryIncomplete => None,
                 };
                 prop_assert_eq!(found, Some(owner));
             }
--- a/crates/fernring-policy/tests/testsuite/config_fold.rs
+++ b/crates/fernring-policy/tests/testsuite/config_fold.rs
@@ -5,7 +5,7 @@
         catalog::{Catalog, Workspace},
         change::{Change, ConfigRecord, Operation, Snapshot, apply},
     },
-    fernring_policy::fold::{ConfigFold, ConfigPage, ReadRecord},
+    fernring_policy::fold::{ConfigFold, ConfigPage, ConfigLogRecord},
     proptest::prelude::*,
     std::{collections::BTreeMap, sync::Arc},
     uuid::Uuid,
@@ -83,7 +83,7 @@
     fn page(&self, from: u64, count: usize) -> ConfigPage {
         let begin = from.max(self.first_offset);
         let records = self.records.iter().enumerate().skip(begin as usize).take(count);
-        let read = |(offset, record): (usize, &ConfigRecord)| ReadRecord {
+        let read = |(offset, record): (usize, &ConfigRecord)| ConfigLogRecord {
             offset: offset as u64,
             time_ms: offset as u64,
             record: Some(record.clone()),
@@ -118,7 +118,7 @@
                 }
                 Step::Read { reader, count } => {
                     let page = stream.page(readers[reader].next_offset(), count);
-                    readers[reader].read(page);
+                    readers[reader].apply_page(page);
                 }
                 Step::Adopt { reader } => {
                     if let Some(snapshot) = readers[1 - reader].snapshot() {
@@ -140,7 +140,7 @@
         stream.snapshot(0);
         for reader in &mut readers {
             let page = stream.page(reader.next_offset(), usize::MAX);
-            reader.read(page);
+            reader.apply_page(page);
             prop_assert_eq!(reader.version(), stream.version());
             prop_assert!(!reader.has_gap() || stream.version() == 0);
         }
@@ -152,10 +152,10 @@
     let mut stream = Stream::default();
     let mut fold = ConfigFold::new();
     stream.append(0, 1);
-    fold.read(stream.page(0, usize::MAX));
-    assert!(!fold.wants_snapshot(99, 100), "the only record is 99 old");
-    assert!(fold.wants_snapshot(100, 100));
+    fold.apply_page(stream.page(0, usize::MAX));
+    assert!(!fold.needs_snapshot(99, 100), "the only record is 99 old");
+    assert!(fold.needs_snapshot(100, 100));
     stream.snapshot(0);
-    fold.read(stream.page(fold.next_offset(), usize::MAX));
-    assert!(!fold.wants_snapshot(100, 100), "the snapshot is 99 old");
+    fold.apply_page(stream.page(fold.next_offset(), usize::MAX));
+    assert!(!fold.needs_snapshot(100, 100), "the snapshot is 99 old");
 }
--- a/crates/fernring-policy/tests/testsuite/dispatcher.rs
+++ b/crates/fernring-policy/tests/testsuite/dispatcher.rs
@@ -10,10 +10,10 @@
     },
     fernring_policy::{
         answer::Answer,
-        assembly::Part,
+        assembly::ResponsePart,
         dispatcher::{Dispatcher, Identity},
-        event::{Action, AttemptEnd, Dispatch, EchoedPart, Event, Forward, OwnerWord, Submission},
-        settings::{Mode, PolicySettings},
+        event::{Action, AttemptEnd, Dispatch, EchoedPart, Event, Forward, OwnerAnswer, Submission},
+        settings::{PolicyMode, PolicySettings},
         upstreams::UpstreamReport,
     },
     std::{sync::Arc, time::Duration},
@@ -139,7 +139,7 @@
             uid: dispatch.uid,
             stage: dispatch.attempt.stage,
             attempt: dispatch.attempt.attempt,
-            part: Part { sequence: 0, text: "y".into(), last: true },
+            part: ResponsePart { sequence: 0, text: "y".into(), last: true },
         };
         self.handle(Event::Parts { attempt: dispatch.attempt, parts: vec![part] });
         self.end(dispatch, AttemptEnd::Completed);
@@ -219,7 +219,7 @@
     let forward = bench.forward().unwrap();
     assert_eq!((forward.waiter, forward.incarnation), (waiter, incarnation(2)));
     let code = ResultCode::KeySpent;
-    let answer = Some(OwnerWord { code, output: None, retry_after_ms: Some(0) });
+    let answer = Some(OwnerAnswer { code, output: None, retry_after_ms: Some(0) });
     bench.handle(Event::OwnerAnswered { waiter, answer });
     assert_eq!(bench.code(waiter), Some(ResultCode::KeyEnded));
     assert_eq!(ResultCode::KeyEnded.class(), Class::Failed);
@@ -234,7 +234,7 @@
     assert!(answer.retry_after_ms().unwrap() > 0);
     assert!(bench.dispatches().is_empty());
 
-    let settings = PolicySettings { mode: Mode::Baseline, ..PolicySettings::default() };
+    let settings = PolicySettings { mode: PolicyMode::Baseline, ..PolicySettings::default() };
     let mut baseline = Bench::new(settings, catalog(4, 0));
     baseline.submit("pure", None, 150);
     assert_eq!(baseline.dispatches().len(), 1);
@@ -385,7 +385,7 @@
     let mut bench = usual();
     for name in ["encode-0", "encode-1", "encode-2"] {
         let report = UpstreamReport { upstream: name.to_owned(), load: 0, leaving: true };
-        bench.handle(Event::Reported(vec![report]));
+        bench.handle(Event::UpstreamsReported(vec![report]));
     }
     for _ in 0..4 {
         bench.submit("pure", None, 10_000);
@@ -394,7 +394,7 @@
     assert_eq!(dispatches.len(), 4);
     assert!(dispatches.iter().all(|dispatch| dispatch.address.port() == 4), "{dispatches:?}");
     let report = UpstreamReport { upstream: "encode-3".to_owned(), load: 0, leaving: true };
-    bench.handle(Event::Reported(vec![report]));
+    bench.handle(Event::UpstreamsReported(vec![report]));
     let waiter = bench.submit("pure", None, 10_000);
     assert_eq!(bench.code(waiter), Some(ResultCode::NoUpstream));
 }
@@ -497,7 +497,7 @@
     for index in 0..POOL_SIZE {
         let upstream = format!("encode-{index}");
         let report = UpstreamReport { upstream, load: 4, leaving: false };
-        bench.handle(Event::Reported(vec![report]));
+        bench.handle(Event::UpstreamsReported(vec![report]));
     }
     bench.advance(300);
     assert!(bench.dispatches().is_empty());
@@ -531,7 +531,7 @@
         uid: encode.uid,
         stage: encode.attempt.stage,
         attempt: encode.attempt.attempt,
-        part: Part { sequence: 0, text: "y".into(), last: false },
+        part: ResponsePart { sequence: 0, text: "y".into(), last: false },
     };
     bench.handle(Event::Parts { attempt: encode.attempt, parts: vec![part] });
     bench.end(&encode, AttemptEnd::NotSent);
--- a/crates/fernring-policy/tests/testsuite/placement.rs
+++ b/crates/fernring-policy/tests/testsuite/placement.rs
@@ -6,7 +6,7 @@
         ids::Incarnation,
         orders::Grant,
     },
-    fernring_policy::placement::{GrantRecord, Placement, PlacementStep},
+    fernring_policy::placement::{GrantRecord, PlacementController, PlacementStep},
     std::{collections::BTreeMap, sync::Arc, time::Duration},
     uuid::Uuid,
 };
@@ -68,15 +68,15 @@
     GrantRecord { offset, time_ms, grant: Some(grant) }
 }
 
-fn node(number: u8) -> Placement {
-    Placement::new(incarnation(number), "a".into(), VALID)
+fn node(number: u8) -> PlacementController {
+    PlacementController::new(incarnation(number), "a".into(), VALID)
 }
 
-fn in_charge(placement: &Placement) -> Option<(Incarnation, u64)> {
+fn in_charge(placement: &PlacementController) -> Option<(Incarnation, u64)> {
     placement.holder().map(|holder| (holder.incarnation, holder.fence))
 }
 
-fn step(placement: &mut Placement, now: Duration) -> PlacementStep {
+fn step(placement: &mut PlacementController, now: Duration) -> PlacementStep {
     placement.step(now, LOAD_AT_MS, &catalog(), &BTreeMap::new())
 }
 
@@ -87,7 +87,7 @@
     assert!(matches!(step(&mut second, Duration::ZERO), PlacementStep::Append(_)));
     let records = [record(7, 1_000, 1), record(8, 1_001, 2)];
     for node in [&mut first, &mut second] {
-        node.read(Duration::ZERO, 1_001, &records);
+        node.apply_records(Duration::ZERO, 1_001, &records);
         assert_eq!(in_charge(node), Some((incarnation(1), 7)));
     }
     let PlacementStep::Order(orders) = step(&mut first, Duration::ZERO) else {
@@ -106,7 +106,7 @@
 fn an_engine_that_holds_its_models_gets_no_order() {
     let mut first = node(1);
     step(&mut first, Duration::ZERO);
-    first.read(Duration::ZERO, 1_000, &[record(7, 1_000, 1)]);
+    first.apply_records(Duration::ZERO, 1_000, &[record(7, 1_000, 1)]);
     let reported = BTreeMap::from([("engine-a".to_owned(), vec!["v3".to_owned()])]);
     let done = first.step(Duration::ZERO, LOAD_AT_MS, &catalog(), &reported);
     assert_eq!(done, PlacementStep::Idle);
@@ -118,7 +118,7 @@
 fn a_holder_that_was_paused_past_its_grant_orders_nothing() {
     let mut first = node(1);
     step(&mut first, Duration::ZERO);
-    first.read(Duration::ZERO, 1_000, &[record(7, 1_000, 1)]);
+    first.apply_records(Duration::ZERO, 1_000, &[record(7, 1_000, 1)]);
     assert!(matches!(step(&mut first, Duration::ZERO), PlacementStep::Order(_)));
     // It wakes after its grant has ended, before it has read anything new.
     let woken = step(&mut first, VALID + Duration::from_millis(1));
@@ -128,16 +128,16 @@
 #[test]
 fn a_new_holder_waits_out_the_old_grant_before_its_first_order() {
     let mut second = node(2);
-    second.read(Duration::ZERO, 1_000, &[record(7, 1_000, 1)]);
+    second.apply_records(Duration::ZERO, 1_000, &[record(7, 1_000, 1)]);
     let later = Duration::from_millis(10_001);
     assert!(matches!(step(&mut second, later), PlacementStep::Append(_)));
-    second.read(later, 11_001, &[record(9, 11_001, 2)]);
+    second.apply_records(later, 11_001, &[record(9, 11_001, 2)]);
     assert_eq!(in_charge(&second), Some((incarnation(2), 9)));
     assert_eq!(step(&mut second, later), PlacementStep::Idle, "an old order may be on its way");
     let settled = later + VALID;
     // By then its own grant is due for renewal; the renewal keeps it in charge.
     assert!(matches!(step(&mut second, settled), PlacementStep::Append(_)));
-    second.read(settled, 21_001, &[record(10, 21_001, 2)]);
+    second.apply_records(settled, 21_001, &[record(10, 21_001, 2)]);
     let PlacementStep::Order(orders) = step(&mut second, settled) else {
         panic!("the new holder orders");
     };
@@ -148,8 +148,8 @@
 fn a_grant_before_the_old_one_ended_counts_for_nobody() {
     let mut reader = node(3);
     let records = [record(1, 1_000, 1), record(2, 11_000, 2), record(3, 11_001, 2)];
-    reader.read(Duration::ZERO, 11_000, &records[..2]);
+    reader.apply_records(Duration::ZERO, 11_000, &records[..2]);
     assert_eq!(in_charge(&reader), Some((incarnation(1), 1)), "it still holds at its last moment");
-    reader.read(Duration::ZERO, 11_001, &records[2..]);
+    reader.apply_records(Duration::ZERO, 11_001, &records[2..]);
     assert_eq!(in_charge(&reader), Some((incarnation(2), 3)));
 }
--- a/crates/fernring-policy/tests/testsuite/queues.rs
+++ b/crates/fernring-policy/tests/testsuite/queues.rs
@@ -3,8 +3,8 @@
 use {
     fernring_core::ids::RequestId,
     fernring_policy::{
-        queue::{Order, PoolQueue},
-        shares::{Demand, WorkspaceLimits},
+        queue::{QueueOrder, PoolQueue},
+        workspace_limits::{WorkspaceDemand, WorkspaceLimits},
     },
     slotmap::SlotMap,
     std::{sync::Arc, time::Duration},
@@ -19,7 +19,7 @@
 fn a_flooding_workspace_does_not_delay_a_small_one() {
     let ids = requests(101);
     let (large, small): (Arc<str>, Arc<str>) = ("large".into(), "small".into());
-    let mut queue = PoolQueue::new(Order::FairDeadline);
+    let mut queue = PoolQueue::new(QueueOrder::FairDeadline);
     for id in &ids[..100] {
         queue.push(*id, &large, 1, Duration::from_secs(1));
     }
@@ -34,7 +34,7 @@
 fn weights_share_a_queue_and_deadlines_order_a_workspace() {
     let ids = requests(60);
     let (heavy, light): (Arc<str>, Arc<str>) = ("heavy".into(), "light".into());
-    let mut queue = PoolQueue::new(Order::FairDeadline);
+    let mut queue = PoolQueue::new(QueueOrder::FairDeadline);
     for (index, id) in ids.iter().enumerate() {
         let (workspace, weight) = if index < 30 { (&heavy, 2) } else { (&light, 1) };
         queue.push(*id, workspace, weight, Duration::from_secs(100 - index as u64));
@@ -49,7 +49,7 @@
 fn a_request_that_is_taken_out_is_not_given_again() {
     let ids = requests(3);
     let workspace: Arc<str> = "one".into();
-    let mut queue = PoolQueue::new(Order::FairDeadline);
+    let mut queue = PoolQueue::new(QueueOrder::FairDeadline);
     let places: Vec<_> =
         ids.iter().map(|id| queue.push(*id, &workspace, 1, Duration::from_secs(1))).collect();
     queue.remove(&places[1]);
@@ -74,9 +74,9 @@
             }
         }
         if tick % 500 == 0 {
-            let demand: Vec<Vec<Demand>> = nodes.iter_mut().map(|node| node.demand(now)).collect();
-            nodes[0].set_peers(2, &demand[1]);
-            nodes[1].set_peers(2, &demand[0]);
+            let demand: Vec<Vec<WorkspaceDemand>> = nodes.iter_mut().map(|node| node.demand(now)).collect();
+            nodes[0].set_peer_demand(2, &demand[1]);
+            nodes[1].set_peer_demand(2, &demand[0]);
         }
     }
     let per_s = admitted.map(|count| f64::from(count) / 10.0);
--- a/crates/fernring-policy/tests/testsuite/random_run.rs
+++ b/crates/fernring-policy/tests/testsuite/random_run.rs
@@ -17,10 +17,10 @@
     },
     fernring_policy::{
         answer::Answer,
-        assembly::Part,
+        assembly::ResponsePart,
         dispatcher::{Dispatcher, Identity},
         event::{
-            Action, AttemptEnd, Dispatch, EchoedPart, Event, Forward, KeyStatus, OwnerWord,
+            Action, AttemptEnd, Dispatch, EchoedPart, Event, Forward, KeyStatus, OwnerAnswer,
             Submission,
         },
         settings::PolicySettings,
@@ -430,7 +430,7 @@
             Some(Waiter::Node { node, incarnation, waiter }) => {
                 let (node, incarnation, waiter) = (*node, *incarnation, *waiter);
                 if self.is_alive(node, incarnation) {
-                    let word = OwnerWord {
+                    let word = OwnerAnswer {
                         code: answer.code(),
                         output: answer.output().cloned(),
                         retry_after_ms: answer.retry_after_ms(),
@@ -547,13 +547,13 @@
             }
             AppendFate::LandsUnanswered => {
                 self.land(append.batch);
-                Event::ClaimsInDoubt
+                Event::ClaimsOutcomeUnknown
             }
             AppendFate::LandsLater => {
                 self.late.push(append.batch);
-                Event::ClaimsInDoubt
+                Event::ClaimsOutcomeUnknown
             }
-            AppendFate::Dropped => Event::ClaimsInDoubt,
+            AppendFate::Dropped => Event::ClaimsOutcomeUnknown,
         };
         if self.is_alive(append.node, append.incarnation) {
             self.handle(append.node, event);
@@ -780,7 +780,7 @@
         uid: dispatch.uid,
         stage: dispatch.attempt.stage,
         attempt: dispatch.attempt.attempt,
-        part: Part { sequence, text: text.into(), last },
+        part: ResponsePart { sequence, text: text.into(), last },
     };
     let (first, last) = (part(0, head, false), part(1, tail, true));
     match fate {
--- a/crates/fernring/src/http/routes.rs
+++ b/crates/fernring/src/http/routes.rs
@@ -145,7 +145,7 @@
         KeyStatus::Unknown => {
             JsonReply::answer(&AnswerBody::of_code(ResultCode::UnknownKey, Some(0)))
         }
-        KeyStatus::Elsewhere { incarnation, address } => {
+        KeyStatus::OwnedElsewhere { incarnation, address } => {
             ask_owner(node, &scoped, incarnation, address).await
         }
     }
--- a/crates/fernring/src/node/actions.rs
+++ b/crates/fernring/src/node/actions.rs
@@ -7,7 +7,7 @@
     },
     crate::peer::{PeerError, forward_message},
     fernring_core::{code::ResultCode, ids::WaiterId},
-    fernring_policy::event::{Action, AttemptEnd, Dispatch, Event, Forward, OwnerWord},
+    fernring_policy::event::{Action, AttemptEnd, Dispatch, Event, Forward, OwnerAnswer},
     fernring_protocol::messages::{SubmissionAnswer, frame::Body},
     std::{sync::Arc, time::Duration},
     tokio::{sync::oneshot, time::timeout},
@@ -85,8 +85,8 @@
     node.handle(Event::OwnerAnswered { waiter, answer });
 }
 
-fn owner_word(answer: SubmissionAnswer) -> Option<OwnerWord> {
+fn owner_word(answer: SubmissionAnswer) -> Option<OwnerAnswer> {
     let code = ResultCode::from_number(u16::try_from(answer.code).ok()?)?;
     let output = answer.output.map(Arc::from);
-    Some(OwnerWord { code, output, retry_after_ms: answer.retry_after_ms })
+    Some(OwnerAnswer { code, output, retry_after_ms: answer.retry_after_ms })
 }
--- a/crates/fernring/src/node/claim_loop.rs
+++ b/crates/fernring/src/node/claim_loop.rs
@@ -43,7 +43,7 @@
         Err(error) => {
             let line = LogLine::event("claims_in_doubt").with("entries", batch.entries.len());
             warn!("{}", line.with("error", error));
-            Event::ClaimsInDoubt
+            Event::ClaimsOutcomeUnknown
         }
     };
     node.handle(event);
--- a/crates/fernring/src/node/config_loop.rs
+++ b/crates/fernring/src/node/config_loop.rs
@@ -30,7 +30,7 @@
         let from = lock(&node.fold).next_offset();
         match node.log.read(CONFIG_STREAM, from, LONG_POLL).await {
             Ok(page) => {
-                let changed = lock(&node.fold).read(ConfigPage::decode(from, page));
+                let changed = lock(&node.fold).apply_page(ConfigPage::decode(from, page));
                 let now_ms = saturating_ms(node.now().monotonic);
                 node.config_read_at_ms.store(now_ms, Ordering::Relaxed);
                 node.configured(changed);
@@ -58,7 +58,7 @@
             continue;
         };
         let is_at_end = page.next_offset == from;
-        if is_at_end && lock(&node.fold).wants_snapshot(page.time_ms, age_ms) {
+        if is_at_end && lock(&node.fold).needs_snapshot(page.time_ms, age_ms) {
             append_snapshot(&node).await;
         }
     }
--- a/crates/fernring/src/node/order_loop.rs
+++ b/crates/fernring/src/node/order_loop.rs
@@ -36,7 +36,7 @@
             let catalog = lock(&node.fold).catalog().clone();
             let models = lock(&node.models).clone();
             let mut placement = lock(&node.placement);
-            placement.read(now.monotonic, page.time_ms, &records);
+            placement.apply_records(now.monotonic, page.time_ms, &records);
             // A draining node takes no charge, so that another one does.
             match node.is_draining() {
                 true => PlacementStep::Idle,
--- a/crates/fernring/src/node/peer_loop.rs
+++ b/crates/fernring/src/node/peer_loop.rs
@@ -91,7 +91,7 @@
             if heartbeat.failure_domain == node.identity.failure_domain {
                 report_loop::take_digests(node, &heartbeat.reports);
             }
-            lock(&node.membership).heard(node.now().monotonic, heartbeat);
+            lock(&node.membership).record_heartbeat(node.now().monotonic, heartbeat);
             Some(Body::Heartbeat(heartbeat_message(&node.heartbeat())))
         }
         Body::ConfigRequest(request) => Some(Body::ConfigState(config_state(node, request))),
@@ -168,7 +168,7 @@
             stage: 0,
             output: answer.output().map(ToString::to_string),
         },
-        KeyStatus::Elsewhere { .. } | KeyStatus::Unknown => unknown,
+        KeyStatus::OwnedElsewhere { .. } | KeyStatus::Unknown => unknown,
     }
 }
 
@@ -178,7 +178,7 @@
     // On its own, so that heartbeats don't wait for a large configuration; one at a time.
     let mut fetch = JoinSet::new();
     loop {
-        let contacts = lock(&node.membership).contacts();
+        let contacts = lock(&node.membership).heartbeat_targets();
         join_all(contacts.into_iter().map(|address| beat(&node, address, every))).await;
         note_peers(&node);
         let have = {
@@ -186,7 +186,7 @@
             // Behind a gap a state of the same version helps too: it says what was missed.
             fold.version().saturating_sub(u64::from(fold.has_gap()))
         };
-        let ahead = lock(&node.membership).ahead_of(have, rand::random());
+        let ahead = lock(&node.membership).newer_config_peer(have, rand::random());
         while fetch.try_join_next().is_some() {}
         if let Some(address) = ahead
             && fetch.is_empty()
@@ -208,7 +208,7 @@
         return;
     };
     if let Some(heartbeat) = heartbeat_from(message) {
-        lock(&node.membership).heard(node.now().monotonic, heartbeat);
+        lock(&node.membership).record_heartbeat(node.now().monotonic, heartbeat);
     }
 }
 
--- a/crates/fernring/src/node/report_loop.rs
+++ b/crates/fernring/src/node/report_loop.rs
@@ -6,7 +6,7 @@
     fernring_platform::{VmEntry, VmRole, VmState},
     fernring_policy::{
         event::Event,
-        membership::{Hint, ReportDigest, short_hash},
+        membership::{PeerHint, ReportDigest, upstream_hash},
         upstreams::UpstreamReport,
     },
     futures_util::{Stream, StreamExt, stream},
@@ -24,16 +24,16 @@
     loop {
         tokio::time::sleep(every).await;
         let names = own_part(&node);
-        let asked: BTreeSet<u32> = names.iter().map(|name| short_hash(name)).collect();
+        let asked: BTreeSet<u32> = names.iter().map(|name| upstream_hash(name)).collect();
         lock(&node.reports).retain(|upstream, _| asked.contains(upstream));
         let mut reports = pin!(ask(&node, names));
         // Each report counts as soon as it is here: an upstream that does not answer must not
         // delay the news that another one is leaving.
         while let Some(report) = reports.next().await {
-            let upstream = short_hash(&report.upstream);
+            let upstream = upstream_hash(&report.upstream);
             let digest = ReportDigest { upstream, load: report.load, leaving: report.leaving };
             lock(&node.reports).insert(upstream, digest);
-            node.handle(Event::Reported(vec![report]));
+            node.handle(Event::UpstreamsReported(vec![report]));
         }
     }
 }
@@ -45,7 +45,7 @@
     let membership = lock(&node.membership);
     let domain = node.identity.failure_domain.as_ref();
     let own = catalog.domain(domain).map(|(name, _)| name);
-    own.filter(|name| membership.asks(now, name)).map(str::to_owned).collect()
+    own.filter(|name| membership.polls(now, name)).map(str::to_owned).collect()
 }
 
 /// Asks upstreams for reports, and notes the models that they hold. Reports come in the order in
@@ -77,7 +77,7 @@
         Some(UpstreamReport { upstream, load: digest.load, leaving: digest.leaving })
     };
     let reports: Vec<_> = digests.iter().filter_map(report).collect();
-    node.handle(Event::Reported(reports));
+    node.handle(Event::UpstreamsReported(reports));
 }
 
 /// Reads the VM list for as long as the node runs.
@@ -97,7 +97,7 @@
 fn follow_vm_list(node: &Arc<Node>, list: &[VmEntry]) {
     let entry_vms = list.iter().filter(|vm| vm.role == VmRole::Entry);
     let hints = entry_vms
-        .map(|vm| Hint { address: vm.address, failure_domain: vm.failure_domain.clone() })
+        .map(|vm| PeerHint { address: vm.address, failure_domain: vm.failure_domain.clone() })
         .chain(node.settings.peers.seeds.iter().map(Into::into));
     lock(&node.membership).set_hints(hints);
     let is_leaving = |vm: &&VmEntry| vm.role == VmRole::Upstream && vm.state == VmState::Leaving;
--- a/crates/fernring/src/node/state.rs
+++ b/crates/fernring/src/node/state.rs
@@ -21,8 +21,8 @@
         dispatcher::{Dispatcher, Identity},
         event::{Action, Counters, Event, KeyStatus, Submission},
         fold::ConfigFold,
-        membership::{Heartbeat, Membership, ReportDigest, short_hash},
-        placement::{Holder, Placement},
+        membership::{Heartbeat, Membership, ReportDigest, upstream_hash},
+        placement::{GrantHolder, PlacementController},
     },
     spdlog::{debug, info},
     std::{
@@ -69,7 +69,7 @@
     pub(super) dispatcher: Mutex<Dispatcher>,
     pub(super) fold: Mutex<ConfigFold>,
     pub(super) membership: Mutex<Membership>,
-    pub(super) placement: Mutex<Placement>,
+    pub(super) placement: Mutex<PlacementController>,
     /// Models by engine, as last reported to this node.
     pub(super) models: Mutex<BTreeMap<String, Vec<String>>>,
     /// Names of the failure domain's upstreams by their short hash, for reports from others.
@@ -122,7 +122,7 @@
     /// Costs by stage.
     pub costs: Vec<(CostKey, Cost)>,
     /// Who is in charge of the failure domain's orders.
-    pub order_holder: Option<Holder>,
+    pub order_holder: Option<GrantHolder>,
 }
 
 /// What a node knows of an upstream.
@@ -189,7 +189,7 @@
             dispatcher: Mutex::new(dispatcher),
             fold: Mutex::new(ConfigFold::new()),
             membership: Mutex::new(membership),
-            placement: Mutex::new(Placement::new(incarnation, failure_domain, valid)),
+            placement: Mutex::new(PlacementController::new(incarnation, failure_domain, valid)),
             models: Mutex::default(),
             names: Mutex::default(),
             reports: Mutex::default(),
@@ -392,7 +392,7 @@
         info!("{}", LogLine::event("configured").with("version", version));
         let domain = self.identity.failure_domain.as_ref();
         let own = catalog.domain(domain);
-        let names = own.map(|(name, _)| (short_hash(name), name.to_owned())).collect();
+        let names = own.map(|(name, _)| (upstream_hash(name), name.to_owned())).collect();
         *lock(&self.names) = Arc::new(names);
         self.handle(Event::Configured(catalog));
     }
--- a/crates/fernring/src/peer.rs
+++ b/crates/fernring/src/peer.rs
@@ -6,7 +6,7 @@
     fernring_policy::{
         event::Submission,
         membership::{Heartbeat, ReportDigest},
-        shares::Demand,
+        workspace_limits::WorkspaceDemand,
     },
     fernring_protocol::{
         Frame, codec, decode, encode,
@@ -175,7 +175,7 @@
 
 /// Converts a received heartbeat; `None` if it is malformed.
 pub fn heartbeat_from(message: HeartbeatMessage) -> Option<Heartbeat> {
-    let demand = message.demand.into_iter().map(|demand| Demand {
+    let demand = message.demand.into_iter().map(|demand| WorkspaceDemand {
         workspace: demand.workspace.into(),
         per_s: demand.milli_per_s as f64 / 1_000.0,
     });
--- a/crates/fernring/src/settings.rs
+++ b/crates/fernring/src/settings.rs
@@ -6,7 +6,7 @@
 use {
     crate::logs::LogLevel,
     fernring_core::text::is_name,
-    fernring_policy::{membership::Hint, settings::PolicySettings},
+    fernring_policy::{membership::PeerHint, settings::PolicySettings},
     serde::{Deserialize, Serialize},
     std::{net::SocketAddr, path::Path},
     thiserror::Error,
@@ -132,7 +132,7 @@
     pub failure_domain: String,
 }
 
-impl From<&Seed> for Hint {
+impl From<&Seed> for PeerHint {
     fn from(seed: &Seed) -> Self {
         Self { address: seed.address, failure_domain: seed.failure_domain.clone() }
     }
--- a/crates/fernring/src/upstream.rs
+++ b/crates/fernring/src/upstream.rs
@@ -9,7 +9,7 @@
     async_trait::async_trait,
     fernring_core::orders::Order,
     fernring_policy::{
-        assembly::Part,
+        assembly::ResponsePart,
         event::{AttemptEnd, Dispatch, EchoedPart},
     },
     reqwest::{Client, Response, StatusCode, redirect::Policy},
@@ -224,6 +224,6 @@
         uid: part.request,
         stage: part.stage_index,
         attempt: part.attempt,
-        part: Part { sequence: part.sequence, text: part.text, last: part.last },
+        part: ResponsePart { sequence: part.sequence, text: part.text, last: part.last },
     }
 }
