--- a/crates/fernring-policy/src/budget.rs
+++ b/crates/fernring-policy/src/budget.rs
@@ -1,36 +1,37 @@
-//! One budget for every extra attempt of a node, so that a fault never multiplies load.
+//! The retry budget: one budget for all extra attempts of a node, so that a fault never multiplies
+//! its load.
 
-/// Extra attempts that may be saved up.
-const SAVED_MAX: f64 = 10.0;
+/// Most extra attempts that the budget can accumulate.
+const BALANCE_MAX: f64 = 10.0;
 /// Extra attempts allowed before any first attempt was made.
-const SAVED_AT_START: f64 = 3.0;
+const INITIAL_BALANCE: f64 = 3.0;
 
-/// Retries and hedges draw on a share of the first attempts.
+/// Budget for retries and hedges, which grows by a share of each first attempt.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
-    share: f64,
-    saved: f64,
+    earned_per_attempt: f64,
+    balance: f64,
 }
 
 impl RetryBudget {
-    /// Creates a budget of `percent` extra attempts for each hundred first ones.
+    /// Creates a budget of `percent` extra attempts for every hundred first attempts.
     pub fn new(percent: u32) -> Self {
-        let share = f64::from(percent) / 100.0;
-        let saved = if percent == 0 { 0.0 } else { SAVED_AT_START };
-        Self { share, saved }
+        let earned_per_attempt = f64::from(percent) / 100.0;
+        let balance = if percent == 0 { 0.0 } else { INITIAL_BALANCE };
+        Self { earned_per_attempt, balance }
     }
 
-    /// Notes a first attempt.
+    /// Records a first attempt.
     pub fn record_first_attempt(&mut self) {
-        self.saved = (self.saved + self.share).min(SAVED_MAX);
+        self.balance = (self.balance + self.earned_per_attempt).min(BALANCE_MAX);
     }
 
-    /// Takes one extra attempt, if the budget has one.
+    /// Spends the budget of one extra attempt. Returns whether there was enough.
     pub fn try_spend(&mut self) -> bool {
-        if self.saved < 1.0 {
+        if self.balance < 1.0 {
             return false;
         }
-        self.saved -= 1.0;
+        self.balance -= 1.0;
         true
     }
 }
--- a/crates/fernring-policy/src/cost.rs
+++ b/crates/fernring-policy/src/cost.rs
@@ -1,13 +1,13 @@
-//! Cost by stage: how much of the upstreams' time was spent, and on what.
+//! Cost accounting: the time that attempts spent at upstreams, by stage and category.
 
 use std::{collections::BTreeMap, sync::Arc};
 
-/// Most rows that are kept; the rest is added up under [`OTHER`].
+/// Most rows of a table. Beyond it, new rows are added up under [`OTHER_WORKSPACE`].
 const ROWS_MAX: usize = 4_096;
-/// Name under which rows beyond the limit are added up.
+/// Name of the workspace under which rows beyond the limit are added up.
 pub const OTHER_WORKSPACE: &str = "other";
 
-/// What a cost belongs to.
+/// Key of a row of costs.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CostKey {
     /// Name of the pipeline.
@@ -18,45 +18,45 @@
     pub stage: Arc<str>,
 }
 
-/// What an attempt's time was spent on.
+/// Category of the time that an attempt spent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CostCategory {
-    /// Its result was used.
+    /// The attempt's result was used.
     Useful,
-    /// It failed.
+    /// The attempt failed.
     Failed,
-    /// It was one of two, and the other was used.
+    /// The attempt was one of a hedged pair, and the result of the other was used.
     Hedged,
-    /// Its request had already ended.
+    /// The request had already ended.
     Abandoned,
 }
 
-/// Attempts and time spent, by outcome.
+/// Number of attempts and time spent, by category.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Cost {
     /// Attempts made.
     pub attempts: u64,
-    /// Time whose result was used, in milliseconds.
+    /// Time of attempts whose result was used, in milliseconds.
     pub useful_ms: f64,
     /// Time of attempts that failed, in milliseconds.
     pub failed_ms: f64,
-    /// Time of attempts that lost against their twin, in milliseconds.
+    /// Time of attempts that lost against the other of a hedged pair, in milliseconds.
     pub hedged_ms: f64,
-    /// Time of attempts whose request had ended, in milliseconds.
+    /// Time of attempts whose request had already ended, in milliseconds.
     pub abandoned_ms: f64,
 }
 
-/// The costs of a node since it started.
+/// Costs of a node since its start.
 #[derive(Debug, Default)]
 pub struct CostTable {
     rows: BTreeMap<CostKey, Cost>,
 }
 
 impl CostTable {
-    /// Adds one ended attempt.
+    /// Adds the time of one attempt that has ended.
     pub fn add(&mut self, key: CostKey, spent: CostCategory, busy_ms: f64) {
-        let full = self.rows.len() >= ROWS_MAX && !self.rows.contains_key(&key);
-        let key = if full { CostKey { workspace: OTHER_WORKSPACE.into(), ..key } } else { key };
+        let is_full = self.rows.len() >= ROWS_MAX && !self.rows.contains_key(&key);
+        let key = if is_full { CostKey { workspace: OTHER_WORKSPACE.into(), ..key } } else { key };
         let cost = self.rows.entry(key).or_default();
         cost.attempts += 1;
         match spent {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Lists the rows.
+    /// Returns the rows in the order of their keys.
     pub fn rows(&self) -> impl Iterator<Item = (&CostKey, &Cost)> {
         self.rows.iter()
     }
--- a/crates/fernring-policy/src/event.rs
+++ b/crates/fernring-policy/src/event.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher is told and what it asks for.
+//! Input events and output actions of the dispatcher.
 
 use {
     crate::{answer::Answer, assembly::ResponsePart, upstreams::UpstreamReport},
@@ -15,116 +15,116 @@
 /// A request as a caller submits it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Submission {
-    /// Who waits for the answer.
+    /// The waiter for the answer.
     pub waiter: WaiterId,
-    /// Identity given to the request if it is accepted; upstreams echo it.
+    /// Identity that the request gets if it is accepted; upstreams echo it.
     pub uid: Uuid,
     /// Name of the pipeline.
     pub pipeline: String,
     /// Name of the workspace.
     pub workspace: Arc<str>,
-    /// The caller's key, if any.
+    /// Request key that the caller sent, if any.
     pub key: Option<RequestKey>,
-    /// Whether the caller asks that nothing of it runs twice.
+    /// Whether the caller asks that no part of the request runs twice.
     pub non_idempotent: bool,
-    /// Time within which the answer is wanted, in milliseconds; the pipeline's default if `None`.
+    /// Window for the answer, in milliseconds; the pipeline's default if `None`.
     pub window_ms: Option<u64>,
     /// Input of the first stage.
     pub input: Arc<str>,
-    /// What requests with a common prompt prefix have in common; the pipeline and workspace if
+    /// Name that requests with a common prompt prefix share; the pipeline and workspace if
     /// `None`.
     pub prefix: Option<String>,
-    /// Whether the caller takes the parts of the last stage as they come.
+    /// Whether the caller receives the parts of the last stage as they arrive.
     pub streaming: bool,
-    /// Whether another node passed it on because this one owns the key. A claimed key that is
-    /// passed on is never started here.
+    /// Whether another node forwarded the submission because this one owns the key. A forwarded
+    /// submission never starts a claimed key here.
     pub forwarded: bool,
 }
 
-/// A part of an upstream's answer, with the identities that the upstream echoed.
+/// A part of an upstream's response, with the identities that the upstream echoed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EchoedPart {
-    /// The request's identity.
+    /// Identity of the request.
     pub uid: Uuid,
     /// Index of the stage.
     pub stage: u16,
     /// Number of the attempt.
     pub attempt: u64,
-    /// The part.
+    /// The part of the response.
     pub part: ResponsePart,
 }
 
-/// How an attempt ended, as far as the shell can tell.
+/// How an attempt ended, as far as the node's I/O can tell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum AttemptEnd {
-    /// The upstream's answer ended properly.
+    /// The upstream's response ended properly.
     Completed,
-    /// No connection was made: nothing left this node.
+    /// No connection was made, so nothing left this node.
     NotSent,
-    /// The upstream refused before running anything, and says so.
+    /// The upstream responded that it refuses the attempt and ran nothing.
     Refused,
-    /// The upstream refused before running anything because it is leaving.
+    /// The upstream responded that it refuses the attempt, and ran nothing, because it is leaving.
     Leaving,
-    /// The upstream answered with an error, or the connection broke.
+    /// The upstream responded with an error, or the connection broke.
     Failed,
-    /// The attempt was cancelled by this node.
+    /// This node cancelled the attempt.
     Cancelled,
 }
 
-/// What happened.
+/// An input of the dispatcher.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// A caller, or another node, submits a request.
+    /// A caller or another node submits a request.
     Submit(Submission),
-    /// A caller no longer waits. Its request goes on: the caller may ask for the outcome.
+    /// A caller no longer waits. Its request continues, since the caller may ask for the outcome.
     WaiterLeft(WaiterId),
     /// Parts arrived on the connection of an attempt.
     Parts {
-        /// The attempt whose connection it is.
+        /// The attempt that the connection belongs to.
         attempt: AttemptRef,
-        /// The parts, in the order they arrived.
+        /// The parts, in the order of arrival.
         parts: Vec<EchoedPart>,
     },
-    /// An attempt ended. Every attempt that was sent ends exactly once.
+    /// An attempt ended. Each attempt that was sent ends exactly once.
     AttemptEnded {
         /// The attempt.
         attempt: AttemptRef,
-        /// How.
+        /// How the attempt ended.
         end: AttemptEnd,
     },
     /// A page of the claim stream was read.
     ClaimsRead(ClaimPage),
     /// The append in flight took effect.
     ClaimsAppended,
-    /// The append in flight failed, or its answer was lost: it may have taken effect.
+    /// The append in flight failed or its response was lost. It may have taken effect.
     ClaimsOutcomeUnknown,
-    /// The owner of a key answered a submission that was passed on.
+    /// The owner of a key answered a forwarded submission.
     OwnerAnswered {
-        /// The waiter that the submission was passed on for.
+        /// The waiter of the forwarded submission.
         waiter: WaiterId,
-        /// The owner's word; `None` if the owner can't be reached or does not know the key.
+        /// The owner's answer; `None` if the owner can't be reached or does not know the key.
         answer: Option<OwnerAnswer>,
     },
     /// A new configuration is in force.
     Configured(Arc<Catalog>),
-    /// Upstreams reported.
+    /// Reports of upstreams arrived.
     UpstreamsReported(Vec<UpstreamReport>),
     /// The VM list shows these upstreams as leaving.
     VmsLeaving(Vec<String>),
-    /// The node is to take no new requests.
+    /// The node should accept no new requests.
     Drain,
     /// Time passed; see [`crate::dispatcher::Dispatcher::next_timer`].
     Tick,
 }
 
-/// The final word of a key's owner.
+/// The final answer of a key's owner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OwnerAnswer {
-    /// Its result code.
+    /// Result code of the answer.
     pub code: fernring_core::code::ResultCode,
-    /// The whole output, if it was answered.
+    /// Complete output, if the request was answered.
     pub output: Option<Arc<str>>,
-    /// When to come back, in milliseconds.
+    /// Retry-after time, in milliseconds.
     pub retry_after_ms: Option<u64>,
 }
 
@@ -133,47 +133,47 @@
 pub struct Dispatch {
     /// The attempt.
     pub attempt: AttemptRef,
-    /// The request's identity, which the upstream echoes.
+    /// Identity of the request, which the upstream echoes.
     pub uid: Uuid,
     /// Address of the upstream.
     pub address: SocketAddr,
     /// Name of the stage.
     pub stage_name: String,
-    /// Whether the stage has a side effect: then nothing below may repeat the call.
+    /// Whether the stage has a side effect. If so, the layers below must not repeat the call.
     pub effect: bool,
     /// Input of the stage.
     pub input: Arc<str>,
     /// Hash of the prompt prefix.
     pub prefix: u64,
-    /// Time left in the window, in milliseconds.
+    /// Time left in the request's window, in milliseconds.
     pub remaining_ms: u64,
 }
 
-/// A submission to pass on to the owner of its key.
+/// A submission to forward to the owner of its key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Forward {
-    /// The waiter that it is passed on for.
+    /// The waiter of the submission.
     pub waiter: WaiterId,
     /// The incarnation that owns the key. Only it may answer.
     pub incarnation: Incarnation,
-    /// Its peer address.
+    /// Peer address of the owner.
     pub address: SocketAddr,
-    /// The submission.
+    /// The submission to forward.
     pub submission: Submission,
 }
 
-/// What the shell is to do.
+/// An action that the node carries out for the dispatcher.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Send an attempt, exactly once.
     Dispatch(Dispatch),
-    /// Give up an attempt's connection; its end is still reported.
+    /// Close the connection of an attempt. The end of the attempt is still reported.
     Cancel(AttemptRef),
-    /// Pass a part of the last stage's answer to a streaming waiter.
+    /// Pass a part of the last stage's response to a streaming waiter.
     Deliver {
         /// The waiter.
         waiter: WaiterId,
-        /// The text that follows what was delivered before.
+        /// The text that follows the text delivered before.
         text: Arc<str>,
     },
     /// Give a waiter its final answer.
@@ -183,46 +183,46 @@
         /// The answer.
         answer: Answer,
     },
-    /// Append a record to the claim stream and report what became of it.
+    /// Append a record to the claim stream and report the outcome.
     AppendClaims(ClaimBatch),
-    /// Pass a submission on to the owner of its key.
+    /// Forward a submission to the owner of its key.
     Forward(Box<Forward>),
     /// Write a log line.
     Log(LogLine),
 }
 
-/// What is known of a key.
+/// Status of a key at this node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum KeyStatus {
-    /// Its request is under way here.
+    /// The request runs at this node.
     Running {
-        /// Index of the stage it has reached.
+        /// Index of the current stage.
         stage: u16,
     },
-    /// Its request has ended here with this answer.
+    /// The request has ended at this node with this answer.
     Ended(Answer),
-    /// Another incarnation owns it.
+    /// Another incarnation owns the key.
     OwnedElsewhere {
-        /// That incarnation.
+        /// The incarnation that owns the key.
         incarnation: Incarnation,
-        /// Its peer address.
+        /// Peer address of the owner.
         address: SocketAddr,
     },
-    /// Nothing is known of it.
+    /// The key is unknown at this node.
     Unknown,
 }
 
-/// Numbers of a node since it started, and of this moment.
+/// Counters of a node since its start, and the current number of requests in flight.
 ///
-/// Invariant, asserted after every event in release builds too:
+/// Invariant, asserted after every event, also in release builds:
 /// `accepted = answered + not_run + failed + unknown + in_flight`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Submissions that became ledger entries.
     pub accepted: u64,
-    /// Submissions refused on arrival; they are not among the accepted.
+    /// Submissions refused on arrival, which are not counted as accepted.
     pub refused: u64,
-    /// Entries that ended with the whole answer.
+    /// Entries that ended with a complete answer.
     pub answered: u64,
     /// Entries that ended before any attempt.
     pub not_run: u64,
@@ -232,13 +232,13 @@
     pub unknown: u64,
     /// Entries that have not ended.
     pub in_flight: u64,
-    /// Submissions that joined a running request or got a kept answer.
+    /// Submissions that joined a running request or got a stored answer.
     pub repeats: u64,
-    /// Submissions passed on to the owner of their key.
+    /// Submissions forwarded to the owner of their key.
     pub forwarded: u64,
     /// Parts dropped because they echoed another request, stage or attempt.
     pub parts_misdirected: u64,
-    /// Parts dropped because they were there already.
+    /// Parts dropped because they had already arrived.
     pub parts_duplicate: u64,
     /// Parts dropped because their attempt had lost or its request had ended.
     pub parts_late: u64,
@@ -246,17 +246,17 @@
     pub first_attempts: u64,
     /// Retries sent.
     pub retries: u64,
-    /// Attempts sent again after one that ran nothing: no connection, or a refusal.
+    /// Attempts sent again after an attempt that ran nothing: no connection, or a refusal.
     pub resends: u64,
     /// Hedges sent.
     pub hedges: u64,
-    /// Side effects sent.
+    /// Attempts sent for stages with a side effect.
     pub effects: u64,
-    /// Records handed over for the claim stream.
+    /// Records sent to the claim stream.
     pub appends: u64,
 }
 
-/// A key and the workspace it belongs to, as text; for log lines.
+/// Returns a key as text for log lines.
 pub fn key_text(key: Option<&ScopedKey>) -> Option<String> {
     key.map(|scoped| scoped.key.to_string())
 }
--- a/crates/fernring-policy/src/fold.rs
+++ b/crates/fernring-policy/src/fold.rs
@@ -1,8 +1,9 @@
 //! The configuration in force: the fold of the configuration stream.
 //!
-//! Every node folds alike. The version only grows. A node that starts late, or that missed
-//! records past the log's retention, holds the records it can't place until a snapshot or a
-//! peer's state bridges the gap; see `docs/design/configuration.md`.
+//! Every node folds the stream in the same way, and the version only grows. A node that starts
+//! late, or that missed records past the log's retention, has a gap: it buffers the changes that
+//! it can't apply until a snapshot or a peer's state covers the missing records; see
+//! `docs/design/configuration.md`.
 
 use {
     fernring_core::{
@@ -14,28 +15,29 @@
     uuid::Uuid,
 };
 
-/// Accepted or refused changes whose outcome is remembered, for operators that wait for theirs.
+/// Most changes whose outcome, accepted or refused, is remembered for the operators that wait for
+/// it.
 const OUTCOMES_MAX: usize = 1_000;
-/// Records held while a gap is open.
-const HELD_MAX: usize = 100_000;
+/// Most records that are buffered while there is a gap.
+const BUFFERED_MAX: usize = 100_000;
 
-/// A record as read from the log.
+/// A record of the configuration stream as read from the log.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ConfigLogRecord {
-    /// Its offset.
+    /// Offset of the record in the stream.
     pub offset: u64,
     /// The log's own time of the record, in milliseconds since the Unix epoch.
     pub time_ms: u64,
-    /// What it says; `None` for a record that is not one of ours.
+    /// The decoded record; `None` if it is not a fernring configuration record.
     pub record: Option<ConfigRecord>,
 }
 
 /// A page of the configuration stream.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ConfigPage {
-    /// The offset that was asked for.
+    /// The requested offset.
     pub from: u64,
-    /// The oldest offset that the log still kept when it answered.
+    /// The oldest offset that the log still retained when it answered.
     pub first_offset: u64,
     /// The offset that the next record will get.
     pub next_offset: u64,
@@ -44,7 +46,7 @@
 }
 
 impl ConfigPage {
-    /// Reads the records of a page that the log service gave for `from`.
+    /// Decodes a page that the log service returned for the offset `from`.
     pub fn decode(from: u64, page: LogPage) -> Self {
         let record = |record: LogRecord| ConfigLogRecord {
             offset: record.offset,
@@ -60,33 +62,34 @@
     }
 }
 
-/// What became of a change.
+/// The outcome of a change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ChangeOutcome {
-    /// The change's identity.
+    /// Identity of the change.
     pub id: Uuid,
-    /// The version that it made, or why it was refused.
+    /// The version that the change created, or the reason for which it was refused.
     pub result: Result<Version, ChangeError>,
 }
 
-/// The configuration in force and the reading position.
+/// The configuration in force and the read position in the stream.
 #[derive(Debug)]
 pub struct ConfigFold {
     /// Invariant: only ever replaced by a catalog of a higher version.
     catalog: Arc<Catalog>,
     version: Version,
     next_offset: u64,
-    /// Whether a configuration is known at all: a snapshot, a peer's state, or the stream from
-    /// its first record.
+    /// Whether any configuration is known: from a snapshot, from a peer's state, or from the
+    /// stream read since its first record.
     ready: bool,
-    /// Start of the contiguous run of records that ends at `next_offset`.
+    /// First offset of the contiguous records that were read up to `next_offset`.
     contiguous_from: u64,
-    /// Changes that can't be placed until the gap before them is bridged, by offset.
+    /// Changes that can't be applied until the gap before them is closed, by offset.
     /// Invariant: empty unless `gap` is set.
-    held: BTreeMap<u64, ConfigRecord>,
+    buffered: BTreeMap<u64, ConfigRecord>,
+    /// Whether records before `contiguous_from` were missed and nothing has covered them yet.
     gap: bool,
-    /// Log time of the newest snapshot, or of the first record that was read.
-    covered_time_ms: Option<u64>,
+    /// Log time of the newest snapshot, or of the first record read if there is no snapshot.
+    snapshot_or_start_ms: Option<u64>,
     outcomes: Vec<ChangeOutcome>,
 }
 
@@ -97,7 +100,7 @@
 }
 
 impl ConfigFold {
-    /// Creates a fold that has read nothing.
+    /// Creates a fold at the start of the stream, before any read.
     pub fn new() -> Self {
         Self {
             catalog: Arc::default(),
@@ -105,9 +108,9 @@
             next_offset: 0,
             ready: false,
             contiguous_from: 0,
-            held: BTreeMap::new(),
+            buffered: BTreeMap::new(),
             gap: false,
-            covered_time_ms: None,
+            snapshot_or_start_ms: None,
             outcomes: Vec::new(),
         }
     }
@@ -122,66 +125,70 @@
         self.version
     }
 
-    /// Returns the offset to read from.
+    /// Returns the offset from which to read the next page.
     pub fn next_offset(&self) -> u64 {
         self.next_offset
     }
 
-    /// Tells whether a configuration is known.
+    /// Returns whether a configuration is known.
     pub fn is_ready(&self) -> bool {
         self.ready
     }
 
-    /// Tells whether records were missed that nothing has bridged yet.
+    /// Returns whether records were missed that no snapshot or peer's state has covered yet.
     pub fn has_gap(&self) -> bool {
         self.gap
     }
 
-    /// Returns what became of a change, if it was folded recently. A change that was appended
-    /// twice is accepted at most once; then it counts as accepted.
+    /// Returns the outcome of a change that was applied or refused recently. A change that was
+    /// appended twice is accepted at most once; if either copy was accepted, that outcome is
+    /// returned.
     pub fn outcome(&self, id: Uuid) -> Option<&ChangeOutcome> {
         let mut found = self.outcomes.iter().filter(|outcome| outcome.id == id);
         let first = found.next()?;
         found.find(|outcome| outcome.result.is_ok() && first.result.is_err()).or(Some(first))
     }
 
-    /// Returns the state as a snapshot; `None` before a configuration is known.
+    /// Returns the state as a snapshot; `None` until a configuration is known.
     pub fn snapshot(&self) -> Option<Snapshot> {
-        // Behind a gap it is not known which of the later records were accepted.
+        // With a gap it is not known which of the later records were accepted.
         let folded_to = if self.gap { self.version } else { self.next_offset.max(self.version) };
         let catalog = self.catalog.as_ref().clone();
         self.ready.then_some(Snapshot { version: self.version, folded_to, catalog })
     }
 
-    /// Tells whether a snapshot should be appended: there are accepted changes, and the newest
-    /// snapshot, or the first record if there is none, is older than `age_ms` by the log's time.
+    /// Returns whether a snapshot should be appended: there are accepted changes, and the newest
+    /// snapshot (or the first record, if there is none) is at least `age_ms` old by the log's
+    /// time.
     pub fn needs_snapshot(&self, log_time_ms: u64, age_ms: u64) -> bool {
-        let due = self.covered_time_ms.is_none_or(|time_ms| time_ms + age_ms <= log_time_ms);
-        self.ready && !self.gap && self.version > 0 && due
+        let is_due =
+            self.snapshot_or_start_ms.is_none_or(|time_ms| time_ms + age_ms <= log_time_ms);
+        self.ready && !self.gap && self.version > 0 && is_due
     }
 
-    /// Folds a page in. Returns whether the version in force changed.
+    /// Applies a page of the stream. Returns whether the version in force changed.
     pub fn apply_page(&mut self, page: ConfigPage) -> bool {
         if page.from != self.next_offset {
             return false;
         }
-        let before = self.version;
+        let previous_version = self.version;
         if page.first_offset > self.next_offset {
             self.open_gap(page.first_offset);
         }
-        for read in page.records {
-            self.fold_record(read);
+        for log_record in page.records {
+            self.fold_record(log_record);
         }
-        let read_all = self.next_offset >= page.next_offset;
-        if read_all && !self.gap {
+        let is_caught_up = self.next_offset >= page.next_offset;
+        if is_caught_up && !self.gap {
             self.ready = true;
         }
-        self.version != before
+        self.version != previous_version
     }
 
-    /// Takes a peer's state if it is newer. Returns whether the version in force changed.
+    /// Adopts a peer's state, or a snapshot from the stream, if it is newer. Returns whether the
+    /// version in force changed.
     pub fn adopt(&mut self, snapshot: Snapshot) -> bool {
-        let before = self.version;
+        let previous_version = self.version;
         if snapshot.version > self.version {
             self.catalog = Arc::new(snapshot.catalog);
             self.version = snapshot.version;
@@ -190,40 +197,42 @@
             self.ready = true;
             self.close_gap_at(snapshot.folded_to);
         }
-        self.version != before
+        self.version != previous_version
     }
 
     fn open_gap(&mut self, first_offset: u64) {
         self.next_offset = first_offset;
         self.contiguous_from = first_offset;
-        self.held.clear();
-        // A state that was taken from a peer may already cover what was missed.
+        self.buffered.clear();
+        // A state adopted from a peer may already cover the missed records.
         self.gap = self.version < first_offset;
     }
 
-    fn fold_record(&mut self, read: ConfigLogRecord) {
-        if read.offset != self.next_offset {
+    fn fold_record(&mut self, log_record: ConfigLogRecord) {
+        if log_record.offset != self.next_offset {
             return;
         }
         self.next_offset += 1;
-        self.covered_time_ms.get_or_insert(read.time_ms);
-        match read.record {
-            Some(ConfigRecord::Snapshot(snapshot)) => self.fold_snapshot(read.time_ms, snapshot),
-            Some(record) if self.gap => self.hold(read.offset, record),
+        self.snapshot_or_start_ms.get_or_insert(log_record.time_ms);
+        match log_record.record {
+            Some(ConfigRecord::Snapshot(snapshot)) => {
+                self.fold_snapshot(log_record.time_ms, snapshot)
+            }
+            Some(record) if self.gap => self.buffer_record(log_record.offset, record),
             Some(ConfigRecord::Change(_)) | None => {
-                if let Some(record) = read.record {
-                    self.fold_change(read.offset, &record);
+                if let Some(record) = log_record.record {
+                    self.fold_change(log_record.offset, &record);
                 }
             }
         }
     }
 
-    fn hold(&mut self, offset: u64, record: ConfigRecord) {
-        if self.held.len() >= HELD_MAX {
+    fn buffer_record(&mut self, offset: u64, record: ConfigRecord) {
+        if self.buffered.len() >= BUFFERED_MAX {
             self.open_gap(offset + 1);
             return;
         }
-        self.held.insert(offset, record);
+        self.buffered.insert(offset, record);
     }
 
     fn fold_change(&mut self, offset: u64, record: &ConfigRecord) {
@@ -248,8 +257,8 @@
     }
 
     fn fold_snapshot(&mut self, time_ms: u64, snapshot: Snapshot) {
-        self.covered_time_ms = Some(time_ms);
-        // Otherwise changes between the snapshot and the first record read here may be missing.
+        self.snapshot_or_start_ms = Some(time_ms);
+        // An older snapshot may leave out changes before the first record read here.
         if self.gap && snapshot.folded_to >= self.contiguous_from {
             self.adopt(snapshot);
         }
@@ -260,7 +269,7 @@
             return;
         }
         self.gap = false;
-        for (offset, record) in std::mem::take(&mut self.held) {
+        for (offset, record) in std::mem::take(&mut self.buffered) {
             self.fold_change(offset, &record);
         }
     }
--- a/crates/fernring-policy/src/lib.rs
+++ b/crates/fernring-policy/src/lib.rs
@@ -1,16 +1,18 @@
 //! The decisions of a fernring node, as pure state machines.
 //!
-//! Nothing here reads a clock, a socket or a random source. Typed events and the time go in,
-//! typed actions come out, so that a node, the randomised runs, the model checker and a test
-//! bench all drive the same code.
+//! This crate reads no clock, no socket and no random source. Its inputs are typed events and the
+//! time, its outputs are typed actions, so that a node, randomised test runs, the model checker and
+//! a test bench all run the same code.
 //!
-//! - [`dispatcher`]: the life of every request on a node: admission, queues, routing, attempts,
-//!   retries, hedges and the one final answer. It owns the machines below it.
-//! - [`claims`]: who may run a key's side effects, folded from the claim stream.
-//! - [`fold`]: the configuration in force, folded from the configuration stream.
-//! - [`membership`]: the live nodes of a failure domain, by heartbeats.
-//! - [`placement`]: which node orders the engines of a failure domain, and what it orders.
-//! - [`plan`]: from an operator's intent to a plan.
+//! - [`dispatcher`]: the lifecycle of every request on a node: admission, queues, routing, attempts,
+//!   retries, hedges and the final answer. It owns the queues, upstream table, claim view, budgets
+//!   and limits of the node.
+//! - [`claims`]: decides which incarnation may run the side effects of a key, from the claim stream.
+//! - [`fold`]: the configuration in force, from the configuration stream.
+//! - [`membership`]: detects the live nodes of a failure domain by heartbeats.
+//! - [`placement`]: decides which node sends orders to the engines of a failure domain, and which
+//!   orders.
+//! - [`plan`]: makes a plan from an operator's intent.
 //!
 //! ```
 //! use {
@@ -41,13 +43,13 @@
 pub mod claims;
 pub mod cost;
 pub mod dispatcher;
-pub mod service_time;
 pub mod event;
 pub mod fold;
 pub mod membership;
 pub mod placement;
 pub mod plan;
 pub mod queue;
+pub mod service_time;
 pub mod settings;
-pub mod workspace_limits;
 pub mod upstreams;
+pub mod workspace_limits;
--- a/crates/fernring-policy/src/queue.rs
+++ b/crates/fernring-policy/src/queue.rs
@@ -1,7 +1,8 @@
-//! Requests that wait for an upstream of one pool.
+//! Queues of requests that wait for an upstream of a pool.
 //!
-//! One queue a pool, so that a slow stage can hold up only its own. Inside it, workspaces share
-//! by weight (start-time fair queueing) and each workspace is served by earliest deadline.
+//! Each pool has its own queue, so that a slow stage delays only the requests of its pool. Within
+//! a queue, workspaces share the pool by weight (start-time fair queueing), and the requests of a
+//! workspace are served in order of their deadlines.
 
 use {
     fernring_core::ids::RequestId,
@@ -13,42 +14,44 @@
 };
 
 /// Scale of virtual time: one request of weight 1 advances its workspace by this much.
-const VIRTUAL_UNIT: u64 = 1 << 20;
+const VIRTUAL_TIME_UNIT: u64 = 1 << 20;
 
-/// The order in which requests are taken.
+/// The order in which a queue serves requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QueueOrder {
-    /// Fair between workspaces, then earliest deadline.
+    /// Fair between workspaces, then earliest deadline first.
     FairDeadline,
     /// First come, first served.
     Arrival,
 }
 
-/// Where a waiting request stands; needed to take it out.
+/// The position of a waiting request, by which it can be removed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QueuePosition {
     workspace: Arc<str>,
     rank: Rank,
 }
 
+/// Order of the requests within a lane: by deadline, then by arrival.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     deadline: Duration,
     serial: u64,
 }
 
+/// The waiting requests of one workspace; of all workspaces in order of arrival.
 #[derive(Debug, Default)]
 struct Lane {
-    /// Virtual time at which the workspace's next request is due.
-    due: u64,
+    /// Start tag of the workspace's next request, in virtual time.
+    start_tag: u64,
     weight: u32,
     waiting: BTreeMap<Rank, RequestId>,
 }
 
 /// The queue of one pool.
 ///
-/// Invariant: `active` holds exactly the workspaces whose lane is not empty, by their due time;
-/// `len` is the number of requests in all lanes.
+/// Invariant: `active` holds exactly the workspaces whose lane is not empty, by start tag; `len` is
+/// the number of requests in all lanes.
 #[derive(Debug)]
 pub struct PoolQueue {
     order: QueueOrder,
@@ -72,17 +75,17 @@
         }
     }
 
-    /// Returns the number of requests that wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Tells whether none waits.
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Adds a request and returns its place.
+    /// Adds a request and returns its position.
     pub fn push(
         &mut self,
         request: RequestId,
@@ -100,53 +103,54 @@
         let lane = self.lanes.entry(lane_name.clone()).or_default();
         lane.weight = weight.max(1);
         if lane.waiting.is_empty() {
-            lane.due = lane.due.max(self.virtual_time);
-            self.active.insert((lane.due, lane_name.clone()));
+            lane.start_tag = lane.start_tag.max(self.virtual_time);
+            self.active.insert((lane.start_tag, lane_name.clone()));
         }
         lane.waiting.insert(rank, request);
         self.len += 1;
         QueuePosition { workspace: lane_name, rank }
     }
 
-    /// Returns the request that is next, without taking it.
+    /// Returns the next request without removing it.
     pub fn peek(&self) -> Option<RequestId> {
         let (_, name) = self.active.first()?;
         self.lanes.get(name)?.waiting.values().next().copied()
     }
 
-    /// Takes the request that is next.
+    /// Removes and returns the next request.
     pub fn pop(&mut self) -> Option<RequestId> {
-        let (due, name) = self.active.pop_first()?;
+        let (start_tag, name) = self.active.pop_first()?;
         let lane = self.lanes.get_mut(&name)?;
         let (_, request) = lane.waiting.pop_first()?;
         self.len -= 1;
-        self.virtual_time = self.virtual_time.max(due);
-        lane.due = due + VIRTUAL_UNIT / u64::from(lane.weight);
-        self.settle(name);
+        self.virtual_time = self.virtual_time.max(start_tag);
+        lane.start_tag = start_tag + VIRTUAL_TIME_UNIT / u64::from(lane.weight);
+        self.update_active(name);
         Some(request)
     }
 
-    /// Takes out a request that no longer waits.
-    pub fn remove(&mut self, place: &QueuePosition) {
-        let Some(lane) = self.lanes.get_mut(&place.workspace) else {
+    /// Removes a request that no longer waits.
+    pub fn remove(&mut self, position: &QueuePosition) {
+        let Some(lane) = self.lanes.get_mut(&position.workspace) else {
             return;
         };
-        if lane.waiting.remove(&place.rank).is_none() {
+        if lane.waiting.remove(&position.rank).is_none() {
             return;
         }
         self.len -= 1;
-        self.active.remove(&(lane.due, place.workspace.clone()));
-        self.settle(place.workspace.clone());
+        self.active.remove(&(lane.start_tag, position.workspace.clone()));
+        self.update_active(position.workspace.clone());
     }
 
-    /// Puts a lane back among the active ones, or forgets it once it owes nothing.
-    fn settle(&mut self, name: Arc<str>) {
+    /// Returns a lane that is not empty to the active ones. Removes an empty lane as soon as its
+    /// start tag no longer delays the workspace.
+    fn update_active(&mut self, name: Arc<str>) {
         let Some(lane) = self.lanes.get(&name) else {
             return;
         };
         if !lane.waiting.is_empty() {
-            self.active.insert((lane.due, name));
-        } else if lane.due <= self.virtual_time || self.len == 0 {
+            self.active.insert((lane.start_tag, name));
+        } else if lane.start_tag <= self.virtual_time || self.len == 0 {
             self.lanes.remove(&name);
         }
     }
--- a/crates/fernring-policy/src/settings.rs
+++ b/crates/fernring-policy/src/settings.rs
@@ -1,26 +1,27 @@
-//! What can be set about decisions. All of it has defaults.
+//! Settings of the decisions. Every setting has a default.
 
 use {
     serde::{Deserialize, Serialize},
     std::time::Duration,
 };
 
-/// How much of the policy is at work.
+/// The part of the policy that is in use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Default)]
 #[serde(rename_all = "snake_case")]
 pub enum PolicyMode {
-    /// Everything this crate decides.
+    /// The full policy.
     #[default]
     Full,
-    /// Round robin, first come first served, no admission, no hedges: the measure of the rest.
+    /// Round robin, first come first served, no admission control, no hedges. The full policy is
+    /// compared with this mode.
     Baseline,
 }
 
-/// Settings of the decisions; table `[policy]` of a node's settings file.
+/// Settings of the decisions: the table `[policy]` of a node's settings file.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PolicySettings {
-    /// Whether the whole policy or the plain baseline decides.
+    /// Whether the full policy or the baseline decides.
     pub mode: PolicyMode,
     /// Whether requests that can't finish within their window are refused on arrival.
     pub admission: bool,
@@ -28,49 +29,53 @@
     pub hedging: bool,
     /// Whether engines are chosen by prompt prefix.
     pub prefix_affinity: bool,
-    /// Most requests held at once by the node.
+    /// Most requests that the node holds at once.
     pub requests_max: usize,
-    /// Most requests waiting at one pool.
+    /// Most requests that wait for one pool.
     pub queue_max: usize,
-    /// Largest answer of one stage, in bytes.
+    /// Largest response of one stage, in bytes.
     pub answer_max_bytes: usize,
     /// Most attempts at one stage of one request.
     pub stage_attempts_max: u32,
     /// Extra attempts allowed, in percent of recent first attempts.
     pub retry_budget_percent: u32,
-    /// Largest share of a pool that is ejected at once, in percent.
+    /// Largest share of a pool that may be ejected at once, in percent.
     pub eject_max_percent: u32,
-    /// Failures in a row after which an upstream is ejected.
+    /// Number of consecutive failures after which an upstream is ejected.
     pub eject_after_failures: u32,
-    /// How far a node may go above its even share of a pool's concurrency, in percent of it. More
-    /// evens out nodes that are not equally busy; less keeps the queue in the nodes.
+    /// Largest part of a pool's concurrency that a node may use, in percent of its even share. A
+    /// higher value balances nodes that are not equally busy; a lower one keeps waiting requests
+    /// queued in the nodes instead of at the upstreams.
     pub share_headroom_percent: u32,
-    /// First ejection of an upstream lasts this long, in milliseconds; later ones longer.
+    /// Duration of the first ejection of an upstream, in milliseconds. Repeated ejections last
+    /// longer.
     pub eject_base_ms: u64,
-    /// An upstream that returns gets its full share after this long, in milliseconds.
+    /// Time until an upstream that returns to service gets its full share, in milliseconds.
     pub slow_start_ms: u64,
-    /// Reports of upstreams older than this are not used, in milliseconds.
+    /// Age beyond which reports of upstreams are ignored, in milliseconds.
     pub report_stale_ms: u64,
-    /// Oldest key that may be claimed, in milliseconds. Must be well under the log's retention.
+    /// Largest age of a key that may be claimed, in milliseconds. Must be well below the log's
+    /// retention.
     pub claim_horizon_ms: u64,
-    /// Largest difference between clocks that keys are judged with, in milliseconds.
-    pub clock_skew_ms: u64,
-    /// A claim that the log has not taken for this long makes new claims refused on arrival, in
+    /// Largest assumed difference between clocks when the age of a key is checked, in
     /// milliseconds.
+    pub clock_skew_ms: u64,
+    /// Time for which appends of claims may fail before requests that need a new claim are refused
+    /// on arrival, in milliseconds.
     pub claim_patience_ms: u64,
-    /// Least time between two appends of this node to the claim stream, in milliseconds.
+    /// Minimum time between two appends of the node to the claim stream, in milliseconds.
     pub claim_interval_ms: u64,
-    /// Pause before an append that failed is tried again, in milliseconds.
+    /// Pause before a failed append is tried again, in milliseconds.
     pub claim_retry_ms: u64,
-    /// How long a ticket may be used, in milliseconds.
+    /// Validity of a ticket, in milliseconds.
     pub ticket_valid_ms: u64,
     /// Most tickets that are valid at once.
     pub tickets_max: u64,
-    /// How long finished answers are kept whole for repeats, in milliseconds.
+    /// Time for which finished answers are stored with their output for repeats, in milliseconds.
     pub kept_answer_ms: u64,
-    /// Most finished answers kept whole.
+    /// Most finished answers that are stored with their output.
     pub kept_answers_max: usize,
-    /// When to come back after a refusal that names no better time, in milliseconds.
+    /// Retry-after time of a refusal for which no better estimate exists, in milliseconds.
     pub retry_after_ms: u64,
 }
 
@@ -106,21 +111,21 @@
     }
 }
 
-/// A setting that is not allowed.
+/// Error for a setting whose value is not allowed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("policy.{key}: {problem}")]
 pub struct PolicySettingError {
-    /// The key within `[policy]`.
+    /// Key within `[policy]`.
     pub key: &'static str,
-    /// What is wrong and what is allowed.
+    /// The problem and the allowed values.
     pub problem: String,
 }
 
 impl PolicySettings {
-    /// Checks every value.
+    /// Checks that all values are allowed.
     ///
     /// # Errors
-    /// Returns the first value that is not allowed.
+    /// Returns an error for the first value that is not allowed.
     pub fn check(&self) -> Result<(), PolicySettingError> {
         let counts = [
             ("requests_max", self.requests_max as u64),
--- a/crates/fernring-policy/src/upstreams.rs
+++ b/crates/fernring-policy/src/upstreams.rs
@@ -1,4 +1,4 @@
-//! The table of upstreams: what is known of each, and which one an attempt goes to.
+//! The table of upstreams: the state of each, and the choice of the upstream for an attempt.
 
 use {
     crate::settings::PolicySettings,
@@ -16,44 +16,44 @@
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-/// An engine takes a prompt prefix it does not own least only up to this multiple of the mean
-/// load (bounded-load rendezvous hashing).
+/// Largest load of an engine that prompt prefixes still go to, as a multiple of the mean load
+/// (bounded-load rendezvous hashing).
 const LOAD_BOUND: f64 = 1.25;
-/// Load, relative to its concurrency, below which an upstream may be given a hedge.
-const CALM_LOAD: f64 = 0.5;
-/// Share of its limit that an upstream starts with when it returns.
+/// Load of an upstream, relative to its concurrency, below which it may get a hedge.
+const HEDGE_LOAD_MAX: f64 = 0.5;
+/// Share of its concurrency limit that an upstream starts with when it returns to service.
 const SLOW_START_SHARE: f64 = 0.2;
-/// A node uses one part in this many of its even share of another failure domain's upstreams,
-/// while its own domain has some: enough to even out pools that are not spread evenly.
-const SPILL_PART: u64 = 4;
-/// Longest ejection, in multiples of the first.
-const EJECT_MULTIPLE_MAX: u32 = 16;
+/// Divisor of a node's even share of the upstreams in other failure domains, while its own domain
+/// has some. The rest is enough to balance pools that are not spread evenly over the domains.
+const SPILL_DIVISOR: u64 = 4;
+/// Longest ejection, as a multiple of the first one.
+const EJECTION_MULTIPLE_MAX: u32 = 16;
 
-/// Load and state that an upstream reports of itself, late and now and then not at all.
+/// Load and state that an upstream reports about itself. Reports may be late or missing.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UpstreamReport {
     /// Name of the upstream.
     pub upstream: String,
-    /// Attempts it has running or waiting, from all nodes.
+    /// Attempts that run or wait at the upstream, from all nodes.
     pub load: u32,
-    /// Whether it is leaving and wants no new work.
+    /// Whether the upstream is leaving and accepts no new work.
     pub leaving: bool,
 }
 
-/// Why an upstream was chosen.
+/// The reason for which an upstream was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChoiceReason {
-    /// It is first in the order of the prompt prefix.
+    /// The upstream ranks first for the prompt prefix.
     Prefix,
-    /// It is not first for the prefix, but those before it carry too much.
+    /// The upstreams that rank higher for the prompt prefix are over the load bound.
     PrefixBounded,
-    /// It carries less than the other of two taken at random.
+    /// The upstream has the lower load of two that were picked at random.
     LessLoaded,
-    /// It is next in turn.
+    /// The upstream is next in round-robin order.
     RoundRobin,
-    /// It is the only one that can take the attempt.
+    /// No other upstream can take the attempt.
     OnlyOne,
-    /// The own failure domain has none that can take it.
+    /// No upstream of the node's own failure domain can take the attempt.
     Spilled,
 }
 
@@ -74,30 +74,30 @@
 /// The upstream chosen for an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Choice {
-    /// Where the attempt goes.
+    /// The upstream that the attempt goes to.
     pub upstream: UpstreamId,
-    /// Where it would have gone otherwise.
+    /// The upstream that would have been chosen otherwise.
     pub runner_up: Option<UpstreamId>,
-    /// Why.
+    /// The reason for the choice.
     pub reason: ChoiceReason,
 }
 
-/// What is known of one upstream.
+/// State of one upstream.
 #[derive(Debug)]
 pub struct UpstreamState {
-    /// Its name.
+    /// Name of the upstream.
     pub name: Arc<str>,
-    /// Its declaration.
+    /// Declaration of the upstream in the catalog.
     pub spec: Arc<Upstream>,
     /// Attempts sent by this node that have not ended.
     pub in_flight: u32,
     reported_load: u32,
     reported_at: Option<Duration>,
-    /// Leaving by its own report or answer.
+    /// Whether the upstream announced, in a report or a response, that it is leaving.
     leaving: bool,
-    /// Leaving or gone by the VM list.
-    unlisted: bool,
-    failures_in_row: u32,
+    /// Whether the VM list shows the upstream as leaving.
+    leaving_by_vm_list: bool,
+    consecutive_failures: u32,
     ejections: u32,
     ejected_until: Duration,
     returned_at: Option<Duration>,
@@ -112,17 +112,17 @@
             reported_load: 0,
             reported_at: None,
             leaving: false,
-            unlisted: false,
-            failures_in_row: 0,
+            leaving_by_vm_list: false,
+            consecutive_failures: 0,
             ejections: 0,
             ejected_until: Duration::ZERO,
             returned_at: None,
         }
     }
 
-    /// Tells whether it may get new work at all, ejection aside.
+    /// Returns whether the upstream accepts new work, regardless of ejection.
     pub fn is_open(&self) -> bool {
-        !self.leaving && !self.unlisted && !self.spec.draining
+        !self.leaving && !self.leaving_by_vm_list && !self.spec.draining
     }
 
     fn is_ejected(&self, now: Duration) -> bool {
@@ -138,13 +138,13 @@
     states: SlotMap<UpstreamId, UpstreamState>,
     by_name: HashMap<Arc<str>, UpstreamId>,
     pools: BTreeMap<String, Vec<UpstreamId>>,
-    /// Live nodes of the own failure domain, this one included, that share its upstreams.
+    /// Live nodes of the node's own failure domain, including this one, that share its upstreams.
     live_nodes: u32,
-    turn: usize,
+    round_robin_next: usize,
 }
 
 impl Upstreams {
-    /// Creates the empty table of a node in a failure domain.
+    /// Creates an empty table for a node in the given failure domain.
     pub fn new(domain: Arc<str>, settings: PolicySettings) -> Self {
         Self {
             domain,
@@ -153,19 +153,19 @@
             by_name: HashMap::new(),
             pools: BTreeMap::new(),
             live_nodes: 1,
-            turn: 0,
+            round_robin_next: 0,
         }
     }
 
-    /// Follows a new catalog. What is known of an upstream whose address stays is kept.
+    /// Applies a new catalog. The state of an upstream is kept if its address stays the same.
     pub fn apply_catalog(&mut self, catalog: &Catalog) {
-        let gone = |name: &Arc<str>, states: &SlotMap<UpstreamId, UpstreamState>, id| {
+        let is_outdated = |name: &Arc<str>, states: &SlotMap<UpstreamId, UpstreamState>, id| {
             let address = states.get(id).map(|state: &UpstreamState| state.spec.address);
             catalog.upstreams.get(name.as_ref()).map(|spec| spec.address) != address
         };
         let states = &mut self.states;
         self.by_name.retain(|name, id| {
-            let keep = !gone(name, states, *id);
+            let keep = !is_outdated(name, states, *id);
             if !keep {
                 states.remove(*id);
             }
@@ -178,12 +178,12 @@
         }
     }
 
-    /// Sets the number of live nodes that share the upstreams of the own failure domain.
+    /// Sets the number of live nodes that share the upstreams of the node's own failure domain.
     pub fn set_live_nodes(&mut self, live_nodes: u32) {
         self.live_nodes = live_nodes.max(1);
     }
 
-    /// Returns what is known of an upstream.
+    /// Returns the state of an upstream.
     pub fn get(&self, id: UpstreamId) -> Option<&UpstreamState> {
         self.states.get(id)
     }
@@ -193,7 +193,7 @@
         self.pools.keys().cloned().collect()
     }
 
-    /// Takes in a report.
+    /// Records the report of an upstream. Reports of unknown upstreams are ignored.
     pub fn record_report(&mut self, now: Duration, report: &UpstreamReport) {
         let Some(state) = self.by_name.get(report.upstream.as_str()) else {
             return;
@@ -208,97 +208,101 @@
         }
     }
 
-    /// Takes in the VM list: names of upstreams that it shows as leaving. The list lags, so
-    /// being absent from it proves nothing.
+    /// Records the names of the upstreams that the VM list shows as leaving. The list lags behind,
+    /// so an upstream that is absent from it may still be running.
     pub fn set_leaving_vms(&mut self, leaving: &[String]) {
         for state in self.states.values_mut() {
-            state.unlisted = leaving.iter().any(|name| name.as_str() == state.name.as_ref());
+            state.leaving_by_vm_list =
+                leaving.iter().any(|name| name.as_str() == state.name.as_ref());
         }
     }
 
-    /// Notes an upstream's own answer that it is leaving.
+    /// Records that an upstream announced in a response that it is leaving.
     pub fn mark_leaving(&mut self, id: UpstreamId) {
         if let Some(state) = self.states.get_mut(id) {
             state.leaving = true;
         }
     }
 
-    /// Notes an attempt that was sent.
+    /// Records that an attempt was sent.
     pub fn record_sent(&mut self, id: UpstreamId) {
         if let Some(state) = self.states.get_mut(id) {
             state.in_flight += 1;
         }
     }
 
-    /// Notes an attempt that ended without saying anything of the upstream's health.
+    /// Records that an attempt ended in a way that shows nothing about the upstream's health.
     pub fn record_release(&mut self, id: UpstreamId) {
         if let Some(state) = self.states.get_mut(id) {
             state.in_flight = state.in_flight.saturating_sub(1);
         }
     }
 
-    /// Notes an attempt that succeeded.
+    /// Records that an attempt succeeded.
     pub fn record_success(&mut self, id: UpstreamId) {
         let Some(state) = self.states.get_mut(id) else {
             return;
         };
-        state.failures_in_row = 0;
+        state.consecutive_failures = 0;
         state.ejections = 0;
         state.in_flight = state.in_flight.saturating_sub(1);
     }
 
-    /// Notes an attempt that failed; `weight` failures in a row count towards ejection. Returns
-    /// whether the upstream was ejected.
+    /// Records that an attempt failed. It counts as `weight` consecutive failures towards ejection.
+    /// Returns whether the upstream was ejected.
     pub fn record_failure(&mut self, now: Duration, id: UpstreamId, weight: u32) -> bool {
         let Some(state) = self.states.get_mut(id) else {
             return false;
         };
         state.in_flight = state.in_flight.saturating_sub(1);
-        state.failures_in_row += weight;
-        let over = state.failures_in_row >= self.settings.eject_after_failures;
-        if !over || state.is_ejected(now) || !self.may_eject(now, id) {
+        state.consecutive_failures += weight;
+        let is_over_limit = state.consecutive_failures >= self.settings.eject_after_failures;
+        if !is_over_limit || state.is_ejected(now) || !self.may_eject(now, id) {
             return false;
         }
         let state = &mut self.states[id];
         state.ejections += 1;
-        state.failures_in_row = 0;
+        state.consecutive_failures = 0;
         let base = Duration::from_millis(self.settings.eject_base_ms);
-        state.ejected_until = now + base * state.ejections.min(EJECT_MULTIPLE_MAX);
+        state.ejected_until = now + base * state.ejections.min(EJECTION_MULTIPLE_MAX);
         state.returned_at = Some(state.ejected_until);
         true
     }
 
-    /// Returns this node's share of the attempts that a pool can take now: of the own failure
-    /// domain, or of the others if the own has none open.
+    /// Returns this node's share of the attempts that a pool can take now: from the node's own
+    /// failure domain, or from the others if its own has no open upstream.
     pub fn slots(&self, now: Duration, pool: &str) -> Slots {
-        let Shares { own, foreign } = self.shares(now, pool);
-        if own.total > 0 { own } else { foreign }
+        let PoolShares { local, remote } = self.shares(now, pool);
+        if local.total > 0 { local } else { remote }
     }
 
-    /// Splits what a pool can take over the nodes that use it. Nodes do not ask each other for
-    /// slots; without a split each would count on all of them, and work would pile up at the
-    /// upstreams, where neither deadlines nor workspaces order it.
-    fn shares(&self, now: Duration, pool: &str) -> Shares {
-        let mut own = Room::default();
-        let mut foreign = Room::default();
+    /// Divides the capacity of a pool among the nodes that use it. Nodes do not negotiate slots.
+    /// Without the division each node would count on the whole capacity, and work would queue up
+    /// at the upstreams, which order it neither by deadline nor by workspace.
+    fn shares(&self, now: Duration, pool: &str) -> PoolShares {
+        let mut local = PoolCapacity::default();
+        let mut remote = PoolCapacity::default();
         for id in self.pools.get(pool).into_iter().flatten() {
             let Some(state) = self.states.get(*id) else { continue };
             if !state.is_open() || state.is_ejected(now) {
                 continue;
             }
-            let is_own = state.spec.failure_domain == self.domain.as_ref();
-            let room = if is_own { &mut own } else { &mut foreign };
-            room.allowed += u64::from(self.allowed(now, state));
-            room.in_flight += u64::from(state.in_flight);
+            let is_local = state.spec.failure_domain == self.domain.as_ref();
+            let capacity = if is_local { &mut local } else { &mut remote };
+            capacity.concurrency_limit += u64::from(self.concurrency_limit(now, state));
+            capacity.in_flight += u64::from(state.in_flight);
         }
         let nodes = u64::from(self.live_nodes);
-        let foreign_nodes = if own.allowed > 0 { nodes * SPILL_PART } else { nodes };
+        let remote_nodes = if local.concurrency_limit > 0 { nodes * SPILL_DIVISOR } else { nodes };
         let percent = u64::from(self.settings.share_headroom_percent);
-        Shares { own: own.split(nodes, percent), foreign: foreign.split(foreign_nodes, percent) }
+        PoolShares {
+            local: local.share_of(nodes, percent),
+            remote: remote.share_of(remote_nodes, percent),
+        }
     }
 
-    /// Chooses an upstream of a pool with room for one attempt, none of `tried` if another can
-    /// take it.
+    /// Chooses an upstream of a pool that has a free slot for one attempt. The upstreams in
+    /// `tried` are chosen only if no other can take it.
     pub fn choose(
         &mut self,
         now: Duration,
@@ -308,24 +312,24 @@
         rng: &mut SmallRng,
     ) -> Option<Choice> {
         if !self.settings.is_full() {
-            return self.next_in_turn(pool);
+            return self.choose_round_robin(pool);
         }
         let shares = self.shares(now, pool);
-        let open: Vec<_> = self
-            .candidates(now, pool)
-            .into_iter()
-            .filter(
-                |id| if self.is_own(*id) { shares.own.free > 0 } else { shares.foreign.free > 0 },
-            )
-            .collect();
+        let open: Vec<_> =
+            self.candidates(now, pool)
+                .into_iter()
+                .filter(|id| {
+                    if self.is_local(*id) { shares.local.free > 0 } else { shares.remote.free > 0 }
+                })
+                .collect();
         let fresh: Vec<_> = open.iter().copied().filter(|id| !tried.contains(id)).collect();
         let usable = if fresh.is_empty() { open } else { fresh };
-        let own: Vec<_> = usable.iter().copied().filter(|id| self.is_own(*id)).collect();
-        if own.is_empty() {
-            let choice = self.choose_among(now, &usable, prefix, rng)?;
+        let local: Vec<_> = usable.iter().copied().filter(|id| self.is_local(*id)).collect();
+        if local.is_empty() {
+            let choice = self.choose_from(now, &usable, prefix, rng)?;
             return Some(Choice { reason: ChoiceReason::Spilled, ..choice });
         }
-        self.choose_among(now, &own, prefix, rng)
+        self.choose_from(now, &local, prefix, rng)
     }
 
     fn upsert(&mut self, name: &str, spec: &Arc<Upstream>) -> UpstreamId {
@@ -338,11 +342,12 @@
         id
     }
 
-    fn is_own(&self, id: UpstreamId) -> bool {
+    fn is_local(&self, id: UpstreamId) -> bool {
         self.states[id].spec.failure_domain == self.domain.as_ref()
     }
 
-    /// Ejection is capped, so that a fault of this node's own network never empties a pool.
+    /// Returns whether another upstream of the pool may be ejected. Ejections are capped, so that
+    /// a fault of this node's own network never empties a pool.
     fn may_eject(&self, now: Duration, id: UpstreamId) -> bool {
         let Some(pool) = self.pools.get(&self.states[id].spec.pool) else {
             return false;
@@ -351,7 +356,7 @@
         (ejected + 1) * 100 <= pool.len() * self.settings.eject_max_percent as usize
     }
 
-    fn allowed(&self, now: Duration, state: &UpstreamState) -> u32 {
+    fn concurrency_limit(&self, now: Duration, state: &UpstreamState) -> u32 {
         let limit = state.spec.concurrency;
         let Some(returned_at) = state.returned_at else {
             return limit;
@@ -362,32 +367,38 @@
         ((f64::from(limit) * share) as u32).max(1)
     }
 
-    fn has_room(&self, now: Duration, id: UpstreamId) -> bool {
+    fn has_free_slot(&self, now: Duration, id: UpstreamId) -> bool {
         let state = &self.states[id];
-        state.is_open() && !state.is_ejected(now) && state.in_flight < self.allowed(now, state)
+        state.is_open()
+            && !state.is_ejected(now)
+            && state.in_flight < self.concurrency_limit(now, state)
     }
 
     fn candidates(&self, now: Duration, pool: &str) -> Vec<UpstreamId> {
         let members = self.pools.get(pool).into_iter().flatten().copied();
-        members.filter(|id| self.has_room(now, *id)).collect()
+        members.filter(|id| self.has_free_slot(now, *id)).collect()
     }
 
-    fn next_in_turn(&mut self, pool: &str) -> Option<Choice> {
+    fn choose_round_robin(&mut self, pool: &str) -> Option<Choice> {
         let members = self.pools.get(pool)?;
-        let own: Vec<_> = members.iter().copied().filter(|id| self.is_own(*id)).collect();
-        let members = if own.is_empty() { members.clone() } else { own };
+        let local: Vec<_> = members.iter().copied().filter(|id| self.is_local(*id)).collect();
+        let members = if local.is_empty() { members.clone() } else { local };
         for step in 0..members.len() {
-            let id = members[(self.turn + step) % members.len()];
+            let id = members[(self.round_robin_next + step) % members.len()];
             let state = &self.states[id];
             if state.is_open() && state.in_flight < state.spec.concurrency {
-                self.turn = self.turn.wrapping_add(step + 1);
-                return Some(Choice { upstream: id, runner_up: None, reason: ChoiceReason::RoundRobin });
+                self.round_robin_next = self.round_robin_next.wrapping_add(step + 1);
+                return Some(Choice {
+                    upstream: id,
+                    runner_up: None,
+                    reason: ChoiceReason::RoundRobin,
+                });
             }
         }
         None
     }
 
-    fn choose_among(
+    fn choose_from(
         &self,
         now: Duration,
         usable: &[UpstreamId],
@@ -396,11 +407,15 @@
     ) -> Option<Choice> {
         let (&first, rest) = usable.split_first()?;
         if rest.is_empty() {
-            return Some(Choice { upstream: first, runner_up: None, reason: ChoiceReason::OnlyOne });
+            return Some(Choice {
+                upstream: first,
+                runner_up: None,
+                reason: ChoiceReason::OnlyOne,
+            });
         }
         let is_engine = self.states[first].spec.kind == UpstreamKind::Engine;
         if is_engine && self.settings.prefix_affinity {
-            return self.by_prefix(now, usable, prefix);
+            return self.choose_by_prefix(now, usable, prefix);
         }
         let a = rng.random_range(0..usable.len());
         let b = (a + rng.random_range(1..usable.len())) % usable.len();
@@ -409,69 +424,76 @@
         Some(Choice { upstream: chosen, runner_up: Some(other), reason: ChoiceReason::LessLoaded })
     }
 
-    /// Tells whether an upstream carries so little that a second attempt there delays nobody.
+    /// Returns whether the load of an upstream is so low that a hedge there delays no other attempt.
     pub fn may_take_hedge(&self, now: Duration, id: UpstreamId) -> bool {
-        self.states.contains_key(id) && self.load(now, id) < CALM_LOAD
+        self.states.contains_key(id) && self.load(now, id) < HEDGE_LOAD_MAX
     }
 
-    /// Own attempts under way plus what others have there by a fresh report, relative to size.
+    /// Returns the load of an upstream relative to its concurrency: the attempts of this node in
+    /// flight or, if it is higher, the load of all nodes by a recent report.
     fn load(&self, now: Duration, id: UpstreamId) -> f64 {
-        f64::from(self.carried(now, id)) / f64::from(self.states[id].spec.concurrency)
+        f64::from(self.current_load(now, id)) / f64::from(self.states[id].spec.concurrency)
     }
 
-    fn carried(&self, now: Duration, id: UpstreamId) -> u32 {
+    fn current_load(&self, now: Duration, id: UpstreamId) -> u32 {
         let state = &self.states[id];
-        let stale = Duration::from_millis(self.settings.report_stale_ms);
-        let fresh = state.reported_at.is_some_and(|at| now < at + stale);
+        let max_age = Duration::from_millis(self.settings.report_stale_ms);
+        let fresh = state.reported_at.is_some_and(|at| now < at + max_age);
         let reported = if fresh { state.reported_load } else { 0 };
         state.in_flight.max(reported)
     }
 
-    fn by_prefix(&self, now: Duration, usable: &[UpstreamId], prefix: u64) -> Option<Choice> {
+    fn choose_by_prefix(
+        &self,
+        now: Duration,
+        usable: &[UpstreamId],
+        prefix: u64,
+    ) -> Option<Choice> {
         let mut ranked = usable.to_vec();
         ranked.sort_by_key(|id| {
             std::cmp::Reverse(xxh3_64_with_seed(self.states[*id].name.as_bytes(), prefix))
         });
-        let total: u32 = ranked.iter().map(|id| self.carried(now, *id)).sum();
+        let total: u32 = ranked.iter().map(|id| self.current_load(now, *id)).sum();
         let mean = f64::from(total + 1) / ranked.len() as f64;
         let bound = (mean * LOAD_BOUND).ceil();
-        let fits = |id: &&UpstreamId| f64::from(self.carried(now, **id) + 1) <= bound;
+        let fits = |id: &&UpstreamId| f64::from(self.current_load(now, **id) + 1) <= bound;
         let upstream = *ranked.iter().find(fits).unwrap_or(&ranked[0]);
-        let why = if upstream == ranked[0] { ChoiceReason::Prefix } else { ChoiceReason::PrefixBounded };
+        let reason =
+            if upstream == ranked[0] { ChoiceReason::Prefix } else { ChoiceReason::PrefixBounded };
         let runner_up = ranked.iter().copied().find(|id| *id != upstream);
-        Some(Choice { upstream, runner_up, reason: why })
+        Some(Choice { upstream, runner_up, reason })
     }
 }
 
-/// Room for attempts at a pool.
+/// This node's slots for attempts at a pool.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Slots {
     /// Attempts that can be sent now.
     pub free: u64,
-    /// Attempts that can be under way at once.
+    /// Attempts that can be in flight at once.
     pub total: u64,
 }
 
-/// This node's shares of a pool.
+/// This node's shares of a pool, in its own failure domain and in the others.
 #[derive(Debug, Clone, Copy)]
-struct Shares {
-    own: Slots,
-    foreign: Slots,
+struct PoolShares {
+    local: Slots,
+    remote: Slots,
 }
 
-/// What some upstreams can take, and what this node has there.
+/// Concurrency of a set of upstreams, and the attempts that this node has in flight there.
 #[derive(Debug, Clone, Copy, Default)]
-struct Room {
-    allowed: u64,
+struct PoolCapacity {
+    concurrency_limit: u64,
     in_flight: u64,
 }
 
-impl Room {
-    /// Returns `percent` of the share of one of `nodes` nodes, rounded up so that no slot is left
-    /// to nobody.
-    fn split(self, nodes: u64, percent: u64) -> Slots {
-        let share = (self.allowed * percent).div_ceil(nodes.max(1) * 100);
-        let total = share.min(self.allowed);
+impl PoolCapacity {
+    /// Returns `percent` of one node's share among `nodes` nodes, rounded up so that every slot
+    /// belongs to some node.
+    fn share_of(self, nodes: u64, percent: u64) -> Slots {
+        let share = (self.concurrency_limit * percent).div_ceil(nodes.max(1) * 100);
+        let total = share.min(self.concurrency_limit);
         Slots { free: total.saturating_sub(self.in_flight), total }
     }
 }
--- a/crates/fernring/src/node/order_loop.rs
+++ b/crates/fernring/src/node/order_loop.rs
@@ -7,7 +7,7 @@
     },
     crate::upstream::OrderOutcome,
     fernring_core::{orders::ORDER_STREAM, text::LogLine},
-    fernring_policy::placement::{GrantRecord, PlacementStep, TargetOrder},
+    fernring_policy::placement::{GrantRecord, PlacementStep, EngineOrder},
     futures_util::StreamExt,
     spdlog::{info, warn},
     std::{collections::BTreeSet, sync::Arc, time::Duration},
@@ -81,7 +81,7 @@
     }
 }
 
-async fn send(node: &Arc<Node>, target: TargetOrder) {
+async fn send(node: &Arc<Node>, target: EngineOrder) {
     let catalog = lock(&node.fold).catalog().clone();
     let Some(upstream) = catalog.upstreams.get(&target.upstream) else {
         return;
