--- a/crates/fernring-policy/tests/testsuite/claim_model.rs
+++ b/crates/fernring-policy/tests/testsuite/claim_model.rs
@@ -1,47 +1,48 @@
-//! A small specification of claims, checked exhaustively.
+//! Model checking of a small specification of claims, over all reachable states.
 //!
-//! Two nodes, one key, a log with retention. Steps: a caller submits the key at either node, any
-//! number of times; an append lands now, later, or never; it is sent again; the log drops old
-//! records; a node reads one record at a time or pauses for as long as it likes; one node crashes
-//! and starts as a new incarnation with an empty view; an owner gives up and says so. The rules
-//! are those of `ClaimView`; `claim_view.rs` compares the two on random logs.
+//! The model has two nodes, one key and a log with retention. Its steps: a caller submits the key
+//! at either node, any number of times; an append takes effect now, later or never; an append is
+//! repeated; the log drops old records; a node reads one record at a time or pauses for any time;
+//! one node crashes and restarts as a new incarnation with an empty view; an owner abandons the
+//! key and reports it as spent. The rules are those of `ClaimView`, which `claim_view.rs` tests
+//! against random logs.
 
 use crate::explore::{Explored, explore};
 
-/// The key is minted at this time.
-const MINTED: u8 = 1;
-/// Time stops here.
-const END: u8 = 3;
-/// The log keeps a record for this long: as tight as the rules allow.
+/// Time at which the key is minted.
+const MINTED_AT: u8 = 1;
+/// Last time of the model.
+const END_TIME: u8 = 3;
+/// Time for which the log keeps a record: the shortest that the rules allow.
 const RETENTION: u8 = 1;
-/// Oldest key that a record may claim.
+/// Largest age of a key that a record may claim.
 const HORIZON: u8 = 1;
-/// Appends that each incarnation may send.
+/// Most appends that each incarnation may send.
 const APPENDS_MAX: u8 = 2;
-/// Appends under way at once.
-const NETWORK_MAX: usize = 2;
-/// Records that the log takes in all.
+/// Most appends in flight at once.
+const IN_FLIGHT_MAX: usize = 2;
+/// Most records that are ever appended to the log.
 const RECORDS_MAX: u8 = 3;
 
-/// A rule that is switched off.
+/// The rule that is switched off in a run of the model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Mutant {
     None,
-    /// An own claim wins wherever it stands in the log.
+    /// A node's own claim wins at any position in the log.
     AnyOwnClaimWins,
-    /// A reading that began late counts as complete.
-    LateReadingCounts,
-    /// A gap in the reading does not void what was known before.
+    /// A view that starts too late to have seen every claim counts as complete.
+    IncompleteHistoryCounts,
+    /// A gap in the records read does not invalidate the earlier history of the view.
     GapKeepsView,
-    /// Records that come after the key's horizon count.
+    /// Records later than the key's horizon count.
     NoHorizon,
-    /// An owner that gave up runs the key when its claim turns up after all.
-    RunsAfterGivingUp,
-    /// The owner says that the key is used up before it knows that the key is its own.
-    SaysSpentWhileUnsettled,
-    /// A restarted node takes its predecessor's claims for its own.
-    InheritsIncarnation,
-    /// A won claim may be run again on a repeat.
+    /// An owner that abandoned the key runs it when its claim shows up in the log later.
+    RunsAfterAbandoning,
+    /// The owner reports the key as spent before it knows that it owns the key.
+    ReportsSpentBeforeOwnership,
+    /// A restarted node treats the claims of its previous incarnation as its own.
+    InheritsOldClaims,
+    /// A repeated submission runs a key again that its owner has already run.
     RunsTwice,
 }
 
@@ -53,16 +54,17 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct Logged {
+struct LogRecord {
     time: u8,
     record: Record,
 }
 
-/// What a reader knows: the first valid record, and since when it has read without a gap.
+/// A node's view of the log: the first valid record, and the time from which it has read without a
+/// gap.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 struct View {
     next: u8,
-    began: Option<u8>,
+    history_from: Option<u8>,
     owner: Option<Record>,
 }
 
@@ -72,7 +74,7 @@
     None,
     Pending,
     Ran,
-    GaveUp,
+    Abandoned,
     Lost,
 }
 
@@ -88,13 +90,13 @@
 struct State {
     time: u8,
     first_offset: u8,
-    log: Vec<Logged>,
+    log: Vec<LogRecord>,
     nodes: [Node; 2],
-    /// Appends under way: each lands once, or never.
-    network: Vec<Record>,
+    /// Appends in flight: each takes effect once or never.
+    in_flight: Vec<Record>,
     effects: u8,
-    /// Whether a caller was told that the key will never run.
-    told_spent: bool,
+    /// Whether a caller got the answer that the key will never run.
+    reported_spent: bool,
 }
 
 impl State {
@@ -104,34 +106,35 @@
             first_offset: 0,
             log: Vec::new(),
             nodes: Default::default(),
-            network: Vec::new(),
+            in_flight: Vec::new(),
             effects: 0,
-            told_spent: false,
+            reported_spent: false,
         }
     }
 
-    /// At most one effect, and none once a caller was told that there will be none.
-    fn broken(&self) -> bool {
-        self.effects > 1 || (self.told_spent && self.effects > 0)
+    /// Returns whether there was more than one effect, or any effect although a caller got the
+    /// answer that there will be none.
+    fn violates_property(&self) -> bool {
+        self.effects > 1 || (self.reported_spent && self.effects > 0)
     }
 
     fn successors(&self, mutant: Mutant) -> Vec<Self> {
         let mut list = Vec::new();
         self.push_time(&mut list);
-        self.push_network(&mut list);
+        self.push_append_outcomes(&mut list);
         for index in 0..self.nodes.len() {
             self.push_submit(index, &mut list);
-            self.push_append_again(index, &mut list);
+            self.push_repeated_append(index, &mut list);
             self.push_read(index, mutant, &mut list);
             self.push_run(index, mutant, &mut list);
-            self.push_give_up(index, mutant, &mut list);
+            self.push_abandon(index, mutant, &mut list);
             self.push_crash(index, &mut list);
         }
         list
     }
 
     fn push_time(&self, list: &mut Vec<Self>) {
-        if self.time == END {
+        if self.time == END_TIME {
             return;
         }
         let mut next = self.clone();
@@ -143,36 +146,36 @@
         list.push(next);
     }
 
-    fn push_network(&self, list: &mut Vec<Self>) {
-        for index in 0..self.network.len() {
+    fn push_append_outcomes(&self, list: &mut Vec<Self>) {
+        for index in 0..self.in_flight.len() {
             let mut lost = self.clone();
-            let record = lost.network.remove(index);
-            let mut landed = lost.clone();
-            landed.log.push(Logged { time: self.time, record });
+            let record = lost.in_flight.remove(index);
+            let mut appended = lost.clone();
+            appended.log.push(LogRecord { time: self.time, record });
             list.push(lost);
             if self.first_offset + (self.log.len() as u8) < RECORDS_MAX {
-                list.push(landed);
+                list.push(appended);
             }
         }
     }
 
     fn can_send(&self) -> bool {
-        self.network.len() < NETWORK_MAX
+        self.in_flight.len() < IN_FLIGHT_MAX
     }
 
     fn send(&mut self, index: usize, spent: bool) {
         let node = &mut self.nodes[index];
         node.appends += 1;
         let record = Record { node: index as u8, incarnation: node.incarnation, spent };
-        self.network.push(record);
-        self.network.sort();
+        self.in_flight.push(record);
+        self.in_flight.sort();
     }
 
-    /// A caller submits the key. A node that knows an owner passes it on instead.
+    /// A caller submits the key. A node that knows an owner would forward the submission instead.
     fn push_submit(&self, index: usize, list: &mut Vec<Self>) {
         let node = &self.nodes[index];
         if !self.can_send()
-            || self.time < MINTED
+            || self.time < MINTED_AT
             || node.entry != Entry::None
             || node.view.owner.is_some()
         {
@@ -184,40 +187,40 @@
         list.push(next);
     }
 
-    fn push_append_again(&self, index: usize, list: &mut Vec<Self>) {
+    fn push_repeated_append(&self, index: usize, list: &mut Vec<Self>) {
         let node = &self.nodes[index];
-        let again = node.entry == Entry::Pending && node.appends < APPENDS_MAX;
-        if again && self.can_send() {
+        let may_repeat = node.entry == Entry::Pending && node.appends < APPENDS_MAX;
+        if may_repeat && self.can_send() {
             let mut next = self.clone();
             next.send(index, false);
             list.push(next);
         }
     }
 
-    /// Reads one record, or learns that the stream is empty.
+    /// A node reads one record, or finds that there is none to read.
     fn push_read(&self, index: usize, mutant: Mutant, list: &mut Vec<Self>) {
         let mut next = self.clone();
         let view = &mut next.nodes[index].view;
         let first = self.first_offset;
-        let gap = first > view.next;
-        let starts = view.began.is_none();
+        let has_gap = first > view.next;
+        let is_first_read = view.history_from.is_none();
         view.next = view.next.max(first);
         let position = usize::from(view.next - first);
         let record = self.log.get(position).copied();
-        if starts || (gap && mutant != Mutant::GapKeepsView) {
-            let complete = starts && first == 0;
-            let shown = record.map_or(self.time, |logged| logged.time);
-            view.began = Some(if complete { 0 } else { shown });
+        if is_first_read || (has_gap && mutant != Mutant::GapKeepsView) {
+            let is_from_first_record = is_first_read && first == 0;
+            let observed_time = record.map_or(self.time, |log_record| log_record.time);
+            view.history_from = Some(if is_from_first_record { 0 } else { observed_time });
         }
-        if let Some(logged) = record {
+        if let Some(log_record) = record {
             view.next += 1;
-            let too_old = MINTED + HORIZON < logged.time;
-            if too_old {
-                // Nothing valid can follow, so what was known need not be kept.
+            let is_too_old = MINTED_AT + HORIZON < log_record.time;
+            if is_too_old {
+                // No valid record can follow, so the owner need not be remembered.
                 view.owner = None;
             }
-            if !too_old || mutant == Mutant::NoHorizon {
-                view.fold(logged.record);
+            if !is_too_old || mutant == Mutant::NoHorizon {
+                view.fold(log_record.record);
             }
         }
         if next != *self {
@@ -231,35 +234,37 @@
             return false;
         };
         let same_node = usize::from(owner.node) == index;
-        let same_run = owner.incarnation == node.incarnation;
-        let mine = same_node && (same_run || mutant == Mutant::InheritsIncarnation);
-        let reaches_back = node.view.began.is_some_and(|began| began < MINTED);
-        let reaches_back = reaches_back || mutant == Mutant::LateReadingCounts;
-        mine && !owner.spent && reaches_back
+        let same_incarnation = owner.incarnation == node.incarnation;
+        let is_own = same_node && (same_incarnation || mutant == Mutant::InheritsOldClaims);
+        let reaches_back =
+            node.view.history_from.is_some_and(|history_from| history_from < MINTED_AT);
+        let reaches_back = reaches_back || mutant == Mutant::IncompleteHistoryCounts;
+        is_own && !owner.spent && reaches_back
     }
 
     fn push_run(&self, index: usize, mutant: Mutant, list: &mut Vec<Self>) {
         let entry = self.nodes[index].entry;
         let node = &self.nodes[index];
-        let any_own = mutant == Mutant::AnyOwnClaimWins && node.view.next > self.first_offset && {
-            let read = usize::from(node.view.next - self.first_offset);
-            let mine = |logged: &Logged| {
-                usize::from(logged.record.node) == index
-                    && logged.record.incarnation == node.incarnation
-                    && !logged.record.spent
+        let has_any_own_claim =
+            mutant == Mutant::AnyOwnClaimWins && node.view.next > self.first_offset && {
+                let read = usize::from(node.view.next - self.first_offset);
+                let is_own = |log_record: &LogRecord| {
+                    usize::from(log_record.record.node) == index
+                        && log_record.record.incarnation == node.incarnation
+                        && !log_record.record.spent
+                };
+                self.log.iter().take(read).any(is_own)
             };
-            self.log.iter().take(read).any(mine)
-        };
-        let wins = self.owns(index, mutant) || any_own;
-        let waiting = match entry {
+        let is_owner = self.owns(index, mutant) || has_any_own_claim;
+        let may_run = match entry {
             Entry::Pending => true,
-            Entry::GaveUp => mutant == Mutant::RunsAfterGivingUp,
+            Entry::Abandoned => mutant == Mutant::RunsAfterAbandoning,
             Entry::Ran => mutant == Mutant::RunsTwice,
-            Entry::None => mutant == Mutant::InheritsIncarnation,
+            Entry::None => mutant == Mutant::InheritsOldClaims,
             Entry::Lost => false,
         };
         let mut next = self.clone();
-        if waiting && wins {
+        if may_run && is_owner {
             next.nodes[index].entry = Entry::Ran;
             next.effects += 1;
             list.push(next);
@@ -269,16 +274,16 @@
         }
     }
 
-    /// The owner's window ends before it ran. It says that the key is used up only if the log
-    /// has shown that the key is its own; it notes on the log that it never will run it.
-    fn push_give_up(&self, index: usize, mutant: Mutant, list: &mut Vec<Self>) {
+    /// The owner's window ends before the key ran. The owner reports the key as spent only if the
+    /// log has shown that it owns the key, and appends a record that it will never run the key.
+    fn push_abandon(&self, index: usize, mutant: Mutant, list: &mut Vec<Self>) {
         if self.nodes[index].entry != Entry::Pending || !self.can_send() {
             return;
         }
         let mut next = self.clone();
-        next.nodes[index].entry = Entry::GaveUp;
-        next.told_spent |=
-            self.owns(index, Mutant::None) || mutant == Mutant::SaysSpentWhileUnsettled;
+        next.nodes[index].entry = Entry::Abandoned;
+        next.reported_spent |=
+            self.owns(index, Mutant::None) || mutant == Mutant::ReportsSpentBeforeOwnership;
         next.send(index, true);
         list.push(next);
     }
@@ -298,32 +303,33 @@
         match &mut self.owner {
             None => self.owner = Some(record),
             Some(owner) => {
-                let same = owner.node == record.node && owner.incarnation == record.incarnation;
-                owner.spent |= same && record.spent;
+                let same_owner =
+                    owner.node == record.node && owner.incarnation == record.incarnation;
+                owner.spent |= same_owner && record.spent;
             }
         }
     }
 }
 
 fn check(mutant: Mutant) -> Explored<State> {
-    explore(State::start(), |state| state.successors(mutant), State::broken)
+    explore(State::start(), |state| state.successors(mutant), State::violates_property)
 }
 
 #[test]
-fn a_key_runs_at_most_once_and_never_after_it_was_called_spent() {
+fn key_runs_at_most_once_and_never_once_spent() {
     check(Mutant::None).expect("claims", true);
 }
 
 #[test]
-fn each_rule_is_needed() {
+fn property_fails_without_any_single_rule() {
     let mutants = [
         Mutant::AnyOwnClaimWins,
-        Mutant::LateReadingCounts,
+        Mutant::IncompleteHistoryCounts,
         Mutant::GapKeepsView,
         Mutant::NoHorizon,
-        Mutant::RunsAfterGivingUp,
-        Mutant::SaysSpentWhileUnsettled,
-        Mutant::InheritsIncarnation,
+        Mutant::RunsAfterAbandoning,
+        Mutant::ReportsSpentBeforeOwnership,
+        Mutant::InheritsOldClaims,
         Mutant::RunsTwice,
     ];
     for mutant in mutants {
--- a/crates/fernring-policy/tests/testsuite/config_model.rs
+++ b/crates/fernring-policy/tests/testsuite/config_model.rs
@@ -1,32 +1,33 @@
-//! A small specification of the configuration fold, checked exhaustively.
+//! Model checking of a small specification of the configuration fold, over all reachable states.
 //!
-//! Two nodes read one stream with retention; operators append changes based on a version that
-//! some node showed; nodes append snapshots of what they have; a node restarts empty, is cut off
-//! for as long as it likes, or takes the state of the other. The state is the list of accepted
-//! changes, so a lost, repeated or reordered one shows.
+//! Two nodes read one stream with retention. Operators append changes based on a version that some
+//! node had in force, and nodes append snapshots of their state. A node restarts with an empty
+//! state, stays disconnected for any time, or adopts the state of the other. The state is the list
+//! of accepted changes, so that a lost, repeated or reordered change is detected.
 
 use crate::explore::{Explored, explore};
 
-/// Records that the log takes in all.
+/// Most records that are ever appended to the log.
 const RECORDS_MAX: u8 = 4;
-/// Records that the log keeps.
-const KEPT: usize = 2;
+/// Number of records that the log retains.
+const RETAINED_RECORDS: usize = 2;
 
-/// A rule that is switched off.
+/// The rule that is switched off in a run of the model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Mutant {
     None,
-    /// A change is accepted whatever it was based on.
-    NoCompare,
-    /// A late reader takes any snapshot, also one that does not reach back to its first record.
+    /// A change is accepted regardless of the version that it is based on.
+    NoVersionCheck,
+    /// A late reader adopts any snapshot, even one that does not cover the records before its first
+    /// one.
     AnySnapshot,
-    /// A late reader drops the records that it can't place yet.
-    HoldsNothing,
-    /// A peer's state is taken even if it is older.
-    TakesOlder,
+    /// A late reader drops the records that it can't apply yet.
+    BuffersNothing,
+    /// A peer's state is adopted even if it is older.
+    AdoptsOlderState,
 }
 
-/// The identities of the accepted changes, in order.
+/// Identities of the accepted changes, in order.
 type Changes = Vec<u8>;
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -42,9 +43,9 @@
     changes: Changes,
     gap: bool,
     contiguous_from: u8,
-    held: Vec<(u8, Record)>,
-    /// The highest version that this run of the node had in force.
-    highest: u8,
+    buffered: Vec<(u8, Record)>,
+    /// Highest version that this incarnation of the node had in force.
+    highest_version: u8,
     restarted: bool,
 }
 
@@ -52,7 +53,7 @@
 struct State {
     first_offset: u8,
     log: Vec<Record>,
-    /// The true fold of everything ever appended.
+    /// Versions and their states by a complete fold of all records ever appended.
     truth: Vec<(u8, Changes)>,
     readers: [Reader; 2],
     next_id: u8,
@@ -63,12 +64,12 @@
         self.first_offset + self.log.len() as u8
     }
 
-    /// Every node has the true state of its version, and its version never falls.
-    fn broken(&self) -> bool {
+    /// Returns whether a node has a state that does not match its version, or its version fell.
+    fn violates_property(&self) -> bool {
         self.readers.iter().any(|reader| {
             let truth = self.truth.iter().find(|(version, _)| *version == reader.version);
             let true_changes = truth.map(|(_, changes)| changes.clone()).unwrap_or_default();
-            reader.version < reader.highest || reader.changes != true_changes
+            reader.version < reader.highest_version || reader.changes != true_changes
         })
     }
 
@@ -101,7 +102,7 @@
                 list.extend(self.append(Record::Snapshot { version, folded_to, changes }));
             }
         }
-        if self.log.len() > KEPT {
+        if self.log.len() > RETAINED_RECORDS {
             let mut next = self.clone();
             next.log.remove(0);
             next.first_offset += 1;
@@ -120,7 +121,7 @@
             list.push(read);
         }
         let other = &self.readers[1 - index];
-        if other.version > self.readers[index].version || mutant == Mutant::TakesOlder {
+        if other.version > self.readers[index].version || mutant == Mutant::AdoptsOlderState {
             let mut adopted = self.clone();
             adopted.readers[index].adopt(other);
             if adopted != *self {
@@ -140,7 +141,7 @@
         if first_offset > self.next {
             self.next = first_offset;
             self.contiguous_from = first_offset;
-            self.held.clear();
+            self.buffered.clear();
             self.gap = self.version < first_offset;
         }
         let Some(record) = log.get(usize::from(self.next - first_offset)) else {
@@ -150,17 +151,18 @@
         self.next += 1;
         match record {
             Record::Snapshot { version, folded_to, changes } => {
-                let reaches = *folded_to >= self.contiguous_from || mutant == Mutant::AnySnapshot;
-                if self.gap && reaches {
+                let covers_gap =
+                    *folded_to >= self.contiguous_from || mutant == Mutant::AnySnapshot;
+                if self.gap && covers_gap {
                     if *version > self.version {
-                        self.put(*version, changes.clone());
+                        self.set_version(*version, changes.clone());
                     }
                     self.close_gap(mutant);
                 }
             }
             change if self.gap => {
-                if mutant != Mutant::HoldsNothing {
-                    self.held.push((offset, change.clone()));
+                if mutant != Mutant::BuffersNothing {
+                    self.buffered.push((offset, change.clone()));
                 }
             }
             change => self.fold(offset, change, mutant),
@@ -171,21 +173,21 @@
         let Record::Change { base, id } = record else {
             return;
         };
-        let matches = *base == self.version || mutant == Mutant::NoCompare;
+        let matches = *base == self.version || mutant == Mutant::NoVersionCheck;
         if offset >= self.version && matches {
             let changes = [self.changes.clone(), vec![*id]].concat();
-            self.put(offset + 1, changes);
+            self.set_version(offset + 1, changes);
         }
     }
 
-    fn put(&mut self, version: u8, changes: Changes) {
+    fn set_version(&mut self, version: u8, changes: Changes) {
         self.version = version;
         self.changes = changes;
-        self.highest = self.highest.max(version);
+        self.highest_version = self.highest_version.max(version);
     }
 
     fn adopt(&mut self, other: &Self) {
-        self.put(other.version, other.changes.clone());
+        self.set_version(other.version, other.changes.clone());
         let folded_to = if other.gap { other.version } else { other.next.max(other.version) };
         if folded_to >= self.contiguous_from {
             self.close_gap(Mutant::None);
@@ -194,25 +196,29 @@
 
     fn close_gap(&mut self, mutant: Mutant) {
         self.gap = false;
-        for (offset, record) in std::mem::take(&mut self.held) {
+        for (offset, record) in std::mem::take(&mut self.buffered) {
             self.fold(offset, &record, mutant);
         }
     }
 }
 
 fn check(mutant: Mutant) -> Explored<State> {
-    explore(State::default(), |state| state.successors(mutant), State::broken)
+    explore(State::default(), |state| state.successors(mutant), State::violates_property)
 }
 
 #[test]
-fn every_node_has_the_true_state_of_its_version_and_never_goes_back() {
+fn state_matches_version_and_never_goes_back() {
     check(Mutant::None).expect("configuration", true);
 }
 
 #[test]
-fn each_rule_is_needed() {
-    let mutants =
-        [Mutant::NoCompare, Mutant::AnySnapshot, Mutant::HoldsNothing, Mutant::TakesOlder];
+fn property_fails_without_any_single_rule() {
+    let mutants = [
+        Mutant::NoVersionCheck,
+        Mutant::AnySnapshot,
+        Mutant::BuffersNothing,
+        Mutant::AdoptsOlderState,
+    ];
     for mutant in mutants {
         check(mutant).expect(&format!("configuration without a rule: {mutant:?}"), false);
     }
--- a/crates/fernring-policy/tests/testsuite/main.rs
+++ b/crates/fernring-policy/tests/testsuite/main.rs
@@ -1,5 +1,5 @@
 //! Tests of the decisions: model checking of two small specifications, randomised runs of the
-//! shipped code with its invariants, and focused tests of each machine.
+//! production code with its invariants, and focused tests of each state machine.
 
 mod claim_model;
 mod claim_view;
--- a/crates/fernring-policy/tests/testsuite/membership.rs
+++ b/crates/fernring-policy/tests/testsuite/membership.rs
@@ -1,8 +1,9 @@
-//! Live nodes of a failure domain.
+//! Tests of the membership: live nodes, heartbeat targets, polled upstreams and newer
+//! configurations.
 
 use {
     fernring_core::ids::Incarnation,
-    fernring_policy::membership::{Heartbeat, PeerHint, Membership},
+    fernring_policy::membership::{Heartbeat, Membership, PeerHint},
     std::{net::SocketAddr, time::Duration},
     uuid::Uuid,
 };
@@ -31,49 +32,57 @@
 }
 
 #[test]
-fn a_peer_counts_as_live_until_it_misses_four_heartbeats() {
+fn peer_is_live_until_four_missed_heartbeats() {
     let mut membership = membership();
     membership.record_heartbeat(Duration::ZERO, heartbeat(2, "a", 0));
     membership.record_heartbeat(Duration::ZERO, heartbeat(3, "b", 0));
-    assert_eq!(membership.live_nodes(INTERVAL * 3), 2, "itself and the one of its domain");
+    assert_eq!(
+        membership.live_nodes(INTERVAL * 3),
+        2,
+        "the node itself and the peer of its domain"
+    );
     assert_eq!(membership.live_nodes(INTERVAL * 4), 1);
 }
 
 #[test]
-fn a_draining_peer_shares_nothing() {
+fn draining_peer_is_not_counted() {
     let mut membership = membership();
-    membership.record_heartbeat(Duration::ZERO, Heartbeat { draining: true, ..heartbeat(2, "a", 0) });
+    membership
+        .record_heartbeat(Duration::ZERO, Heartbeat { draining: true, ..heartbeat(2, "a", 0) });
     assert_eq!(membership.live_nodes(Duration::ZERO), 1);
 }
 
 #[test]
-fn contacts_hold_the_whole_own_domain_and_a_few_others() {
+fn heartbeat_targets_hold_own_domain_and_few_others() {
     let mut membership = membership();
     let hint = |number: u16| {
         let domain = if number < 20 { "a" } else { "b" };
         PeerHint { address: address(number), failure_domain: domain.to_owned() }
     };
     membership.set_hints((1..200).map(hint));
-    let contacts = membership.heartbeat_targets();
-    let own = contacts.iter().filter(|contact| contact.port() < 20).count();
-    assert_eq!(own, 18, "all of the domain but itself");
-    assert_eq!(contacts.len() - own, 3, "a few of the 180 others");
-    assert!(!contacts.contains(&address(1)));
+    let targets = membership.heartbeat_targets();
+    let local = targets.iter().filter(|target| target.port() < 20).count();
+    assert_eq!(local, 18, "all nodes of the domain except itself");
+    assert_eq!(targets.len() - local, 3, "a few of the 180 others");
+    assert!(!targets.contains(&address(1)));
 }
 
 #[test]
-fn a_restarted_peer_replaces_its_predecessor() {
+fn restarted_peer_replaces_its_predecessor() {
     let mut membership = membership();
     membership.record_heartbeat(Duration::ZERO, heartbeat(2, "a", 5));
-    let fresh = Incarnation(Uuid::from_u128(99));
-    membership.record_heartbeat(Duration::ZERO, Heartbeat { incarnation: fresh, ..heartbeat(2, "a", 0) });
+    let new_incarnation = Incarnation(Uuid::from_u128(99));
+    membership.record_heartbeat(
+        Duration::ZERO,
+        Heartbeat { incarnation: new_incarnation, ..heartbeat(2, "a", 0) },
+    );
     let live = membership.live_peers(Duration::ZERO);
     assert_eq!(live.len(), 1);
-    assert_eq!(live[0].incarnation, fresh);
+    assert_eq!(live[0].incarnation, new_incarnation);
 }
 
 #[test]
-fn the_peer_that_is_ahead_is_found_in_any_domain() {
+fn newer_config_peer_is_found_in_any_domain() {
     let mut membership = membership();
     membership.record_heartbeat(Duration::ZERO, heartbeat(2, "a", 4));
     membership.record_heartbeat(Duration::ZERO, heartbeat(3, "b", 7));
@@ -82,16 +91,20 @@
     assert_eq!(membership.highest_version(), 7);
 }
 
-/// All nodes asked the same one of the peers that had a new configuration, whose link then carried all copies; in
-/// the gateway, where this was seen, 271 KB took 4.3 s to 78 nodes.
+/// Guards against a failure in which all nodes asked the same peer for a new configuration, so that
+/// the link of that peer carried all copies: in the gateway, 271 KB took 4.3 s to reach 78 nodes.
 #[test]
-fn nodes_that_are_behind_ask_different_peers() {
+fn outdated_nodes_ask_different_peers() {
     let mut membership = membership();
     for number in 2..=9 {
-        membership.record_heartbeat(Duration::ZERO, heartbeat(number, "a", if number < 6 { 7 } else { 4 }));
+        membership.record_heartbeat(
+            Duration::ZERO,
+            heartbeat(number, "a", if number < 6 { 7 } else { 4 }),
+        );
     }
     let draws = (0..100).map(|step| f64::from(step) / 100.0);
-    let mut asked: Vec<_> = draws.filter_map(|draw| membership.newer_config_peer(4, draw)).collect();
+    let mut asked: Vec<_> =
+        draws.filter_map(|draw| membership.newer_config_peer(4, draw)).collect();
     assert_eq!(asked.len(), 100);
     asked.sort();
     for number in 2..6 {
@@ -100,10 +113,10 @@
 }
 
 #[test]
-fn each_upstream_is_asked_by_one_node_and_the_work_is_even() {
+fn each_upstream_is_polled_by_one_node_evenly() {
     let node = |number: u16| {
-        let me = Incarnation(Uuid::from_u128(u128::from(number)));
-        let mut node = Membership::new(me, address(number), "a".into(), INTERVAL);
+        let own_incarnation = Incarnation(Uuid::from_u128(u128::from(number)));
+        let mut node = Membership::new(own_incarnation, address(number), "a".into(), INTERVAL);
         for other in (1..=20).filter(|other| *other != number) {
             node.record_heartbeat(Duration::ZERO, heartbeat(other, "a", 0));
         }
@@ -113,12 +126,12 @@
     let mut asked = [0; 20];
     for upstream in 0..480 {
         let name = format!("engines-{upstream}");
-        let asking: Vec<_> =
+        let pollers: Vec<_> =
             (0..20).filter(|index| nodes[*index].polls(Duration::ZERO, &name)).collect();
-        assert_eq!(asking.len(), 1, "{name} is asked by {asking:?}");
-        asked[asking[0]] += 1;
+        assert_eq!(pollers.len(), 1, "{name} is polled by {pollers:?}");
+        asked[pollers[0]] += 1;
     }
     assert!(asked.iter().all(|count| (8..=45).contains(count)), "{asked:?}");
-    // Once the others are silent for long enough, a node asks for itself.
+    // Once all peers count as dead, a node polls every upstream itself.
     assert!((0..480).all(|u| nodes[0].polls(INTERVAL * 10, &format!("engines-{u}"))));
 }
--- a/crates/fernring-policy/tests/testsuite/placement.rs
+++ b/crates/fernring-policy/tests/testsuite/placement.rs
@@ -1,8 +1,11 @@
-//! Who orders the engines of a failure domain, and what is ordered.
+//! Tests of the placement controller: which node holds the grant of a failure domain, and which
+//! orders it sends to the engines.
 
 use {
     fernring_core::{
-        catalog::{Catalog, Event, Pipeline, Placement as Place, Stage, Upstream, UpstreamKind},
+        catalog::{
+            Catalog, Event, Pipeline, Placement as ModelPlacement, Stage, Upstream, UpstreamKind,
+        },
         ids::Incarnation,
         orders::Grant,
     },
@@ -11,7 +14,7 @@
     uuid::Uuid,
 };
 
-const VALID: Duration = Duration::from_secs(10);
+const GRANT_VALIDITY: Duration = Duration::from_secs(10);
 const LOAD_AT_MS: u64 = 1_000_000;
 
 fn incarnation(number: u8) -> Incarnation {
@@ -41,7 +44,7 @@
         };
         catalog.upstreams.insert(name.to_owned(), Arc::new(upstream));
     }
-    let place = |upstream: &str| Place {
+    let model_placement = |upstream: &str| ModelPlacement {
         upstream: upstream.to_owned(),
         model: "v3".to_owned(),
         load_at_unix_ms: LOAD_AT_MS,
@@ -52,7 +55,7 @@
         duration_ms: 60_000,
         crowd: 1,
         deadline_ms: 1_000,
-        placements: vec![place("engine-a"), place("engine-b")],
+        placements: vec![model_placement("engine-a"), model_placement("engine-b")],
         shares: Vec::new(),
     };
     catalog.events.insert("season".to_owned(), Arc::new(event));
@@ -63,16 +66,16 @@
     let grant = Grant {
         failure_domain: "a".to_owned(),
         incarnation: incarnation(number),
-        valid_ms: VALID.as_millis() as u64,
+        valid_ms: GRANT_VALIDITY.as_millis() as u64,
     };
     GrantRecord { offset, time_ms, grant: Some(grant) }
 }
 
 fn node(number: u8) -> PlacementController {
-    PlacementController::new(incarnation(number), "a".into(), VALID)
+    PlacementController::new(incarnation(number), "a".into(), GRANT_VALIDITY)
 }
 
-fn in_charge(placement: &PlacementController) -> Option<(Incarnation, u64)> {
+fn holder_and_fence(placement: &PlacementController) -> Option<(Incarnation, u64)> {
     placement.holder().map(|holder| (holder.incarnation, holder.fence))
 }
 
@@ -81,19 +84,19 @@
 }
 
 #[test]
-fn the_first_grant_decides_and_the_other_node_stays_idle() {
+fn first_grant_decides_and_other_node_stays_idle() {
     let (mut first, mut second) = (node(1), node(2));
     assert!(matches!(step(&mut first, Duration::ZERO), PlacementStep::Append(_)));
     assert!(matches!(step(&mut second, Duration::ZERO), PlacementStep::Append(_)));
     let records = [record(7, 1_000, 1), record(8, 1_001, 2)];
     for node in [&mut first, &mut second] {
         node.apply_records(Duration::ZERO, 1_001, &records);
-        assert_eq!(in_charge(node), Some((incarnation(1), 7)));
+        assert_eq!(holder_and_fence(node), Some((incarnation(1), 7)));
     }
     let PlacementStep::Order(orders) = step(&mut first, Duration::ZERO) else {
-        panic!("the holder orders");
+        panic!("the holder sends no orders");
     };
-    assert_eq!(orders.len(), 1, "only its own failure domain's engine");
+    assert_eq!(orders.len(), 1, "only the engine of its own failure domain");
     assert_eq!(orders[0].upstream, "engine-a");
     assert_eq!(
         (orders[0].order.fence, orders[0].order.models.as_slice()),
@@ -103,53 +106,61 @@
 }
 
 #[test]
-fn an_engine_that_holds_its_models_gets_no_order() {
+fn engine_with_target_models_gets_no_order() {
     let mut first = node(1);
     step(&mut first, Duration::ZERO);
     first.apply_records(Duration::ZERO, 1_000, &[record(7, 1_000, 1)]);
     let reported = BTreeMap::from([("engine-a".to_owned(), vec!["v3".to_owned()])]);
-    let done = first.step(Duration::ZERO, LOAD_AT_MS, &catalog(), &reported);
-    assert_eq!(done, PlacementStep::Idle);
-    let early = first.step(Duration::ZERO, LOAD_AT_MS - 1, &catalog(), &BTreeMap::new());
-    assert_eq!(early, PlacementStep::Idle, "the load is not due");
+    let after_load = first.step(Duration::ZERO, LOAD_AT_MS, &catalog(), &reported);
+    assert_eq!(after_load, PlacementStep::Idle);
+    let before_load_time = first.step(Duration::ZERO, LOAD_AT_MS - 1, &catalog(), &BTreeMap::new());
+    assert_eq!(before_load_time, PlacementStep::Idle, "the load is not due yet");
 }
 
 #[test]
-fn a_holder_that_was_paused_past_its_grant_orders_nothing() {
+fn holder_paused_past_its_grant_sends_no_orders() {
     let mut first = node(1);
     step(&mut first, Duration::ZERO);
     first.apply_records(Duration::ZERO, 1_000, &[record(7, 1_000, 1)]);
     assert!(matches!(step(&mut first, Duration::ZERO), PlacementStep::Order(_)));
-    // It wakes after its grant has ended, before it has read anything new.
-    let woken = step(&mut first, VALID + Duration::from_millis(1));
-    assert!(matches!(woken, PlacementStep::Append(_)), "{woken:?}");
+    // It resumes after its grant has ended, before it has read new records.
+    let resumed = step(&mut first, GRANT_VALIDITY + Duration::from_millis(1));
+    assert!(matches!(resumed, PlacementStep::Append(_)), "{resumed:?}");
 }
 
 #[test]
-fn a_new_holder_waits_out_the_old_grant_before_its_first_order() {
+fn new_holder_waits_before_its_first_order() {
     let mut second = node(2);
     second.apply_records(Duration::ZERO, 1_000, &[record(7, 1_000, 1)]);
     let later = Duration::from_millis(10_001);
     assert!(matches!(step(&mut second, later), PlacementStep::Append(_)));
     second.apply_records(later, 11_001, &[record(9, 11_001, 2)]);
-    assert_eq!(in_charge(&second), Some((incarnation(2), 9)));
-    assert_eq!(step(&mut second, later), PlacementStep::Idle, "an old order may be on its way");
-    let settled = later + VALID;
-    // By then its own grant is due for renewal; the renewal keeps it in charge.
+    assert_eq!(holder_and_fence(&second), Some((incarnation(2), 9)));
+    assert_eq!(
+        step(&mut second, later),
+        PlacementStep::Idle,
+        "an order of the old holder may be in flight"
+    );
+    let settled = later + GRANT_VALIDITY;
+    // By then its own grant is due for renewal, which it appends before it sends orders.
     assert!(matches!(step(&mut second, settled), PlacementStep::Append(_)));
     second.apply_records(settled, 21_001, &[record(10, 21_001, 2)]);
     let PlacementStep::Order(orders) = step(&mut second, settled) else {
-        panic!("the new holder orders");
+        panic!("the new holder sends no orders");
     };
     assert_eq!(orders[0].order.fence, 10);
 }
 
 #[test]
-fn a_grant_before_the_old_one_ended_counts_for_nobody() {
+fn grant_before_the_old_one_ends_is_ignored() {
     let mut reader = node(3);
     let records = [record(1, 1_000, 1), record(2, 11_000, 2), record(3, 11_001, 2)];
     reader.apply_records(Duration::ZERO, 11_000, &records[..2]);
-    assert_eq!(in_charge(&reader), Some((incarnation(1), 1)), "it still holds at its last moment");
+    assert_eq!(
+        holder_and_fence(&reader),
+        Some((incarnation(1), 1)),
+        "the old grant is still valid at its last millisecond"
+    );
     reader.apply_records(Duration::ZERO, 11_001, &records[2..]);
-    assert_eq!(in_charge(&reader), Some((incarnation(2), 3)));
+    assert_eq!(holder_and_fence(&reader), Some((incarnation(2), 3)));
 }
--- a/crates/fernring-policy/tests/testsuite/plan.rs
+++ b/crates/fernring-policy/tests/testsuite/plan.rs
@@ -1,4 +1,4 @@
-//! From intent to plan.
+//! Tests of making and confirming plans.
 
 use {
     fernring_core::{
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn more_than_the_capacity_lowers_the_predicted_attainment() {
+fn overload_lowers_predicted_attainment() {
     let light = plan(6, 6_000);
     let full = plan(6, 14_000);
     let double = plan(6, 28_800);
@@ -69,24 +69,28 @@
     assert!(full.predicted_attainment <= light.predicted_attainment);
     assert!((double.predicted_attainment - 0.5).abs() < 0.01, "{double:#?}");
     assert!(double.notes.iter().any(|note| note.contains("generate")), "{:?}", double.notes);
-    assert_eq!(light.stages[1].cost_milli, 6_000, "6,000 times 0.1 s at 10 a second");
+    assert_eq!(light.stages[1].cost_milli, 6_000, "6,000 requests of 0.1 s at 10 per second");
 }
 
 #[test]
-fn loads_are_spread_over_domains_and_kept_under_the_stores_rate() {
+fn loads_alternate_domains_within_store_rate() {
     let plan = plan(9, 12_000);
     let names: Vec<_> = plan.event.placements.iter().map(|p| p.upstream.as_str()).collect();
-    // 20 slots needed, 25 with headroom: seven engines of four.
+    // 20 concurrent attempts are needed, 25 with headroom: seven engines with a concurrency of 4.
     assert_eq!(names.len(), 7, "{names:?}");
     let first_three: Vec<_> = names[..3].iter().map(|name| name.rsplit('-').next()).collect();
-    assert_eq!(first_three, [Some("0"), Some("1"), Some("2")], "one in each domain first");
+    assert_eq!(
+        first_three,
+        [Some("0"), Some("1"), Some("2")],
+        "the first three are in different domains"
+    );
     let times: Vec<_> = plan.event.placements.iter().map(|p| p.load_at_unix_ms).collect();
     assert!(times.windows(2).all(|pair| pair[1] - pair[0] >= 6_000), "{times:?}");
     assert!(*times.last().unwrap() < plan.event.start_unix_ms);
 }
 
 #[test]
-fn a_confirmed_plan_applies_to_its_base_and_to_no_other() {
+fn confirmed_plan_applies_only_to_its_base() {
     let plan = plan(6, 6_000);
     let change = plan.confirm("operator").unwrap();
     let next = apply(&catalog(6), 5, &change).unwrap();
@@ -95,7 +99,7 @@
 }
 
 #[test]
-fn a_plan_survives_its_file_and_an_edited_one_is_refused() {
+fn plan_round_trips_and_edited_plan_is_refused() {
     let plan = plan(6, 28_800);
     let text = serde_json::to_string_pretty(&plan).unwrap();
     let read: Plan = serde_json::from_str(&text).unwrap();
@@ -105,7 +109,7 @@
 }
 
 #[test]
-fn a_bad_intent_names_its_key() {
+fn invalid_intent_error_names_its_key() {
     let cases = [
         (Intent { pipeline: "nowhere".to_owned(), ..intent(1) }, "pipeline"),
         (Intent { name: "no name!".to_owned(), ..intent(1) }, "name"),
