--- a/crates/fernring-policy/src/cost.rs
+++ b/crates/fernring-policy/src/cost.rs
@@ -25,7 +25,7 @@
     Useful,
     /// The attempt failed.
     Failed,
-    /// The attempt was one of a hedged pair, and the result of the other was used.
+    /// The attempt was one of two hedged attempts, and the result of the other was used.
     Hedged,
     /// The request had already ended.
     Abandoned,
--- a/crates/fernring-policy/src/fold.rs
+++ b/crates/fernring-policy/src/fold.rs
@@ -175,8 +175,8 @@
         if page.first_offset > self.next_offset {
             self.open_gap(page.first_offset);
         }
-        for log_record in page.records {
-            self.fold_record(log_record);
+        for logged in page.records {
+            self.fold_record(logged);
         }
         let is_caught_up = self.next_offset >= page.next_offset;
         if is_caught_up && !self.gap {
@@ -208,20 +208,18 @@
         self.gap = self.version < first_offset;
     }
 
-    fn fold_record(&mut self, log_record: ConfigLogRecord) {
-        if log_record.offset != self.next_offset {
+    fn fold_record(&mut self, logged: ConfigLogRecord) {
+        if logged.offset != self.next_offset {
             return;
         }
         self.next_offset += 1;
-        self.snapshot_or_start_ms.get_or_insert(log_record.time_ms);
-        match log_record.record {
-            Some(ConfigRecord::Snapshot(snapshot)) => {
-                self.fold_snapshot(log_record.time_ms, snapshot)
-            }
-            Some(record) if self.gap => self.buffer_record(log_record.offset, record),
+        self.snapshot_or_start_ms.get_or_insert(logged.time_ms);
+        match logged.record {
+            Some(ConfigRecord::Snapshot(snapshot)) => self.fold_snapshot(logged.time_ms, snapshot),
+            Some(record) if self.gap => self.buffer_record(logged.offset, record),
             Some(ConfigRecord::Change(_)) | None => {
-                if let Some(record) = log_record.record {
-                    self.fold_change(log_record.offset, &record);
+                if let Some(record) = logged.record {
+                    self.fold_change(logged.offset, &record);
                 }
             }
         }
--- a/crates/fernring-policy/src/plan.rs
+++ b/crates/fernring-policy/src/plan.rs
@@ -291,12 +291,12 @@
     if count > 0 && first_load_ms < now_ms {
         notes.push("the weight store is too slow for all loads to be done before the start".into());
     }
-    let placements = chosen.into_iter().enumerate().map(|(index, upstream)| Placement {
+    let model_loads = chosen.into_iter().enumerate().map(|(index, upstream)| Placement {
         upstream,
         model: model.clone(),
         load_at_unix_ms: first_load_ms.max(now_ms) + index as u64 * interval_ms,
     });
-    placements.collect()
+    model_loads.collect()
 }
 
 fn choose_engines(
--- a/crates/fernring-policy/src/workspace_limits.rs
+++ b/crates/fernring-policy/src/workspace_limits.rs
@@ -93,17 +93,17 @@
 
     /// Returns the demand seen by this node, for its heartbeat.
     pub fn demand(&mut self, now: Duration) -> Vec<WorkspaceDemand> {
-        let mut demand = Vec::new();
+        let mut demands = Vec::new();
         for (workspace, bucket) in &mut self.buckets {
             bucket.roll_window(now);
             if bucket.demand_per_s > 0.0 {
-                demand.push(WorkspaceDemand {
+                demands.push(WorkspaceDemand {
                     workspace: workspace.clone(),
                     per_s: bucket.demand_per_s,
                 });
             }
         }
-        demand
+        demands
     }
 }
 
--- a/crates/fernring-policy/tests/testsuite/plan.rs
+++ b/crates/fernring-policy/tests/testsuite/plan.rs
@@ -76,7 +76,7 @@
 fn loads_alternate_domains_within_store_rate() {
     let plan = plan(9, 12_000);
     let names: Vec<_> = plan.event.placements.iter().map(|p| p.upstream.as_str()).collect();
-    // 20 concurrent attempts are needed, 25 with headroom: seven engines with a concurrency of 4.
+    // 20 concurrent attempts are needed, 25 with headroom: seven engines with four slots each.
     assert_eq!(names.len(), 7, "{names:?}");
     let first_three: Vec<_> = names[..3].iter().map(|name| name.rsplit('-').next()).collect();
     assert_eq!(
