--- a/crates/fernring-policy/src/plan.rs
+++ b/crates/fernring-policy/src/plan.rs
@@ -218,8 +218,8 @@
     }
 }
 
-/// Returns the mean wait in an M/M/c queue (Erlang C), in milliseconds; `f64::MAX` if the load
-/// exceeds the servers, so that the queue grows without bound.
+/// Returns the mean wait in an M/M/c queue (Erlang C), in milliseconds; `f64::MAX` if the load is
+/// not below the number of servers, since the queue then grows without bound.
 fn mean_wait_ms(load: f64, servers: u64, service_ms: f64) -> f64 {
     let servers_f = servers as f64;
     if load >= servers_f {
--- a/crates/fernring-policy/src/upstreams.rs
+++ b/crates/fernring-policy/src/upstreams.rs
@@ -23,8 +23,9 @@
 const HEDGE_LOAD_MAX: f64 = 0.5;
 /// Share of its concurrency limit that an upstream starts with when it returns to service.
 const SLOW_START_SHARE: f64 = 0.2;
-/// Divisor of a node's even share of the upstreams in other failure domains, while its own domain
-/// has some. The rest is enough to balance pools that are not spread evenly over the domains.
+/// Divisor of a node's even share of the upstreams in other failure domains, applied while its own
+/// domain has some. The remaining share is enough to balance pools that are not spread evenly over
+/// the domains.
 const SPILL_DIVISOR: u64 = 4;
 /// Longest ejection, as a multiple of the first one.
 const EJECTION_MULTIPLE_MAX: u32 = 16;
@@ -322,8 +323,8 @@
                     if self.is_local(*id) { shares.local.free > 0 } else { shares.remote.free > 0 }
                 })
                 .collect();
-        let fresh: Vec<_> = open.iter().copied().filter(|id| !tried.contains(id)).collect();
-        let usable = if fresh.is_empty() { open } else { fresh };
+        let untried: Vec<_> = open.iter().copied().filter(|id| !tried.contains(id)).collect();
+        let usable = if untried.is_empty() { open } else { untried };
         let local: Vec<_> = usable.iter().copied().filter(|id| self.is_local(*id)).collect();
         if local.is_empty() {
             let choice = self.choose_from(now, &usable, prefix, rng)?;
@@ -346,8 +347,8 @@
         self.states[id].spec.failure_domain == self.domain.as_ref()
     }
 
-    /// Returns whether another upstream of the pool may be ejected. Ejections are capped, so that
-    /// a fault of this node's own network never empties a pool.
+    /// Returns whether one more upstream of this one's pool may be ejected. Ejections are capped, so
+    /// that a fault of this node's own network never empties a pool.
     fn may_eject(&self, now: Duration, id: UpstreamId) -> bool {
         let Some(pool) = self.pools.get(&self.states[id].spec.pool) else {
             return false;
@@ -438,8 +439,8 @@
     fn current_load(&self, now: Duration, id: UpstreamId) -> u32 {
         let state = &self.states[id];
         let max_age = Duration::from_millis(self.settings.report_stale_ms);
-        let fresh = state.reported_at.is_some_and(|at| now < at + max_age);
-        let reported = if fresh { state.reported_load } else { 0 };
+        let is_recent = state.reported_at.is_some_and(|at| now < at + max_age);
+        let reported = if is_recent { state.reported_load } else { 0 };
         state.in_flight.max(reported)
     }
 
--- a/crates/fernring-policy/tests/testsuite/membership.rs
+++ b/crates/fernring-policy/tests/testsuite/membership.rs
@@ -123,15 +123,15 @@
         node
     };
     let nodes: Vec<_> = (1..=20).map(node).collect();
-    let mut asked = [0; 20];
+    let mut poll_counts = [0; 20];
     for upstream in 0..480 {
         let name = format!("engines-{upstream}");
         let pollers: Vec<_> =
             (0..20).filter(|index| nodes[*index].polls(Duration::ZERO, &name)).collect();
         assert_eq!(pollers.len(), 1, "{name} is polled by {pollers:?}");
-        asked[pollers[0]] += 1;
+        poll_counts[pollers[0]] += 1;
     }
-    assert!(asked.iter().all(|count| (8..=45).contains(count)), "{asked:?}");
+    assert!(poll_counts.iter().all(|count| (8..=45).contains(count)), "{poll_counts:?}");
     // Once all peers count as dead, a node polls every upstream itself.
     assert!((0..480).all(|u| nodes[0].polls(INTERVAL * 10, &format!("engines-{u}"))));
 }
