--- a/crates/fernring-policy/src/assembly.rs
+++ b/crates/fernring-policy/src/assembly.rs
@@ -26,8 +26,8 @@
 
 /// The parts of one attempt's response.
 ///
-/// Invariant: `ordered` holds the texts of the sequence numbers `0..next`, each once; `out_of_order`
-/// holds only numbers above `next`; no number is beyond `last`.
+/// Invariant: `ordered` holds the texts of the sequence numbers `0..next`, each once;
+/// `out_of_order` holds only numbers above `next`; no number is beyond `last`.
 #[derive(Debug, Default)]
 pub struct ResponseAssembly {
     ordered: Vec<Arc<str>>,
--- a/crates/fernring-policy/src/claims.rs
+++ b/crates/fernring-policy/src/claims.rs
@@ -249,8 +249,8 @@
         self.failing_since = None;
     }
 
-    /// Records that it is unknown whether the append in flight took effect. Its entries are appended
-    /// again after a pause, which does no harm if the log already holds them.
+    /// Records that it is unknown whether the append in flight took effect. Its entries are
+    /// appended again after a pause, which does no harm if the log already holds them.
     pub fn record_unknown_outcome(&mut self, now: Duration, pause: Duration) {
         let mut retried = std::mem::take(&mut self.in_flight);
         retried.append(&mut self.waiting);
--- a/crates/fernring-policy/src/lib.rs
+++ b/crates/fernring-policy/src/lib.rs
@@ -4,10 +4,11 @@
 //! time, its outputs are typed actions, so that a node, randomised test runs, the model checker and
 //! a test bench all run the same code.
 //!
-//! - [`dispatcher`]: the lifecycle of every request on a node: admission, queues, routing, attempts,
-//!   retries, hedges and the final answer. It owns the queues, upstream table, claim view, budgets
-//!   and limits of the node.
-//! - [`claims`]: decides which incarnation may run the side effects of a key, from the claim stream.
+//! - [`dispatcher`]: the lifecycle of every request on a node: admission, queues, routing,
+//!   attempts, retries, hedges and the final answer. It owns the queues, upstream table, claim
+//!   view, budgets and limits of the node.
+//! - [`claims`]: decides which incarnation may run the side effects of a key, from the claim
+//!   stream.
 //! - [`fold`]: the configuration in force, from the configuration stream.
 //! - [`membership`]: detects the live nodes of a failure domain by heartbeats.
 //! - [`placement`]: decides which node sends orders to the engines of a failure domain, and which
--- a/crates/fernring-policy/src/upstreams.rs
+++ b/crates/fernring-policy/src/upstreams.rs
@@ -347,8 +347,8 @@
         self.states[id].spec.failure_domain == self.domain.as_ref()
     }
 
-    /// Returns whether one more upstream of this one's pool may be ejected. Ejections are capped, so
-    /// that a fault of this node's own network never empties a pool.
+    /// Returns whether one more upstream of this one's pool may be ejected. Ejections are capped,
+    /// so that a fault of this node's own network never empties a pool.
     fn may_eject(&self, now: Duration, id: UpstreamId) -> bool {
         let Some(pool) = self.pools.get(&self.states[id].spec.pool) else {
             return false;
@@ -425,7 +425,8 @@
         Some(Choice { upstream: chosen, runner_up: Some(other), reason: ChoiceReason::LessLoaded })
     }
 
-    /// Returns whether the load of an upstream is so low that a hedge there delays no other attempt.
+    /// Returns whether the load of an upstream is so low that a hedge there delays no other
+    /// attempt.
     pub fn may_take_hedge(&self, now: Duration, id: UpstreamId) -> bool {
         self.states.contains_key(id) && self.load(now, id) < HEDGE_LOAD_MAX
     }
--- a/crates/fernring-policy/tests/testsuite/claim_view.rs
+++ b/crates/fernring-policy/tests/testsuite/claim_view.rs
@@ -126,7 +126,8 @@
         let last_ms = log.last().unwrap().time_ms;
         for minted_s in 0..12 {
             let key = key(minted_s);
-            let is_within_horizon = key.key.minted_ms().unwrap() + CLAIM_RULES.horizon_ms >= last_ms;
+            let is_within_horizon =
+                key.key.minted_ms().unwrap() + CLAIM_RULES.horizon_ms >= last_ms;
             if let Some(owner) = true_owner(&log, &key).filter(|_| is_within_horizon) {
                 let found = match view.verdict(&key) {
                     Verdict::Won => Some(own_incarnation),
