--- /dev/null
+++ b/crates/fernring-gateway/src/crash_attribution/mod.rs
@@ -0,0 +1,532 @@
+//! Attributes crashes of upstreams to the requests that were in flight there.
+//!
+//! Collects the signs of a crash, probes addresses, exchanges crash reports with the other nodes,
+//! and keeps quarantined requests in the store. The module `crash_detection` decides whether an
+//! upstream has crashed, the module `quarantine` which requests are quarantined for it.
+
+mod persistence;
+
+use {
+    crate::{
+        attempts::NotRun,
+        connections::connect,
+        crash_detection::{Crash, CrashDetector, Disconnect, Incarnation, ProbeResult},
+        directory::Effect,
+        fingerprint::Fingerprint,
+        log,
+        model::UpstreamKey,
+        peers::Peers,
+        quarantine::{
+            ATTRIBUTION_LIFETIME, ClearanceRecord, CrashRecord, Quarantine, QuarantineChange,
+        },
+        refusal::Refusal,
+        settings::DecideSettings,
+        telemetry,
+        upstreams::{Target, Upstreams},
+        wire::Store,
+    },
+    bytes::Bytes,
+    fernring_core::{clock::Clock, text::LogLine},
+    fernring_protocol::gateway::{ClearanceReport, CrashReport, CrashReports, GatewayBody},
+    std::{
+        cell::{Cell, RefCell},
+        collections::{BTreeMap, HashMap},
+        io::ErrorKind,
+        net::SocketAddr,
+        rc::Rc,
+        time::Duration,
+    },
+    tokio::{
+        sync::Notify,
+        task::spawn_local,
+        time::{sleep, timeout},
+    },
+};
+
+/// Pauses before the probes of an address: a process that exits closes its connections before or
+/// after its listening socket.
+const PROBE_PAUSES: [Duration; 2] = [Duration::from_millis(20), Duration::from_millis(280)];
+/// Longest wait for a connection during a probe. A refusal takes one round trip, a few
+/// milliseconds.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Longest wait until it is known whether an upstream has crashed: the first probe, and one round
+/// trip between regions.
+const VERDICT_TIMEOUT: Duration = Duration::from_millis(100);
+/// Pause between two checks whether a quarantine is still ambiguous.
+const AMBIGUITY_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// How long reports are collected before they are sent to all peers. With a failure domain hundreds
+/// of upstreams crash at once, and each node reports all that it had in flight there in one
+/// message.
+const BATCH_DELAY: Duration = Duration::from_millis(20);
+/// Interval at which the most important reports are sent again to one random peer, so that reports
+/// lost in transit arrive within seconds.
+const GOSSIP_INTERVAL: Duration = Duration::from_secs(1);
+/// Suspects in a repeated report: 10 KB at most, a third of what a node may spend on control
+/// messages.
+const GOSSIP_SUSPECTS_MAX: usize = 96;
+/// Suspects in the report to a peer that has just joined: 50 KB at most, once.
+const JOIN_SYNC_SUSPECTS_MAX: usize = 512;
+
+/// Requests in flight at one upstream.
+struct InFlight {
+    target: Target,
+    /// How many sends of each request are in flight.
+    fingerprints: BTreeMap<Fingerprint, usize>,
+}
+
+/// Counts a request as in flight at an upstream until the guard is dropped.
+#[derive(Debug)]
+pub struct InFlightGuard {
+    crash_attribution: Rc<CrashAttribution>,
+    key: UpstreamKey,
+    fingerprint: Fingerprint,
+}
+
+impl Drop for InFlightGuard {
+    fn drop(&mut self) {
+        self.crash_attribution.release(self.key, self.fingerprint);
+    }
+}
+
+/// Upstreams that crashed, and the requests that were in flight there.
+pub struct CrashAttribution {
+    clock: Rc<dyn Clock>,
+    store: Rc<dyn Store>,
+    upstreams: Rc<Upstreams>,
+    peers: Rc<Peers>,
+    decide_settings: Rc<Cell<DecideSettings>>,
+    in_flight: RefCell<HashMap<UpstreamKey, InFlight>>,
+    crash_detector: RefCell<CrashDetector>,
+    quarantine: RefCell<Quarantine>,
+    /// Reports that wait for [`BATCH_DELAY`] before they go to all peers.
+    pending_reports: RefCell<(Vec<CrashRecord>, Vec<ClearanceRecord>)>,
+    /// Notified when a probe has finished.
+    probe_finished: Notify,
+    /// Notified when another request is quarantined.
+    quarantine_changed: Notify,
+    persisted: RefCell<persistence::PersistedFingerprints>,
+}
+
+impl std::fmt::Debug for CrashAttribution {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        f.debug_struct("Blame").field("suspects", &self.quarantine).finish_non_exhaustive()
+    }
+}
+
+impl CrashAttribution {
+    /// Creates the state of a node that knows of no crash.
+    pub fn new(
+        clock: Rc<dyn Clock>,
+        store: Rc<dyn Store>,
+        upstreams: Rc<Upstreams>,
+        peers: Rc<Peers>,
+        decide_settings: Rc<Cell<DecideSettings>>,
+    ) -> Self {
+        Self {
+            clock,
+            store,
+            upstreams,
+            peers,
+            decide_settings,
+            in_flight: RefCell::default(),
+            crash_detector: RefCell::default(),
+            quarantine: RefCell::default(),
+            pending_reports: RefCell::default(),
+            probe_finished: Notify::new(),
+            quarantine_changed: Notify::new(),
+            persisted: RefCell::default(),
+        }
+    }
+
+    /// Returns whether a request is quarantined. Checked right before each send.
+    pub fn is_quarantined(&self, fingerprint: Fingerprint) -> bool {
+        self.decide_settings.get().turn_away && self.quarantine.borrow().is_quarantined(fingerprint)
+    }
+
+    /// Returns whether an upstream has crashed under a request since its last complete answer.
+    pub fn is_suspect(&self, fingerprint: Fingerprint) -> bool {
+        self.quarantine.borrow().is_suspect(fingerprint)
+    }
+
+    /// Returns whether any request is quarantined.
+    pub fn has_quarantined(&self) -> bool {
+        let quarantine = self.quarantine.borrow();
+        self.decide_settings.get().turn_away && quarantine.quarantined().next().is_some()
+    }
+
+    /// Waits until a request is quarantined.
+    pub async fn wait_until_quarantined(&self, fingerprint: Fingerprint) {
+        loop {
+            let changed = self.quarantine_changed.notified();
+            if self.is_quarantined(fingerprint) {
+                return;
+            }
+            changed.await;
+        }
+    }
+
+    /// Waits while the quarantine of a request is ambiguous: an answer that is in progress on
+    /// another node may clear it.
+    pub async fn wait_until_settled(&self, fingerprint: Fingerprint) {
+        while self.is_quarantined(fingerprint)
+            && self.quarantine.borrow().is_ambiguous(self.now(), fingerprint)
+        {
+            sleep(AMBIGUITY_POLL_INTERVAL).await;
+        }
+    }
+
+    /// Returns the final answer for a quarantined request that has not run.
+    pub fn refusal(&self, not_run: NotRun, fingerprint: Fingerprint) -> Refusal {
+        Refusal::quarantined(not_run, self.quarantine_reason(fingerprint))
+    }
+
+    /// Returns the reason for a quarantine: the incarnations that crashed while the request was in
+    /// flight there.
+    pub fn quarantine_reason(&self, fingerprint: Fingerprint) -> String {
+        format!(
+            "upstreams crashed while serving this request: {}",
+            join_names(&self.quarantine.borrow().crashes_of(fingerprint))
+        )
+    }
+
+    /// Counts a request as in flight at an upstream until the returned guard is dropped.
+    pub fn track_in_flight(
+        self: &Rc<Self>,
+        target: &Target,
+        fingerprint: Fingerprint,
+    ) -> InFlightGuard {
+        let mut in_flight = self.in_flight.borrow_mut();
+        let entry = in_flight
+            .entry(target.key)
+            .or_insert_with(|| InFlight { target: target.clone(), fingerprints: BTreeMap::new() });
+        *entry.fingerprints.entry(fingerprint).or_default() += 1;
+        InFlightGuard { crash_attribution: self.clone(), key: target.key, fingerprint }
+    }
+
+    fn release(&self, key: UpstreamKey, fingerprint: Fingerprint) {
+        let mut in_flight = self.in_flight.borrow_mut();
+        let Some(entry) = in_flight.get_mut(&key) else {
+            return;
+        };
+        if let Some(count) = entry.fingerprints.get_mut(&fingerprint) {
+            *count -= 1;
+            if *count == 0 {
+                entry.fingerprints.remove(&fingerprint);
+            }
+        }
+        if entry.fingerprints.is_empty() {
+            in_flight.remove(&key);
+        }
+    }
+
+    /// Records that a send broke off. If the upstream has crashed, the crash is attributed to
+    /// `fingerprint`. A call with pieces of several requests attributes it to none of them: each of
+    /// these requests is tested by itself in the calls that follow.
+    pub fn record_broken_send(
+        self: &Rc<Self>,
+        target: &Target,
+        disconnect: Disconnect,
+        fingerprint: Option<Fingerprint>,
+    ) {
+        if self.upstreams.is_leaving(target.key) {
+            return;
+        }
+        let (now, incarnation) = (self.now(), target.incarnation());
+        let crash = self.crash_detector.borrow_mut().record_disconnect(
+            now,
+            endpoint(target),
+            &incarnation,
+            disconnect,
+            fingerprint,
+        );
+        self.report_crash(crash);
+        self.probe_if_due(target);
+    }
+
+    /// Waits until it is known whether an upstream at which a send broke off has crashed. Returns
+    /// `false` if that isn't known within [`VERDICT_TIMEOUT`].
+    pub async fn has_upstream_crashed(&self, key: UpstreamKey) -> bool {
+        let verdict = async {
+            loop {
+                let probe_finished = self.probe_finished.notified();
+                if let Some(verdict) = self.crash_detector.borrow().has_crashed(key) {
+                    return verdict;
+                }
+                probe_finished.await;
+            }
+        };
+        timeout(VERDICT_TIMEOUT, verdict).await.unwrap_or(false)
+    }
+
+    /// Records that a request got a complete answer.
+    pub fn record_answer(self: &Rc<Self>, fingerprint: Fingerprint) {
+        let now = self.now();
+        if !self.quarantine.borrow_mut().record_answer(fingerprint, now) {
+            return;
+        }
+        log::info(LogLine::event("suspect_cleared").with("content", fingerprint));
+        self.publish(None, Some(ClearanceRecord { fingerprint, at: now }));
+    }
+
+    /// Handles upstreams that appeared, restarted, began to drain or are gone.
+    pub fn handle_upstream_changes(self: &Rc<Self>, effects: &[Effect]) {
+        let now = self.now();
+        for effect in effects {
+            match effect {
+                Effect::Draining(key) => self.crash_detector.borrow_mut().record_leaving(now, *key),
+                Effect::Gone(key) => self.handle_gone(*key),
+                Effect::Appeared(key) => self.handle_appeared(*key),
+                Effect::Restarted { old, .. } => {
+                    let crash = self.crash_detector.borrow_mut().record_restart(now, *old);
+                    self.report_crash(crash);
+                }
+                _ => {}
+            }
+        }
+    }
+
+    fn handle_appeared(self: &Rc<Self>, key: UpstreamKey) {
+        let Some(target) = self.upstreams.target(key) else {
+            return;
+        };
+        let crash =
+            self.crash_detector.borrow_mut().record_new_upstream(self.now(), key, target.address);
+        crash.into_iter().for_each(|crash| self.report_crash(Some(crash)));
+    }
+
+    /// Records that another instance than the expected one answers at an upstream's address.
+    pub fn handle_replaced(self: &Rc<Self>, key: UpstreamKey) {
+        let crash = self.crash_detector.borrow_mut().record_restart(self.now(), key);
+        self.report_crash(crash);
+    }
+
+    /// Handles the removal of an upstream's record: the requests in flight there may be lost, or
+    /// the upstream may still finish them.
+    fn handle_gone(self: &Rc<Self>, key: UpstreamKey) {
+        let now = self.now();
+        let entry = self.in_flight.borrow().get(&key).map(|entry| {
+            (entry.target.clone(), entry.fingerprints.keys().copied().collect::<Vec<_>>())
+        });
+        let mut crash_detector = self.crash_detector.borrow_mut();
+        if let Some((target, fingerprints)) = &entry {
+            for fingerprint in fingerprints {
+                crash_detector.record_disconnect(
+                    now,
+                    endpoint(target),
+                    &target.incarnation(),
+                    Disconnect::Silent,
+                    Some(*fingerprint),
+                );
+            }
+        }
+        let crash = crash_detector.record_removal(now, key);
+        drop(crash_detector);
+        self.report_crash(crash);
+        if let Some((target, _)) = entry {
+            self.probe_if_due(&target);
+        }
+    }
+
+    /// Starts a probe of the address where a send broke off, if the cause is still unknown.
+    fn probe_if_due(self: &Rc<Self>, target: &Target) {
+        if self.crash_detector.borrow_mut().start_probe(self.now(), target.key) {
+            spawn_local(self.clone().probe(target.clone()));
+        }
+    }
+
+    async fn probe(self: Rc<Self>, target: Target) {
+        for pause in PROBE_PAUSES {
+            sleep(pause).await;
+            let result = probe(target.address).await;
+            let line = LogLine::event("upstream_probed").with("upstream", target.incarnation());
+            log::info(line.with("address", target.address).with("found", result.name()));
+            let crash = self.crash_detector.borrow_mut().record_probe(target.key, result);
+            self.report_crash(crash);
+            self.probe_finished.notify_waiters();
+            if result != ProbeResult::Accepted {
+                return;
+            }
+        }
+    }
+
+    fn report_crash(self: &Rc<Self>, crash: Option<Crash>) {
+        let Some(Crash { incarnation, fingerprints }) = crash else {
+            return;
+        };
+        for fingerprint in &fingerprints {
+            let line = LogLine::event("upstream_ended").with("upstream", &incarnation);
+            log::warn(line.with("content", fingerprint));
+        }
+        telemetry::record_upstream_crash();
+        let record = CrashRecord { incarnation, at: self.now(), fingerprints };
+        self.attribute(&record);
+        self.publish(Some(record), None);
+    }
+
+    /// Reports what this node has observed to all peers, after [`BATCH_DELAY`].
+    fn publish(self: &Rc<Self>, crash: Option<CrashRecord>, cleared: Option<ClearanceRecord>) {
+        let mut pending_reports = self.pending_reports.borrow_mut();
+        let was_empty = pending_reports.0.is_empty() && pending_reports.1.is_empty();
+        pending_reports.0.extend(crash);
+        pending_reports.1.extend(cleared);
+        if !was_empty {
+            return;
+        }
+        let crash_attribution = self.clone();
+        spawn_local(async move {
+            sleep(BATCH_DELAY).await;
+            let (crashes, cleared) =
+                std::mem::take(&mut *crash_attribution.pending_reports.borrow_mut());
+            crash_attribution
+                .peers
+                .send_to_live_peers(crash_attribution.encode_reports(crashes, cleared));
+        });
+    }
+
+    fn attribute(&self, record: &CrashRecord) -> bool {
+        let mut quarantine = self.quarantine.borrow_mut();
+        let QuarantineChange { is_new, newly_quarantined } = quarantine.record_crash(
+            self.now(),
+            &record.incarnation,
+            record.at,
+            &record.fingerprints,
+        );
+        for fingerprint in &newly_quarantined {
+            let line = LogLine::event("request_turned_away").with("content", fingerprint);
+            log::warn(line.with("ended", join_names(&quarantine.crashes_of(*fingerprint))));
+        }
+        drop(quarantine);
+        if !newly_quarantined.is_empty() {
+            self.quarantine_changed.notify_waiters();
+        }
+        is_new
+    }
+
+    /// Handles a peer's reports of crashes and answers, and forwards those that are new to the
+    /// followers of this node. A peer that attributes crashes to a request that got a complete
+    /// answer here gets that answer reported back.
+    pub fn handle_reports(&self, sender: SocketAddr, received: CrashReports) {
+        let now = self.now();
+        let at = |age_ms: u32| now.saturating_sub(Duration::from_millis(age_ms.into()));
+        let fingerprint_of = |bytes: &Bytes| Fingerprint::from_bytes(bytes);
+        let mut new_reports = CrashReports::default();
+        let mut covering_answers = Vec::new();
+        for report in received.cleared {
+            let clearance = fingerprint_of(&report.fingerprint)
+                .map(|c| ClearanceRecord { fingerprint: c, at: at(report.age_ms) });
+            if clearance.is_some_and(|clearance| {
+                self.quarantine.borrow_mut().record_clearance(now, clearance)
+            }) {
+                new_reports.cleared.push(report);
+            }
+        }
+        for report in received.crashes {
+            let incarnation = Incarnation {
+                instance: report.instance.as_str().into(),
+                started_ms: report.started_ms,
+            };
+            let fingerprints: Vec<_> =
+                report.fingerprints.iter().filter_map(fingerprint_of).collect();
+            let crashed_at = at(report.age_ms);
+            let quarantine = self.quarantine.borrow();
+            covering_answers.extend(
+                fingerprints.iter().filter_map(|c| quarantine.covering_answer(*c, crashed_at)),
+            );
+            drop(quarantine);
+            if self.attribute(&CrashRecord { incarnation, at: crashed_at, fingerprints }) {
+                new_reports.crashes.push(report);
+            }
+        }
+        if !covering_answers.is_empty() {
+            self.peers.send(sender, self.encode_reports(Vec::new(), covering_answers));
+        }
+        if new_reports != CrashReports::default() {
+            self.peers.send_to_followers(GatewayBody::Crashes(new_reports));
+        }
+    }
+
+    /// Sends the most important reports to a peer that has just joined.
+    pub fn handle_peer_joined(&self, peer: SocketAddr) {
+        self.send_known(peer, JOIN_SYNC_SUSPECTS_MAX);
+    }
+
+    fn send_known(&self, peer: SocketAddr, limit: usize) {
+        let (crashes, cleared) = self.quarantine.borrow().records(limit);
+        if !crashes.is_empty() || !cleared.is_empty() {
+            self.peers.send(peer, self.encode_reports(crashes, cleared));
+        }
+    }
+
+    /// Repeats the most important reports to random peers and expires old entries, for as long as
+    /// the process runs.
+    pub async fn run(self: Rc<Self>) {
+        loop {
+            sleep(GOSSIP_INTERVAL).await;
+            self.crash_detector.borrow_mut().expire(self.now());
+            for fingerprint in self.quarantine.borrow_mut().expire(self.now()) {
+                log::info(LogLine::event("suspect_forgotten").with("content", fingerprint));
+            }
+            if let Some(peer) = self.peers.random_peer() {
+                self.send_known(peer, GOSSIP_SUSPECTS_MAX);
+            }
+            self.persist().await;
+        }
+    }
+
+    fn encode_reports(
+        &self,
+        crashes: Vec<CrashRecord>,
+        cleared: Vec<ClearanceRecord>,
+    ) -> GatewayBody {
+        let now = self.now();
+        let age_ms = |at: Duration| now.saturating_sub(at).as_millis() as u32;
+        let bytes = |fingerprint: &Fingerprint| Bytes::copy_from_slice(fingerprint.bytes());
+        let crashes = crashes.into_iter().map(|record| CrashReport {
+            instance: record.incarnation.instance.to_string(),
+            started_ms: record.incarnation.started_ms,
+            age_ms: age_ms(record.at),
+            fingerprints: record.fingerprints.iter().map(bytes).collect(),
+        });
+        let cleared = cleared.into_iter().map(|record| ClearanceReport {
+            fingerprint: bytes(&record.fingerprint),
+            age_ms: age_ms(record.at),
+        });
+        GatewayBody::Crashes(CrashReports {
+            crashes: crashes.collect(),
+            cleared: cleared.collect(),
+        })
+    }
+
+    /// Returns the number of quarantined requests.
+    pub fn quarantined_count(&self) -> usize {
+        self.quarantine.borrow().quarantined().count()
+    }
+
+    /// Returns the time on a clock that started long before the process, so that older events have
+    /// an age.
+    fn now(&self) -> Duration {
+        ATTRIBUTION_LIFETIME * 2 + self.clock.now().monotonic
+    }
+}
+
+fn endpoint(target: &Target) -> (UpstreamKey, SocketAddr) {
+    (target.key, target.address)
+}
+
+fn join_names(incarnations: &[Incarnation]) -> String {
+    let join_names: Vec<_> = incarnations.iter().map(Incarnation::to_string).collect();
+    join_names.join(",")
+}
+
+/// Probes whether an address accepts connections.
+async fn probe(address: SocketAddr) -> ProbeResult {
+    match timeout(PROBE_TIMEOUT, connect(address)).await {
+        Ok(Ok(_)) => ProbeResult::Accepted,
+        Ok(Err(error)) => match error.kind() {
+            ErrorKind::ConnectionRefused => ProbeResult::Refused,
+            ErrorKind::ConnectionReset | ErrorKind::ConnectionAborted => ProbeResult::Accepted,
+            _ => ProbeResult::Silent,
+        },
+        Err(_) => ProbeResult::Silent,
+    }
+}
--- /dev/null
+++ b/crates/fernring-gateway/src/decide/eligibility.rs
@@ -0,0 +1,32 @@
+//! The single check before anything new is sent to an upstream: is it eligible now? No I/O.
+//!
+//! The check is made twice: when the upstreams to choose from are listed, and again right before
+//! the first byte leaves. First sends, retries, streams that continue elsewhere, calls on pieces
+//! and their second workers all make it in the same place, [`crate::upstreams::Upstreams::send`].
+//! Releasing results is not new work and is not checked.
+
+/// Why an upstream may get nothing new at present.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+pub enum Ineligible {
+    /// It is no longer known.
+    #[error("the upstream is gone")]
+    Gone,
+    /// It has announced that it is leaving.
+    #[error("the upstream is leaving")]
+    Leaving,
+    /// Its failure domain is evacuated.
+    #[error("the failure domain is evacuated")]
+    Evacuated,
+    /// Its version gets no requests: see [`crate::rollout`].
+    #[error("the upstream's version gets no requests")]
+    Version,
+    /// It lies outside the regions in which the request may be served: see [`crate::residency`].
+    #[error("the upstream lies outside the request's regions")]
+    OutsideRegions,
+    /// It is cold, and this node has no permit for it now: see [`crate::cold`].
+    #[error("the upstream is cold")]
+    Cold,
+    /// It announces a limit, and the permits of all nodes are used up: see [`crate::limits`].
+    #[error("the upstream takes no more now")]
+    Limited,
+}
--- a/crates/fernring-gateway/src/node.rs
+++ b/crates/fernring-gateway/src/node.rs
@@ -1,38 +1,39 @@
-//! A gateway node: puts the parts together and carries them through start, reload and shutdown.
+//! A gateway node: creates its parts and runs them through start, reload of the settings and
+//! shutdown.
 
 use {
     crate::{
-        alarm::Alarm,
-        blame::Blame,
         config::ConfigState,
-        context::Serving,
-        following::{Following, Reply},
+        context::ServingContext,
+        crash_attribution::CrashAttribution,
+        deadline_timer::DeadlineTimer,
         ingress::{Ingress, Phase},
         log,
-        measures::{self, Readings},
         members::Member,
-        owner::{Owner, Parts},
+        owner::{Owner, OwnerDependencies},
         peers::{PeerHandler, Peers},
         position::Position,
-        reading::ReadingSpeeds,
-        records::{change_from, directory_record, evacuation_from, evacuation_word},
+        prefill_speed::PrefillSpeeds,
+        records::{decode_change, decode_evacuation, encode_change, encode_evacuation},
         retries::Retries,
-        rollout::{orders::Standing, shell::Rollouts},
+        rollout::{coordinator::Rollouts, orders::RolloutProgress},
         settings::{NodeSettings, Settings, load},
         stages::Stages,
-        store_loops::{Followed, PeerRecords, StoreLoops},
-        upstreams::{Counters, Upstreams},
+        store_loops::{PeerRecords, StoreLoops, TailedTopic},
+        tailing::{Reply, Tailing},
+        telemetry::{self, GaugeValues},
+        upstreams::{PermitTransport, Upstreams},
         wire::{Store, Wire},
     },
     anyhow::Context,
     bytes::Bytes,
     fernring_core::{clock::Clock, text::LogLine},
     fernring_protocol::{
+        compression::{compress, decompress},
         gateway::{
-            ConfigBytes, DirectoryList, DirectoryRecords, DirectoryRequest, GatewayBody,
-            GatewayHeartbeat, LoadsOf, Nothing, TurnAnswer, TurnQuestion,
+            CompressedConfig, DirectoryList, DirectoryRecords, DirectoryRequest, Empty,
+            GatewayBody, GatewayHeartbeat, LoadScope, PermitRequest, PermitResponse,
         },
-        packing::{pack, unpack},
     },
     http::{Request, Response, StatusCode},
     http_body_util::Full,
@@ -58,16 +59,18 @@
 
 /// Path of the metrics on the ready address.
 const METRICS_PATH: &str = "/metrics";
-/// Records up to which they are passed on as they are.
-const UNPACKED_RECORDS_MAX: usize = 500;
-/// How long packed records are passed on: what they say of cold upstreams is that old.
-const PACKED_TIME: Duration = Duration::from_secs(1);
-/// How often the settings file is looked at for a change that no signal announced.
-const SETTINGS_INTERVAL: Duration = Duration::from_secs(1);
-/// Time before the end of the grace at which the process ends, whatever is still open.
+/// Largest number of records that are sent without compression.
+const UNCOMPRESSED_RECORDS_MAX: usize = 500;
+/// Time for which compressed records are reused for further peers. What they say about cold
+/// upstreams is outdated by as much.
+const COMPRESSED_LIFETIME: Duration = Duration::from_secs(1);
+/// Interval at which the settings file is checked for changes that no signal announced.
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Time before the end of the grace period at which the process stops, even if connections are
+/// still open.
 const GRACE_MARGIN: Duration = Duration::from_millis(400);
-/// How often a shutting-down node looks whether everything is done.
-const DRAIN_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval at which a node that shuts down checks whether all connections are closed.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A gateway node.
 pub struct Node {
@@ -79,28 +82,28 @@
     stages: Rc<Stages>,
     retries: Rc<Retries>,
     ingress: Rc<Ingress>,
-    serving: Rc<Serving>,
+    serving: Rc<ServingContext>,
     loops: Rc<StoreLoops>,
-    packed: RefCell<Option<PackedDirectory>>,
+    compressed: RefCell<Option<CompressedDirectory>>,
     render: Box<dyn Fn() -> String>,
 }
 
-/// All upstreams' records, as they were packed for a peer.
-struct PackedDirectory {
+/// The records of all upstreams, compressed for peers.
+struct CompressedDirectory {
     end: Position,
     at: Duration,
     bytes: Bytes,
 }
 
-/// What a node is built on.
-pub struct Foundation {
+/// The interfaces that a node is created with.
+pub struct NodeDependencies {
     /// The clock.
     pub clock: Rc<dyn Clock>,
     /// The platform's formats.
     pub wire: Rc<dyn Wire>,
     /// The platform's store.
     pub store: Rc<dyn Store>,
-    /// Renders the metrics that were recorded.
+    /// Renders the recorded metrics as text.
     pub render: Box<dyn Fn() -> String>,
 }
 
@@ -116,11 +119,11 @@
 }
 
 impl Listeners {
-    /// Binds the addresses of the settings, and writes into these what ports were given where
-    /// they name none.
+    /// Binds the addresses of the settings. Where an address leaves the port open, the assigned
+    /// port is written back into the settings.
     ///
     /// # Errors
-    /// If an address can't be bound.
+    /// Returns an error if an address can't be bound.
     pub async fn bind(node: &mut NodeSettings) -> anyhow::Result<Self> {
         async fn bind(address: &mut SocketAddr) -> anyhow::Result<TcpListener> {
             let listener = TcpListener::bind(*address).await;
@@ -136,42 +139,42 @@
     }
 }
 
-/// Waits for SIGTERM or SIGINT.
+/// Returns a future that completes on SIGTERM or SIGINT.
 ///
 /// # Errors
-/// If signals can't be received.
+/// Returns an error if the signal handlers can't be installed.
 pub fn stop_signal() -> anyhow::Result<impl Future<Output = ()>> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     Ok(async move {
         tokio::select! {
-            _ = terminate.recv() => {}
-            _ = interrupt.recv() => {}
+        _ = terminate.recv() => {}
+        _ = interrupt.recv() => {}
         }
     })
 }
 
 impl Node {
-    /// Puts a node together.
-    pub fn new(settings: Settings, foundation: Foundation) -> Rc<Self> {
-        let Foundation { clock, wire, store, render } = foundation;
+    /// Creates a node and starts the background tasks of its parts.
+    pub fn new(settings: Settings, dependencies: NodeDependencies) -> Rc<Self> {
+        let NodeDependencies { clock, wire, store, render } = dependencies;
         let failure_domain: Arc<str> = settings.node.failure_domain.as_str().into();
-        let me = Member {
+        let member = Member {
             incarnation: rand::random(),
             ..Member::new(settings.node.peer_address, failure_domain.clone())
         };
         let config = Rc::new(RefCell::new(ConfigState::default()));
         let upstreams =
             Rc::new(Upstreams::new(failure_domain, clock.clone(), config.clone(), settings.cold));
-        let peers = Rc::new(Peers::new(me, clock.clone()));
+        let peers = Rc::new(Peers::new(member, clock.clone()));
         let retries = Rc::new(Retries::new(settings.retries.allowance(), peers.clone()));
-        let rules = Rc::new(Cell::new(settings.decide));
-        let blame = Rc::new(Blame::new(
+        let decide_settings = Rc::new(Cell::new(settings.decide));
+        let crash_attribution = Rc::new(CrashAttribution::new(
             clock.clone(),
             store.clone(),
             upstreams.clone(),
             peers.clone(),
-            rules.clone(),
+            decide_settings.clone(),
         ));
         let rollouts = Rc::new(Rollouts::new(
             clock.clone(),
@@ -182,57 +185,57 @@
             peers.clone(),
             settings.rollout,
         ));
-        let owner = Rc::new(Owner::new(Parts {
+        let owner = Rc::new(Owner::new(OwnerDependencies {
             clock: clock.clone(),
             wire: wire.clone(),
             config: config.clone(),
             upstreams: upstreams.clone(),
             peers: peers.clone(),
-            blame: blame.clone(),
+            crash_attribution: crash_attribution.clone(),
             rollouts: rollouts.clone(),
-            rules: rules.clone(),
+            decide_settings: decide_settings.clone(),
         }));
         let stages =
             Rc::new(Stages::new(clock.clone(), peers.clone(), owner.clone(), upstreams.clone()));
-        let alarm = Rc::new(Alarm::new(clock.clone()));
-        let serving = Rc::new(Serving {
+        let deadline_timer = Rc::new(DeadlineTimer::new(clock.clone()));
+        let serving = Rc::new(ServingContext {
             clock: clock.clone(),
-            alarm: alarm.clone(),
+            deadline_timer: deadline_timer.clone(),
             wire: wire.clone(),
             config: config.clone(),
             upstreams: upstreams.clone(),
             peers: peers.clone(),
             stages: stages.clone(),
-            reading: ReadingSpeeds::default(),
-            rules,
+            prefill_speeds: PrefillSpeeds::default(),
+            decide_settings,
             retries: retries.clone(),
             rollouts: rollouts.clone(),
-            blame: blame.clone(),
+            crash_attribution: crash_attribution.clone(),
             in_flight: Cell::new(0),
         });
         let ingress = Rc::new(Ingress::new(serving.clone(), config.clone()));
         let started_at = clock.now().monotonic;
         let loops = Rc::new(StoreLoops {
             clock,
-            alarm,
+            deadline_timer,
             wire: wire.clone(),
             store,
             config: config.clone(),
             upstreams: upstreams.clone(),
             owner: owner.clone(),
-            blame: blame.clone(),
+            crash_attribution: crash_attribution.clone(),
             rollouts: rollouts.clone(),
             peers: peers.clone(),
-            following: [(); 2].map(|()| RefCell::new(Following::new(rand::random()))),
+            tailing: [(); 2].map(|()| RefCell::new(Tailing::new(rand::random()))),
             started_at,
             store_answers: Cell::new(true),
-            word_bound: Cell::new(settings.evacuation.within()),
-            is_unheard: Cell::default(),
-            joined_in: Cell::default(),
+            evacuation_bound: Cell::new(settings.evacuation.within()),
+            has_unconfirmed_orders: Cell::default(),
+            registered_era: Cell::default(),
         });
         spawn_local(owner.clone().run());
         spawn_local(owner.run_releases());
-        spawn_local(blame.run());
+        spawn_local(crash_attribution.run());
         spawn_local(rollouts.run());
         let settings = RefCell::new(settings);
         let node = Rc::new(Self {
@@ -246,32 +249,32 @@
             ingress,
             serving,
             loops,
-            packed: RefCell::default(),
+            compressed: RefCell::default(),
             render,
         });
         peers.set_handler(node.clone());
-        node.upstreams.set_counters(Rc::new(PeerCounters(peers)));
-        node.apply_link();
+        node.upstreams.set_permit_transport(Rc::new(PeerPermitTransport(peers)));
+        node.apply_link_bandwidth();
         node.apply_regions();
         node
     }
 
-    /// Sets what may be passed on to peers, by the settings.
-    fn apply_link(&self) {
-        let link = self.settings.borrow().node.link_bytes_per_s();
-        for what in [Followed::Config, Followed::Upstreams] {
-            self.loops.following(what).borrow_mut().set_link(link);
+    /// Applies the link's bandwidth from the settings.
+    fn apply_link_bandwidth(&self) {
+        let bytes_per_s = self.settings.borrow().node.link_bytes_per_s();
+        for topic in [TailedTopic::Config, TailedTopic::Upstreams] {
+            self.loops.tailing(topic).borrow_mut().set_link(bytes_per_s);
         }
-        self.peers.set_link(self.settings.borrow().node.link_mbps.round() as u32);
+        self.peers.set_link_mbps(self.settings.borrow().node.link_mbps.round() as u32);
     }
 
-    /// Sets the region of each failure domain, by the settings.
+    /// Applies the region of each failure domain from the settings.
     fn apply_regions(&self) {
         self.upstreams.set_regions(self.settings.borrow().regions());
     }
 
-    /// Runs the node until `stop` is done, then finishes everything in flight; `settings_path` is
-    /// read again when it changes.
+    /// Runs the node until `stop` completes, then finishes the requests in flight. Reloads the
+    /// settings when the file at `settings_path` changes.
     pub async fn run(
         self: Rc<Self>,
         listeners: Listeners,
@@ -286,8 +289,8 @@
         spawn_local(self.clone().listen_ready(listeners.ready));
         spawn_local(self.peers.clone().listen(listeners.peers));
         spawn_local(self.peers.clone().run_heartbeats());
-        spawn_local(self.loops.clone().follow_config());
-        spawn_local(self.loops.clone().follow_upstreams());
+        spawn_local(self.loops.clone().tail_config());
+        spawn_local(self.loops.clone().tail_upstreams());
         spawn_local(self.loops.clone().join());
         spawn_local(self.loops.clone().expire());
         spawn_local(self.clone().watch_settings(settings_path));
@@ -295,14 +298,14 @@
         self.shut_down().await;
     }
 
-    /// Returns the upstreams that the node knows.
+    /// Returns the known upstreams.
     pub fn upstreams(&self) -> &Upstreams {
         &self.upstreams
     }
 
-    /// Returns the number of live nodes that this one knows, itself included.
+    /// Returns the number of known live nodes, including this one.
     pub fn peer_count(&self) -> usize {
-        self.peers.nodes()
+        self.peers.node_count()
     }
 
     /// Returns the version of the configuration in force.
@@ -315,17 +318,20 @@
         self.serving.in_flight.get()
     }
 
-    /// Returns how far the newest order to roll out a version of a service is, if it has one.
-    pub fn rollout(&self, service: &str) -> Option<Standing> {
-        self.serving.rollouts.standing(service)
+    /// Returns the progress of the newest order to roll out a version of a service; `None` if there
+    /// is no order.
+    pub fn rollout_progress(&self, service: &str) -> Option<RolloutProgress> {
+        self.serving.rollouts.progress(service)
     }
 
-    /// Returns the number of contents that are turned away, since upstreams ended under them.
-    pub fn turned_away(&self) -> usize {
-        self.serving.blame.turned_away()
+    /// Returns the number of quarantined fingerprints, whose requests are rejected because
+    /// upstreams crashed under them.
+    pub fn quarantined_count(&self) -> usize {
+        self.serving.crash_attribution.quarantined_count()
     }
 
-    /// Finishes everything in flight, then returns.
+    /// Finishes the requests in flight and waits until all connections are closed or the grace
+    /// period ends.
     async fn shut_down(&self) {
         let shutdown = self.settings.borrow().shutdown;
         let started = self.serving.now();
@@ -333,12 +339,12 @@
         log::info(LogLine::event("stopping").with("in_flight", self.serving.in_flight.get()));
         self.ingress.set_phase(Phase::Leaving);
         self.peers.set_draining();
-        self.loops.leave().await;
+        self.loops.remove_own_record().await;
         let leave = Duration::from_secs_f64(shutdown.leave_s);
-        self.serving.alarm.until(started + leave).await;
+        self.serving.deadline_timer.sleep_until(started + leave).await;
         self.ingress.set_phase(Phase::Closing);
-        while self.ingress.open() > 0 && self.serving.now() < end {
-            sleep(DRAIN_INTERVAL).await;
+        while self.ingress.open_connections() > 0 && self.serving.now() < end {
+            sleep(DRAIN_POLL_INTERVAL).await;
         }
         log::info(LogLine::event("stopped").with("in_flight", self.serving.in_flight.get()));
     }
@@ -351,21 +357,21 @@
                 return;
             }
         };
-        let mut seen = modified_at(&path);
+        let mut last_modified = modified_at(&path);
         loop {
             let is_signal = tokio::select! {
-                _ = hangup.recv() => true,
-                () = sleep(SETTINGS_INTERVAL) => false,
+            _ = hangup.recv() => true,
+            () = sleep(SETTINGS_POLL_INTERVAL) => false,
             };
             let modified = modified_at(&path);
-            if is_signal || modified != seen {
-                seen = modified;
+            if is_signal || modified != last_modified {
+                last_modified = modified;
                 self.reload(&path);
             }
         }
     }
 
-    /// Puts changed settings in force; bad ones are refused and the old ones stay.
+    /// Applies changed settings. Invalid ones are rejected, and the current ones stay in force.
     fn reload(&self, path: &Path) {
         let settings = match load(path) {
             Ok(settings) => settings,
@@ -375,13 +381,13 @@
             }
         };
         self.retries.set_allowance(settings.retries.allowance());
-        self.serving.rules.set(settings.decide);
+        self.serving.decide_settings.set(settings.decide);
         self.upstreams.set_cold_bounds(settings.cold);
         self.serving.rollouts.set_settings(settings.rollout);
-        self.loops.word_bound.set(settings.evacuation.within());
+        self.loops.evacuation_bound.set(settings.evacuation.within());
         self.peers.suggest(settings.node.seeds.iter().copied());
         *self.settings.borrow_mut() = settings;
-        self.apply_link();
+        self.apply_link_bandwidth();
         self.apply_regions();
         log::info(LogLine::event("settings_taken"));
     }
@@ -390,17 +396,17 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    spawn_local(self.clone().answer_ready(stream));
+                    spawn_local(self.clone().serve_ready(stream));
                 }
                 Err(error) => {
                     log::warn(LogLine::event("accept_failed").with("error", error));
-                    sleep(DRAIN_INTERVAL).await;
+                    sleep(DRAIN_POLL_INTERVAL).await;
                 }
             }
         }
     }
 
-    async fn answer_ready(self: Rc<Self>, stream: TcpStream) {
+    async fn serve_ready(self: Rc<Self>, stream: TcpStream) {
         let service = service_fn(|request: Request<Incoming>| {
             let response = self.ready_response(request.uri().path());
             async move { Ok::<_, Infallible>(response) }
@@ -426,23 +432,23 @@
 
     fn render_metrics(&self) -> String {
         let directory = self.upstreams.directory();
-        measures::set_heard(&self.peers.heard_by_domain());
-        measures::set(Readings {
+        telemetry::set_reachable_nodes(&self.peers.reachable_by_domain());
+        telemetry::set_gauges(GaugeValues {
             config_version: self.config.borrow().version(),
-            config_age: self.loops.age(Followed::Config),
-            nodes: self.peers.nodes(),
+            config_age: self.loops.age(TailedTopic::Config),
+            nodes: self.peers.node_count(),
             is_delegate: self.peers.is_delegate(),
             upstreams: directory
                 .iter()
                 .filter(|(key, _)| self.upstreams.may_send(*key).is_ok())
                 .count(),
             in_flight: self.serving.in_flight.get(),
-            turned_away: self.serving.blame.turned_away(),
-            caller_connections: self.ingress.open(),
+            quarantined: self.serving.crash_attribution.quarantined_count(),
+            caller_connections: self.ingress.open_connections(),
             upstream_connections: self.upstreams.open_connections(),
             cold_upstreams: directory.iter().filter(|(_, u)| u.is_cold(self.serving.now())).count(),
-            limited_upstreams: self.upstreams.limited(),
-            evacuated_domains: self.upstreams.evacuations().borrow().in_force(),
+            limited_upstreams: self.upstreams.limited_count(),
+            evacuated_domains: self.upstreams.evacuations().borrow().evacuated_count(),
             store_answers: self.loops.store_answers.get(),
         });
         (self.render)()
@@ -453,11 +459,11 @@
         has_config && self.ingress.phase() == Phase::Serving
     }
 
-    fn ask(&self, peer: SocketAddr, what: Followed) {
+    fn request_records(&self, peer: SocketAddr, topic: TailedTopic) {
         let since = self.upstreams.directory().end();
-        let body = match what {
-            Followed::Config => GatewayBody::ConfigRequest(Nothing {}),
-            Followed::Upstreams => GatewayBody::DirectoryRequest(DirectoryRequest {
+        let body = match topic {
+            TailedTopic::Config => GatewayBody::ConfigRequest(Empty {}),
+            TailedTopic::Upstreams => GatewayBody::DirectoryRequest(DirectoryRequest {
                 since: since.offset,
                 era: since.era,
             }),
@@ -465,80 +471,91 @@
         self.peers.send(peer, body);
     }
 
-    /// Passes the configuration on, unless too much of it was sent just now.
+    /// Sends the configuration to a peer, or defers it if too much has been sent recently.
     fn send_config(&self, peer: SocketAddr) {
-        let Some(held) = self.config.borrow().current() else {
+        let Some(active) = self.config.borrow().current() else {
             return;
         };
-        let config =
-            ConfigBytes { packed: held.packed.clone(), end: held.end.offset, era: held.end.era };
-        let bytes = held.packed.len();
-        self.pass_on(peer, Followed::Config, bytes, GatewayBody::Config(config));
+        let config = CompressedConfig {
+            compressed: active.compressed.clone(),
+            end: active.end.offset,
+            era: active.end.era,
+        };
+        let bytes = active.compressed.len();
+        self.send_or_defer(peer, TailedTopic::Config, bytes, GatewayBody::Config(config));
     }
 
     fn send_directory(&self, peer: SocketAddr, since: Position) {
         let directory = self.upstreams.directory();
         let now = self.serving.now();
         let changes = directory.changes_since(now, since);
-        let is_whole = changes.is_none();
-        let is_packed = is_whole && directory.len() > UNPACKED_RECORDS_MAX;
+        let is_full = changes.is_none();
+        let is_compressed = is_full && directory.len() > UNCOMPRESSED_RECORDS_MAX;
         let records = match changes {
-            _ if is_packed => Vec::new(),
-            Some(changes) => changes.iter().map(directory_record).collect(),
-            None => directory.all_changes(now).iter().map(directory_record).collect(),
+            _ if is_compressed => Vec::new(),
+            Some(changes) => changes.iter().map(encode_change).collect(),
+            None => directory.all_changes(now).iter().map(encode_change).collect(),
         };
         let records = DirectoryRecords {
             end: directory.end().offset,
             era: directory.end().era,
             records,
-            is_whole,
-            lapses_ms: directory.lapses_for(now).as_millis() as u32,
-            age_ms: self.age_ms(Followed::Upstreams),
-            packed: if is_packed { self.packed_directory(now) } else { Bytes::new() },
+            is_full,
+            lapse_window_ms: directory.lapse_time_left(now).as_millis() as u32,
+            age_ms: self.age_ms(TailedTopic::Upstreams),
+            compressed: if is_compressed { self.compressed_directory(now) } else { Bytes::new() },
         };
         let bytes = records.encoded_len();
-        self.pass_on(peer, Followed::Upstreams, bytes, GatewayBody::Directory(records));
+        self.send_or_defer(peer, TailedTopic::Upstreams, bytes, GatewayBody::Directory(records));
     }
 
-    /// Returns all upstreams' records, packed. At the start of a fleet hundreds of peers ask for them within a second.
-    fn packed_directory(&self, now: Duration) -> Bytes {
+    /// Returns the records of all upstreams, compressed. When a fleet starts, hundreds of peers
+    /// request them within a second.
+    fn compressed_directory(&self, now: Duration) -> Bytes {
         let directory = self.upstreams.directory();
         let end = directory.end();
-        let mut held = self.packed.borrow_mut();
-        if let Some(held) = &*held
-            && held.end == end
-            && now < held.at + PACKED_TIME
+        let mut cached = self.compressed.borrow_mut();
+        if let Some(cached) = &*cached
+            && cached.end == end
+            && now < cached.at + COMPRESSED_LIFETIME
         {
-            return held.bytes.clone();
+            return cached.bytes.clone();
         }
-        let records = directory.all_changes(now).iter().map(directory_record).collect();
-        let bytes = pack(&DirectoryList { records }.encode_to_vec());
-        *held = Some(PackedDirectory { end, at: now, bytes: bytes.clone() });
+        let records = directory.all_changes(now).iter().map(encode_change).collect();
+        let bytes = compress(&DirectoryList { records }.encode_to_vec());
+        *cached = Some(CompressedDirectory { end, at: now, bytes: bytes.clone() });
         bytes
     }
 
-    /// Answers a peer's question with a record, or puts it off.
-    fn pass_on(&self, peer: SocketAddr, what: Followed, bytes: usize, record: GatewayBody) {
-        let reply = self.loops.following(what).borrow_mut().asked(self.serving.now(), bytes);
-        match (reply, what) {
+    /// Replies to a peer with a record, or defers the reply if too much has been sent recently.
+    fn send_or_defer(
+        &self,
+        peer: SocketAddr,
+        topic: TailedTopic,
+        bytes: usize,
+        record: GatewayBody,
+    ) {
+        let reply =
+            self.loops.tailing(topic).borrow_mut().handle_request(self.serving.now(), bytes);
+        match (reply, topic) {
             (Reply::Record, _) => self.peers.send_record(peer, record),
-            (Reply::PutOff, Followed::Config) => {
-                self.peers.send(peer, GatewayBody::ConfigPutOff(Nothing {}));
+            (Reply::Deferred, TailedTopic::Config) => {
+                self.peers.send(peer, GatewayBody::ConfigDeferred(Empty {}));
             }
-            (Reply::PutOff, Followed::Upstreams) => {
-                self.peers.send(peer, GatewayBody::DirectoryPutOff(Nothing {}));
+            (Reply::Deferred, TailedTopic::Upstreams) => {
+                self.peers.send(peer, GatewayBody::DirectoryDeferred(Empty {}));
             }
         }
     }
 
-    fn put_off(&self, what: Followed) {
-        let mut following = self.loops.following(what).borrow_mut();
-        following.put_off(self.serving.now(), rand::random());
+    fn mark_deferred(&self, topic: TailedTopic) {
+        let mut following = self.loops.tailing(topic).borrow_mut();
+        following.handle_deferral(self.serving.now(), rand::random());
     }
 
-    fn take_directory(&self, mut records: DirectoryRecords) {
-        if !records.packed.is_empty() {
-            let list = unpack(&records.packed).map_err(anyhow::Error::from);
+    fn handle_directory(&self, mut records: DirectoryRecords) {
+        if !records.compressed.is_empty() {
+            let list = decompress(&records.compressed).map_err(anyhow::Error::from);
             match list.and_then(|list| Ok(DirectoryList::decode(list)?)) {
                 Ok(list) => records.records = list.records,
                 Err(error) => {
@@ -547,166 +564,176 @@
                 }
             }
         }
-        self.loops.take_peer_upstreams(PeerRecords {
+        self.loops.handle_peer_upstreams(PeerRecords {
             end: Position::new(records.era, records.end),
-            changes: records.records.into_iter().filter_map(change_from).collect(),
-            is_whole: records.is_whole,
-            lapses_for: Duration::from_millis(records.lapses_ms.into()),
-            age: records.age_ms.map(from_ms),
+            changes: records.records.into_iter().filter_map(decode_change).collect(),
+            is_full: records.is_full,
+            lapses_for: Duration::from_millis(records.lapse_window_ms.into()),
+            age: records.age_ms.map(duration_from_ms),
         });
     }
 
-    fn age_ms(&self, what: Followed) -> Option<u32> {
-        let age = self.loops.following(what).borrow().told_age(self.serving.now())?;
+    fn age_ms(&self, topic: TailedTopic) -> Option<u32> {
+        let age = self.loops.tailing(topic).borrow().reported_age(self.serving.now())?;
         Some(u32::try_from(age.as_millis()).unwrap_or(u32::MAX))
     }
 }
 
-fn from_ms(ms: u32) -> Duration {
+fn duration_from_ms(ms: u32) -> Duration {
     Duration::from_millis(ms.into())
 }
 
 impl PeerHandler for Node {
-    fn message(&self, sender: SocketAddr, body: GatewayBody) {
+    fn handle_message(&self, sender: SocketAddr, body: GatewayBody) {
         match body {
-            // Taken in by `Peers` itself.
+            // Handled by `Peers` itself.
             GatewayBody::Heartbeat(_) => {}
             GatewayBody::ConfigRequest(_) => self.send_config(sender),
             GatewayBody::Config(config) => {
                 let end = Position::new(config.era, config.end);
-                self.loops.take_peer_config(config.packed, end);
+                self.loops.handle_peer_config(config.compressed, end);
             }
-            GatewayBody::ConfigPutOff(_) => self.put_off(Followed::Config),
-            GatewayBody::DirectoryPutOff(_) => self.put_off(Followed::Upstreams),
+            GatewayBody::ConfigDeferred(_) => self.mark_deferred(TailedTopic::Config),
+            GatewayBody::DirectoryDeferred(_) => self.mark_deferred(TailedTopic::Upstreams),
             GatewayBody::DirectoryRequest(request) => {
                 self.send_directory(sender, Position::new(request.era, request.since));
             }
-            GatewayBody::Directory(records) => self.take_directory(records),
-            GatewayBody::Work(work) => self.stages.work(sender, work),
-            GatewayBody::WorkDone(done) => self.stages.done(sender, done),
-            GatewayBody::WorkCancel(ticket) => self.stages.cancel(sender, ticket.ticket),
-            GatewayBody::Release(release) => self.stages.released(release),
-            GatewayBody::Ends(reports) => self.serving.blame.told(sender, reports),
-            GatewayBody::TurnQuestion(question) => self.upstreams.turn_asked(sender, question),
-            GatewayBody::TurnAnswer(answer) => self.upstreams.turn_answered(answer),
-            GatewayBody::RolloutReport(report) => self.serving.rollouts.reported(sender, report),
+            GatewayBody::Directory(records) => self.handle_directory(records),
+            GatewayBody::Work(work) => self.stages.handle_work(sender, work),
+            GatewayBody::WorkDone(done) => self.stages.handle_done(sender, done),
+            GatewayBody::WorkCancel(ticket) => self.stages.handle_cancel(sender, ticket.ticket),
+            GatewayBody::Release(release) => self.stages.handle_release(release),
+            GatewayBody::Crashes(reports) => {
+                self.serving.crash_attribution.handle_reports(sender, reports);
+            }
+            GatewayBody::PermitRequest(request) => {
+                self.upstreams.handle_permit_request(sender, request);
+            }
+            GatewayBody::PermitResponse(response) => {
+                self.upstreams.handle_permit_response(response);
+            }
+            GatewayBody::RolloutReport(report) => {
+                self.serving.rollouts.handle_report(sender, report);
+            }
         }
     }
 
-    fn heartbeat(&self, sender: SocketAddr, heartbeat: &GatewayHeartbeat) {
+    fn handle_heartbeat(&self, sender: SocketAddr, heartbeat: &GatewayHeartbeat) {
         let loads = heartbeat.load_upstreams.iter().zip(&heartbeat.load_weights);
         let loads = loads.map(|(upstream, weight)| (*upstream, f64::from(*weight))).collect();
         let now = self.serving.now();
-        let is_near = *heartbeat.failure_domain == *self.settings.borrow().node.failure_domain;
-        let tells_on = self.peers.tells_on();
-        // Delegates hear the nodes of their domain themselves.
-        let loads_of = match heartbeat.loads_of() {
-            LoadsOf::Domain if is_near && tells_on => LoadsOf::Nobody,
-            loads_of => loads_of,
+        let is_same_domain =
+            *heartbeat.failure_domain == *self.settings.borrow().node.failure_domain;
+        let has_followers = self.peers.has_followers();
+        // Delegates receive the loads of their domain's nodes directly.
+        let load_scope = match heartbeat.load_scope() {
+            LoadScope::Domain if is_same_domain && has_followers => LoadScope::Omitted,
+            load_scope => load_scope,
         };
-        match loads_of {
-            LoadsOf::Sender => self.upstreams.set_peer_loads(sender, loads),
-            LoadsOf::Domain => {
+        match load_scope {
+            LoadScope::Sender => self.upstreams.set_peer_loads(sender, loads),
+            LoadScope::Domain => {
                 self.upstreams.set_peer_loads(sender, Vec::new());
                 let domain = heartbeat.failure_domain.as_str().into();
                 self.upstreams.set_domain_loads(now, &domain, loads);
             }
-            LoadsOf::Nobody => self.upstreams.set_peer_loads(sender, Vec::new()),
+            LoadScope::Omitted => self.upstreams.set_peer_loads(sender, Vec::new()),
         }
-        let contains_own = loads_of == LoadsOf::Domain && is_near;
-        self.stages.heard(sender, &heartbeat.stage_loads, loads_of, contains_own);
-        // What another domain can't reach may well be reachable here.
-        if is_near {
-            let tells_on = tells_on && heartbeat.is_follower;
-            self.upstreams.peer_found_unreachable(now, &heartbeat.unreachable, tells_on);
+        let contains_own = load_scope == LoadScope::Domain && is_same_domain;
+        self.stages.handle_peer_loads(sender, &heartbeat.stage_loads, load_scope, contains_own);
+        // An upstream that is unreachable from another domain may be reachable from this one.
+        if is_same_domain {
+            let has_followers = has_followers && heartbeat.is_follower;
+            self.upstreams.apply_peer_unreachable(now, &heartbeat.unreachable, has_followers);
         }
-        self.loops.hear_era(heartbeat.store_era);
+        self.loops.handle_era(heartbeat.store_era);
         let directory_end = Position::new(heartbeat.directory_era, heartbeat.directory_end);
-        // Before the age confirms that nothing else is in force.
-        for word in &heartbeat.evacuations {
-            let (failure_domain, word) = evacuation_from(word);
-            self.loops.take_evacuation(failure_domain, word, "peer");
+        // Must precede the record ages below, which confirm that no other evacuation is in force.
+        for order in &heartbeat.evacuations {
+            let (failure_domain, order) = decode_evacuation(order);
+            self.loops.apply_evacuation(failure_domain, order, "peer");
         }
-        self.serving.rollouts.told(&heartbeat.rollouts);
-        self.upstreams.told_limits(&heartbeat.limits);
-        heartbeat.split_services.iter().for_each(|service| self.stages.said_split(*service));
+        self.serving.rollouts.handle_messages(&heartbeat.rollouts);
+        self.upstreams.apply_peer_limits(&heartbeat.limits);
+        heartbeat.sharded_services.iter().for_each(|service| self.stages.mark_sharded(*service));
         let known = [
-            (Followed::Config, heartbeat.config_version.into(), heartbeat.config_age_ms),
-            (Followed::Upstreams, directory_end, heartbeat.directory_age_ms),
+            (TailedTopic::Config, heartbeat.config_version.into(), heartbeat.config_age_ms),
+            (TailedTopic::Upstreams, directory_end, heartbeat.directory_age_ms),
         ];
-        for (what, mark, age_ms) in known {
-            if self.loops.heard(what, mark, age_ms.map(from_ms)) {
-                self.ask(sender, what);
+        for (topic, mark, age_ms) in known {
+            if self.loops.handle_peer_mark(topic, mark, age_ms.map(duration_from_ms)) {
+                self.request_records(sender, topic);
             }
         }
     }
 
-    fn describe(&self, heartbeat: &mut GatewayHeartbeat, loads_of: LoadsOf) {
+    fn fill_heartbeat(&self, heartbeat: &mut GatewayHeartbeat, load_scope: LoadScope) {
         heartbeat.config_version = self.config.borrow().version();
         let directory_end = self.upstreams.directory().end();
         (heartbeat.directory_era, heartbeat.directory_end) =
             (directory_end.era, directory_end.offset);
         heartbeat.store_era = self.loops.store.era();
-        heartbeat.config_age_ms = self.age_ms(Followed::Config);
-        heartbeat.directory_age_ms = self.age_ms(Followed::Upstreams);
-        heartbeat.unreachable = self.upstreams.unreachable(self.serving.now());
+        heartbeat.config_age_ms = self.age_ms(TailedTopic::Config);
+        heartbeat.directory_age_ms = self.age_ms(TailedTopic::Upstreams);
+        heartbeat.unreachable = self.upstreams.unreachable_upstreams(self.serving.now());
         let evacuations = self.upstreams.evacuations().borrow();
-        heartbeat.evacuations = evacuations.words().map(evacuation_word).collect();
-        heartbeat.limits = self.upstreams.limits_to_tell();
-        heartbeat.rollouts = self.serving.rollouts.words();
-        let link = self.settings.borrow().node.link_bytes_per_s();
-        heartbeat.split_services = self.stages.to_be_split(link);
-        heartbeat.stage_loads = self.stages.described(loads_of);
-        let loads = match loads_of {
-            LoadsOf::Sender => self.upstreams.told_loads(),
-            LoadsOf::Domain => self.upstreams.domain_loads(),
-            LoadsOf::Nobody => Vec::new(),
+        heartbeat.evacuations = evacuations.orders().map(encode_evacuation).collect();
+        heartbeat.limits = self.upstreams.limits_to_publish();
+        heartbeat.rollouts = self.serving.rollouts.messages();
+        let bytes_per_s = self.settings.borrow().node.link_bytes_per_s();
+        heartbeat.sharded_services = self.stages.services_to_shard(bytes_per_s);
+        heartbeat.stage_loads = self.stages.stage_loads(load_scope);
+        let loads = match load_scope {
+            LoadScope::Sender => self.upstreams.loads_to_report(),
+            LoadScope::Domain => self.upstreams.domain_loads(),
+            LoadScope::Omitted => Vec::new(),
         };
         (heartbeat.load_upstreams, heartbeat.load_weights) = loads.into_iter().unzip();
     }
 
-    fn joined(&self, peer: SocketAddr) {
-        self.serving.blame.joined(peer);
+    fn handle_peer_joined(&self, peer: SocketAddr) {
+        self.serving.crash_attribution.handle_peer_joined(peer);
     }
 
-    fn unfollowed(&self, peer: SocketAddr) {
+    fn handle_peer_unfollowed(&self, peer: SocketAddr) {
         self.upstreams.set_peer_loads(peer, Vec::new());
-        self.stages.unfollowed(peer);
+        self.stages.handle_unfollowed(peer);
     }
 
-    fn lost(&self, peer: SocketAddr) {
+    fn handle_peer_lost(&self, peer: SocketAddr) {
         self.upstreams.set_peer_loads(peer, Vec::new());
-        self.stages.peer_lost(peer);
+        self.stages.handle_peer_lost(peer);
     }
 }
 
-/// The nodes that count at upstreams that name a limit, found like the owners of services.
-struct PeerCounters(Rc<Peers>);
+/// Carries permit requests to the nodes that issue permits for limited upstreams. These are chosen
+/// like the owners of services.
+struct PeerPermitTransport(Rc<Peers>);
 
-impl Counters for PeerCounters {
-    fn counter(&self, run: u64) -> Option<SocketAddr> {
-        let owner = self.0.owner(&format!("limit {run:016x}"));
+impl PermitTransport for PeerPermitTransport {
+    fn issuer(&self, incarnation_id: u64) -> Option<SocketAddr> {
+        let owner = self.0.owner(&format!("limit {incarnation_id:016x}"));
         (owner != self.0.address()).then_some(owner)
     }
 
-    fn heard(&self) -> usize {
-        self.0.nodes()
+    fn node_count(&self) -> usize {
+        self.0.node_count()
     }
 
-    fn is_behind(&self) -> bool {
-        self.0.is_behind()
+    fn is_catching_up(&self) -> bool {
+        self.0.is_catching_up()
     }
 
-    fn ask(&self, counter: SocketAddr, question: TurnQuestion) {
-        self.0.send(counter, GatewayBody::TurnQuestion(question));
+    fn send_request(&self, issuer: SocketAddr, request: PermitRequest) {
+        self.0.send(issuer, GatewayBody::PermitRequest(request));
     }
 
-    fn answer(&self, asker: SocketAddr, answer: TurnAnswer) {
-        self.0.send(asker, GatewayBody::TurnAnswer(answer));
+    fn send_response(&self, requester: SocketAddr, response: PermitResponse) {
+        self.0.send(requester, GatewayBody::PermitResponse(response));
     }
 }
 
 fn modified_at(path: &Path) -> Option<SystemTime> {
-    // A file that is gone for a moment counts as unchanged until it is back.
+    // A file that is missing for a moment counts as unchanged until it is back.
     std::fs::metadata(path).and_then(|data| data.modified()).ok()
 }
--- a/crates/fernring-gateway/src/serving/context.rs
+++ b/crates/fernring-gateway/src/serving/context.rs
@@ -1,9 +1,10 @@
-//! The parts of a node that requests use on their way.
+//! The parts of a node that serving a request needs.
 
 use {
     crate::{
-        alarm::Alarm, blame::Blame, config::ConfigState, peers::Peers, reading::ReadingSpeeds,
-        retries::Retries, rollout::shell::Rollouts, settings::DecideSettings, stages::Stages,
+        config::ConfigState, crash_attribution::CrashAttribution, deadline_timer::DeadlineTimer,
+        peers::Peers, prefill_speed::PrefillSpeeds, retries::Retries,
+        rollout::coordinator::Rollouts, settings::DecideSettings, stages::Stages,
         upstreams::Upstreams, wire::Wire,
     },
     fernring_core::clock::Clock,
@@ -14,12 +15,12 @@
     },
 };
 
-/// What serves requests; shared by all connections of a node.
-pub struct Serving {
+/// The parts of a node that serve requests; shared by all of its connections.
+pub struct ServingContext {
     /// The clock.
     pub clock: Rc<dyn Clock>,
-    /// Waits for its points.
-    pub alarm: Rc<Alarm>,
+    /// The timer for waits until a deadline.
+    pub deadline_timer: Rc<DeadlineTimer>,
     /// The platform's formats.
     pub wire: Rc<dyn Wire>,
     /// The configuration in force.
@@ -28,36 +29,36 @@
     pub upstreams: Rc<Upstreams>,
     /// The other nodes.
     pub peers: Rc<Peers>,
-    /// The stages.
+    /// The client of the stages' owners.
     pub stages: Rc<Stages>,
-    /// How fast model engines read, as learned since the start.
-    pub reading: ReadingSpeeds,
-    /// The mechanisms of the policy that are on.
-    pub rules: Rc<Cell<DecideSettings>>,
+    /// The prefill speeds of model engines, measured since the start.
+    pub prefill_speeds: PrefillSpeeds,
+    /// The mechanisms of the policy that are enabled.
+    pub decide_settings: Rc<Cell<DecideSettings>>,
     /// The retry budget.
     pub retries: Rc<Retries>,
-    /// Versions that are rolled out.
+    /// The versions that are being rolled out.
     pub rollouts: Rc<Rollouts>,
-    /// The upstreams that ended, and what ran there.
-    pub blame: Rc<Blame>,
-    /// Requests in flight.
+    /// The attribution of upstreams' crashes to requests.
+    pub crash_attribution: Rc<CrashAttribution>,
+    /// Number of requests in flight.
     pub in_flight: Cell<isize>,
 }
 
-impl std::fmt::Debug for Serving {
+impl std::fmt::Debug for ServingContext {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Serving").field("in_flight", &self.in_flight).finish_non_exhaustive()
     }
 }
 
-impl Serving {
-    /// Returns the steady time.
+impl ServingContext {
+    /// Returns the current monotonic time.
     pub fn now(&self) -> Duration {
         self.clock.now().monotonic
     }
 
-    /// Adds to the number of requests in flight.
-    pub fn count_in_flight(&self, change: isize) {
+    /// Changes the number of requests in flight by `change`.
+    pub fn adjust_in_flight(&self, change: isize) {
         self.in_flight.set(self.in_flight.get() + change);
     }
 }
--- a/crates/fernring-gateway/src/serving/exchange/sending.rs
+++ b/crates/fernring-gateway/src/serving/exchange/sending.rs
@@ -1,16 +1,17 @@
-//! Sending a request to an upstream: the choice, the send, and what its failure means.
+//! Sends a request to an upstream: chooses the upstream, sends the request, and handles failures.
 
 use {
-    super::{Exchange, GENERATION_LOAD_TOKENS, Opened, Reads},
+    super::{Exchange, GENERATION_LOAD_TOKENS, OpenedResponse, Prefill},
     crate::{
-        attempts::SendEnd,
-        connections::{BreakOff, SendFailure},
-        log, measures,
+        attempts::SendOutcome,
+        connections::{ConnectionLoss, SendFailure},
+        log,
         model::{UpstreamFields, UpstreamKey},
         refusal::Refusal,
-        rollout::orders::Admits,
-        selection::{Candidate, PromptNeed, choose, choose_model},
-        upstreams::{Sending, Target},
+        rollout::orders::AdmittedVersions,
+        selection::{Candidate, PromptDemand, choose, choose_model},
+        telemetry,
+        upstreams::{Target, UpstreamSend},
     },
     bytes::Bytes,
     fernring_core::{code::ResultCode, text::LogLine},
@@ -19,47 +20,47 @@
     std::time::Duration,
 };
 
-/// Most upstreams that one request is offered to, those included that take no connection. A
-/// refused connection costs a millisecond, and a third of a pool may be gone at once.
+/// Most upstreams that one request is offered to, including those that refuse the connection. A refused connection costs a
+/// millisecond, and a third of a pool may be gone at once.
 const OFFERS_MAX: u32 = 12;
-/// Part of the time left to the objective that may go into reading prompts. The rest is for what
-/// this node doesn't know of: requests of other nodes since their last heartbeat.
-const READ_PART: f64 = 0.7;
-/// The time that the reading speed is said for in log lines.
+/// Share of the time left until the objective that prefill may take. The rest is for load unknown to this node: requests of other
+/// nodes since their last heartbeat.
+const PREFILL_SHARE: f64 = 0.7;
+/// The unit of time of the prefill speed in log lines.
 const ONE_MS: Duration = Duration::from_millis(1);
 
 /// An upstream that was chosen.
 pub(super) struct Chosen {
     pub(super) target: Target,
-    /// Tokens that it should have to read, for a model engine.
+    /// Expected tokens to prefill, for a model engine.
     tokens: Option<f64>,
 }
 
-/// A send that brought no answer to pass on.
-struct Unanswered {
-    end: SendEnd,
-    why: BreakOff,
+/// A send without a response that can be forwarded.
+struct FailedSend {
+    end: SendOutcome,
+    loss: ConnectionLoss,
 }
 
-impl Unanswered {
-    fn without_break(end: SendEnd, reason: String) -> Self {
-        Self { end, why: BreakOff { reason, how: None } }
+impl FailedSend {
+    fn without_connection_loss(end: SendOutcome, reason: String) -> Self {
+        Self { end, loss: ConnectionLoss { reason, kind: None } }
     }
 }
 
 impl Exchange {
-    /// Sends the request until the head of a good answer comes.
+    /// Sends the request, to several upstreams if need be, until the head of an acceptable response is received.
     ///
     /// # Errors
-    /// If none came and it may not be sent again.
-    pub async fn open(&mut self) -> Result<Opened, Refusal> {
-        self.settle_doubt().await;
+    /// If there is none and the request may not be sent again.
+    pub async fn open(&mut self) -> Result<OpenedResponse, Refusal> {
+        self.wait_for_quarantine_decision().await;
         self.serving.retries.count_requests(self.serving.now(), &self.service, 1);
-        let mut reason = "no upstream is there".to_owned();
+        let mut reason = "no upstream is available".to_owned();
         for _ in 0..OFFERS_MAX {
             let left = self.time_left();
             if left.is_zero() {
-                return Err(self.give_up(ResultCode::WindowEnded, &reason));
+                return Err(self.refusal_for(ResultCode::WindowEnded, &reason));
             }
             if !self.may_send() {
                 break;
@@ -67,115 +68,121 @@
             let Some(Chosen { target, tokens }) = self.choose() else {
                 break;
             };
-            if self.attempts.next_is_extra() && !self.take_budget() {
-                reason.push_str("; the retry budget is spent");
+            if self.attempts.next_is_extra() && !self.spend_retry_budget() {
+                reason.push_str("; the retry budget is exhausted");
                 break;
             }
             self.tried.push(target.key);
             let sent_at = self.serving.now();
             match self.send(&target, left).await {
                 Ok(mut opened) => {
-                    opened.reads = tokens.map(|tokens| Reads { tokens, sent_at });
-                    measures::send_ended(&self.service, "answered");
+                    opened.prefill = tokens.map(|tokens| Prefill { tokens, sent_at });
+                    telemetry::record_send(&self.service, "answered");
                     return Ok(opened);
                 }
-                Err(Unanswered { end, why }) => {
-                    self.log_send(&target, end, &why.reason);
-                    self.attempts.ended(end);
-                    self.judge(&target, end);
-                    self.note_break(&target, &why);
-                    reason = why.reason;
+                Err(FailedSend { end, loss }) => {
+                    self.log_failed_send(&target, end, &loss.reason);
+                    self.attempts.record_failure(end);
+                    self.update_health(&target, end);
+                    self.record_connection_loss(&target, &loss);
+                    reason = loss.reason;
                 }
             }
         }
         if self.time_left().is_zero() {
-            return Err(self.give_up(ResultCode::WindowEnded, &reason));
+            return Err(self.refusal_for(ResultCode::WindowEnded, &reason));
         }
-        Err(self.give_up_for_want(&reason))
+        Err(self.refusal_without_upstream(&reason))
     }
 
-    /// Waits whether a request is turned away, if that is in doubt. Without it harmless requests were refused that had been in hand
-    /// at the same three ends as a deadly one in a fleet's first second: 4 in 12 s of 60 requests a second.
-    pub(super) async fn settle_doubt(&self) {
-        let settled = self.serving.blame.until_settled(self.request.content);
-        // Whether it is settled or the time is over, the caller looks again.
-        let _is_settled = self.wait_for(None, settled).await;
+    /// Waits until it is decided whether the request is quarantined, if that is pending. Without the wait, harmless requests were
+    /// refused that had been in flight at the same three crashes as a crashing request in a fleet's first second: 4 in 12 s at 60
+    /// requests per second.
+    pub(super) async fn wait_for_quarantine_decision(&self) {
+        let decision = self.serving.crash_attribution.wait_until_settled(self.request.fingerprint);
+        // The caller checks again, whether the decision was made or the time is over.
+        let _is_decided = self.wait_at_most(None, decision).await;
     }
 
-    /// Takes in that a send brought a head but no whole answer.
-    pub fn send_broke(&mut self, opened: &Opened, why: &BreakOff) {
-        self.attempts.ended(SendEnd::Unknown);
-        if let Some(trial) = &opened.trial {
-            trial.failed();
+    /// Records that a response was interrupted after its head.
+    pub fn record_broken_send(&mut self, opened: &OpenedResponse, loss: &ConnectionLoss) {
+        self.attempts.record_failure(SendOutcome::Unknown);
+        if let Some(tracked) = &opened.trial {
+            tracked.record_failure();
         }
-        self.serving.upstreams.failed(self.serving.now(), opened.key());
-        self.note_break(&opened.target, why);
+        self.serving.upstreams.record_failure(self.serving.now(), opened.key());
+        self.record_connection_loss(&opened.target, loss);
     }
 
-    fn note_break(&self, target: &Target, why: &BreakOff) {
-        if let Some(how) = why.how {
-            self.serving.blame.broke(target, how, Some(self.request.content));
+    fn record_connection_loss(&self, target: &Target, loss: &ConnectionLoss) {
+        if let Some(how) = loss.kind {
+            self.serving.crash_attribution.record_broken_send(
+                target,
+                how,
+                Some(self.request.fingerprint),
+            );
         }
     }
 
-    /// Takes in that an upstream began to answer with a failure of its own, which can't be passed on.
-    pub fn answered_with_failure_head(&mut self, opened: &Opened) {
-        self.answered_with_failure();
-        self.serving.upstreams.failed(self.serving.now(), opened.key());
+    /// Records that an upstream responded with a failure that can't be forwarded.
+    pub fn record_failure_head(&mut self, opened: &OpenedResponse) {
+        self.record_failure_response();
+        self.serving.upstreams.record_failure(self.serving.now(), opened.key());
     }
 
-    /// Takes in that an upstream answered, though with a failure of its own.
-    pub fn answered_with_failure(&mut self) {
-        self.attempts.ended(SendEnd::Unknown);
+    /// Records that an upstream responded with a server error.
+    pub fn record_failure_response(&mut self) {
+        self.attempts.record_failure(SendOutcome::Unknown);
     }
 
-    /// Takes in that an upstream gave a whole answer.
-    pub fn succeeded(&self, key: UpstreamKey) {
-        self.serving.upstreams.succeeded(key);
+    /// Records that an upstream gave a complete response.
+    pub fn record_success(&self, key: UpstreamKey) {
+        self.serving.upstreams.record_success(key);
     }
 
-    /// Tells whether another upstream may be asked.
+    /// Returns whether the request may be sent to another upstream.
     pub fn may_send(&self) -> bool {
-        let is_turned_away = self.serving.blame.is_turned_away(self.request.content);
-        self.attempts.may_send() && !is_turned_away && !self.time_left().is_zero()
+        let is_quarantined =
+            self.serving.crash_attribution.is_quarantined(self.request.fingerprint);
+        self.attempts.may_send() && !is_quarantined && !self.time_left().is_zero()
     }
 
-    /// Returns the final answer for a request that found no upstream.
-    fn give_up_for_want(&self, reason: &str) -> Refusal {
+    /// Returns the final answer for a request without an eligible upstream.
+    fn refusal_without_upstream(&self, reason: &str) -> Refusal {
         let upstreams = &self.serving.upstreams;
         if upstreams.is_evacuated(&self.service) {
-            return self.give_up(ResultCode::Evacuated, reason);
+            return self.refusal_for(ResultCode::Evacuated, reason);
         }
-        if upstreams.is_outside(&self.service, &self.residency) {
-            return self.give_up(ResultCode::OutsideRegions, reason);
+        if upstreams.is_outside_regions(&self.service, &self.residency) {
+            return self.refusal_for(ResultCode::OutsideRegions, reason);
         }
-        match upstreams.limited_for(&self.service, self.rank()) {
-            Some(after) => self.give_up_until(ResultCode::Limited, reason, Some(after)),
-            None => self.give_up(ResultCode::NoUpstream, reason),
+        match upstreams.limit_retry_after(&self.service, self.rank()) {
+            Some(after) => self.refusal_with_forecast(ResultCode::Limited, reason, Some(after)),
+            None => self.refusal_for(ResultCode::NoUpstream, reason),
         }
     }
 
-    fn take_budget(&self) -> bool {
-        self.serving.retries.take(self.serving.now(), &self.service, 1)
+    fn spend_retry_budget(&self) -> bool {
+        self.serving.retries.try_spend(self.serving.now(), &self.service, 1)
     }
 
     /// Chooses the upstream for the next send.
     fn choose(&self) -> Option<Chosen> {
-        let (chosen, candidates) = self.choose_from()?;
+        let (chosen, candidates) = self.choose_among_candidates()?;
         self.log_choice("routed", &chosen.target, &candidates);
         Some(chosen)
     }
 
-    /// Chooses the upstream near which results are to lie. Nothing is sent there yet.
+    /// Chooses the upstream whose failure domain is to store the results. Nothing is sent to it yet.
     pub(super) fn choose_home(&self) -> Option<Target> {
-        let (chosen, candidates) = self.choose_from()?;
+        let (chosen, candidates) = self.choose_among_candidates()?;
         self.log_choice("home_chosen", &chosen.target, &candidates);
         Some(chosen.target)
     }
 
-    fn choose_from(&self) -> Option<(Chosen, Vec<Candidate>)> {
+    fn choose_among_candidates(&self) -> Option<(Chosen, Vec<Candidate>)> {
         let upstreams = &self.serving.upstreams;
-        let is_silent = |domain: &str| self.serving.peers.is_silent(domain);
+        let is_silent = |domain: &str| self.serving.peers.is_domain_unreachable(domain);
         let untried = |candidate: &Candidate| !self.tried.contains(&candidate.key);
         let rank = self.rank();
         let candidates = upstreams.candidates(
@@ -186,7 +193,7 @@
             is_silent,
         );
         let candidates: Vec<_> = candidates.into_iter().filter(untried).collect();
-        let candidates = self.of_drawn_version(candidates);
+        let candidates = self.filter_by_version(candidates);
         let (key, tokens) = match self.prompt_need() {
             Some(need) => {
                 let choice = choose_model(&candidates, need)?;
@@ -198,48 +205,48 @@
         Some((Chosen { target, tokens }, candidates))
     }
 
-    /// Leaves the candidates of the version that the request was drawn for, while one is rolled out: what is sent once more goes
-    /// to the others.
-    fn of_drawn_version(&self, candidates: Vec<Candidate>) -> Vec<Candidate> {
-        let Some(admits) = self.serving.upstreams.admits(&self.service) else {
+    /// Keeps the candidates of the version that was drawn for the request while a version is being rolled out. Repeated sends go to
+    /// the other versions.
+    fn filter_by_version(&self, candidates: Vec<Candidate>) -> Vec<Candidate> {
+        let Some(admitted) = self.serving.upstreams.admits(&self.service) else {
             return candidates;
         };
-        let (ordered, others): (Vec<_>, Vec<_>) =
-            candidates.into_iter().partition(|candidate| candidate.is_ordered);
-        if ordered.is_empty() {
+        let (destination, others): (Vec<_>, Vec<_>) =
+            candidates.into_iter().partition(|candidate| candidate.is_rollout_target);
+        if destination.is_empty() {
             return others;
         }
         let is_first = self.tried.is_empty();
-        match admits {
-            // The others missing is no reason to send more to a version that may be bad.
-            Admits::Share(_) if is_first && self.draws_ordered() => ordered,
-            Admits::Share(_) => others,
-            Admits::DestinationFirst if !is_first && !others.is_empty() => others,
-            _ => ordered,
+        match admitted {
+            // Even if there are no others, a version that may be bad gets no more than its share.
+            AdmittedVersions::Share(_) if is_first && self.draw_for_rollout() => destination,
+            AdmittedVersions::Share(_) => others,
+            AdmittedVersions::DestinationFirst if !is_first && !others.is_empty() => others,
+            _ => destination,
         }
     }
 
-    /// Tells whether the request was drawn for the version that is rolled out.
-    fn draws_ordered(&self) -> bool {
-        self.takes_ordered.get().unwrap_or_else(|| {
-            let takes_ordered = self.serving.rollouts.takes_ordered(&self.service);
-            self.takes_ordered.set(Some(takes_ordered));
-            takes_ordered
+    /// Returns whether the request was drawn for the version that is being rolled out; draws on the first call.
+    fn draw_for_rollout(&self) -> bool {
+        self.is_drawn_for_rollout.get().unwrap_or_else(|| {
+            let is_drawn = self.serving.rollouts.sample_destination(&self.service);
+            self.is_drawn_for_rollout.set(Some(is_drawn));
+            is_drawn
         })
     }
 
     fn log_choice(&self, event: &'static str, target: &Target, candidates: &[Candidate]) {
         let chosen = candidates.iter().find(|candidate| candidate.key == target.key);
         let is_home = self.home.as_ref().is_some_and(|home| home.key == target.key);
-        let age = self.serving.upstreams.record_age(self.serving.now());
+        let age = self.serving.upstreams.records_age(self.serving.now());
         let line = LogLine::event(event)
             .with("request", &self.request.id)
             .with("pipeline", &self.route.name)
             .with_some("workspace", self.workspace.as_ref().map(|workspace| &workspace.name))
-            .with("content", self.request.content)
+            .with("content", self.request.fingerprint)
             .with("service", &self.service)
             .with("upstream", &target.instance)
-            .with("record", target.record_at)
+            .with("record", target.record_position)
             .with("records_age_ms", age.as_millis())
             .with("send", self.tried.len() + 1)
             .with("of", candidates.len())
@@ -247,27 +254,30 @@
             .with("is_avoided", chosen.is_some_and(|candidate| candidate.is_avoided))
             .with("is_cold", chosen.is_some_and(|candidate| candidate.is_cold))
             .with("is_home", is_home)
-            .with("reads_per_ms", self.serving.reading.of(&self.service).tokens_in(ONE_MS).round())
+            .with(
+                "reads_per_ms",
+                self.serving.prefill_speeds.for_service(&self.service).tokens_in(ONE_MS).round(),
+            )
             .with("config", self.serving.config.borrow().version())
             .with("left_ms", self.time_left().as_millis());
         log::info(line);
     }
 
-    /// What the request needs of a model engine; `None` if it goes to a plain service.
-    fn prompt_need(&self) -> Option<PromptNeed> {
-        if !self.route.prefix_affinity || !self.serving.rules.get().prefixes {
+    /// Returns the request's needs for the choice of a model engine; `None` if prefixes don't matter for its service.
+    fn prompt_need(&self) -> Option<PromptDemand> {
+        if !self.route.prefix_affinity || !self.serving.decide_settings.get().prefixes {
             return None;
         }
-        let parts = &self.request.fields.prompt;
-        let shared = parts.len().checked_sub(2).and_then(|index| parts.get(index));
-        let own = parts.last()?;
+        let prompt = &self.request.fields.prompt;
+        let shared = prompt.len().checked_sub(2).and_then(|index| prompt.get(index));
+        let own = prompt.last()?;
         let time_left = self.objective_at.saturating_sub(self.serving.now());
-        let speed = self.serving.reading.of(&self.service);
-        Some(PromptNeed {
+        let speed = self.serving.prefill_speeds.for_service(&self.service);
+        Some(PromptDemand {
             prefix: shared.unwrap_or(own).id,
-            own_tokens: f64::from(own.tokens),
-            all_tokens: self.prompt_tokens(),
-            patience_tokens: speed.tokens_in(time_left.mul_f64(READ_PART)),
+            uncached_tokens: f64::from(own.tokens),
+            total_tokens: self.prompt_tokens(),
+            token_budget: speed.tokens_in(time_left.mul_f64(PREFILL_SHARE)),
             home: self.home.as_ref().map(|home| home.key),
         })
     }
@@ -276,94 +286,110 @@
         f64::from(self.request.fields.prompt.iter().map(|part| part.tokens).sum::<u32>())
     }
 
-    /// The load that the request brings until its first event: tokens to read for a model engine,
-    /// with the shared parts taken as cached, else 1.
+    /// Returns the load of the request until its first event: for a model engine the tokens to prefill, with the shared parts of
+    /// the prompt assumed to be cached; else 1.
     fn weight(&self) -> f64 {
         match self.prompt_need() {
-            Some(need) => need.own_tokens + GENERATION_LOAD_TOKENS,
+            Some(need) => need.uncached_tokens + GENERATION_LOAD_TOKENS,
             None => 1.0,
         }
     }
 
-    async fn send(&self, target: &Target, left: Duration) -> Result<Opened, Unanswered> {
-        let load = self.serving.upstreams.load(target.key, self.weight());
-        let sending = Sending {
+    async fn send(&self, target: &Target, left: Duration) -> Result<OpenedResponse, FailedSend> {
+        let load = self.serving.upstreams.track_load(target.key, self.weight());
+        let upstream_send = UpstreamSend {
             request: self.upstream_request(target, left),
             rank: self.rank(),
             residency: self.residency.clone(),
             connections_max: self.serving.config.borrow().connections_max(&self.service),
         };
-        let held = self.serving.blame.hold(target, self.request.content);
+        let guard =
+            self.serving.crash_attribution.track_in_flight(target, self.request.fingerprint);
         let is_first = self.tried.len() <= 1;
         let (service, route) = (&self.service, &self.route.name);
-        let trial = self.serving.rollouts.began(service, target, route, is_first);
-        let failed = |unanswered: Unanswered| {
-            if let Some(trial) = trial.as_ref().filter(|_| unanswered.end == SendEnd::Unknown) {
-                trial.failed();
+        let tracked = self.serving.rollouts.track_send(service, target, route, is_first);
+        let failed = |failed_send: FailedSend| {
+            if let Some(tracked) =
+                tracked.as_ref().filter(|_| failed_send.end == SendOutcome::Unknown)
+            {
+                tracked.record_failure();
             }
-            unanswered
+            failed_send
         };
         let sent_at = self.serving.now();
-        let sent = self.serving.upstreams.send(target, sending);
+        let sent = self.serving.upstreams.send(target, upstream_send);
         let sent = tokio::select! {
-            sent = self.wait_for(None, sent) => sent,
-            // It hasn't begun to answer there: the upstream may be spared.
-            () = self.serving.blame.until_turned_away(self.request.content) => {
-                let why = "turned away meanwhile".to_owned();
-                return Err(Unanswered::without_break(SendEnd::Unknown, why));
-            }
+        sent = self.wait_at_most(None, sent) => sent,
+        // The upstream hasn't started to respond, so cancelling the request may prevent its crash.
+        () = self.serving.crash_attribution.wait_until_quarantined(self.request.fingerprint) => {
+        let reason = "quarantined while waiting for the response".to_owned();
+        return Err(FailedSend::without_connection_loss(SendOutcome::Unknown, reason));
+        }
         };
         let answer = match sent {
             None => {
-                let why = BreakOff::silent("no answer in time");
-                return Err(failed(Unanswered { end: SendEnd::Unknown, why }));
+                let loss = ConnectionLoss::silent("no response before the deadline");
+                return Err(failed(FailedSend { end: SendOutcome::Unknown, loss }));
             }
-            Some(Err(SendFailure::NotSent(why) | SendFailure::NoListener(why))) => {
-                return Err(Unanswered::without_break(SendEnd::NotSent, why));
+            Some(Err(SendFailure::NotSent(reason) | SendFailure::ConnectionRefused(reason))) => {
+                return Err(FailedSend::without_connection_loss(SendOutcome::NotSent, reason));
             }
-            Some(Err(SendFailure::Barred(why))) => {
-                return Err(Unanswered::without_break(SendEnd::Barred, why.to_string()));
+            Some(Err(SendFailure::Ineligible(reason))) => {
+                return Err(FailedSend::without_connection_loss(
+                    SendOutcome::Ineligible,
+                    reason.to_string(),
+                ));
             }
-            Some(Err(SendFailure::Broken(why))) => {
-                return Err(failed(Unanswered { end: SendEnd::Unknown, why }));
+            Some(Err(SendFailure::Broken(loss))) => {
+                return Err(failed(FailedSend { end: SendOutcome::Unknown, loss }));
             }
             Some(Ok(answer)) => answer,
         };
-        let mut opened = Opened {
+        let mut opened = OpenedResponse {
             head: answer.head,
             body: answer.body,
             target: target.clone(),
             load,
-            _held: held,
+            _attribution_guard: guard,
             trial: None,
-            reads: None,
+            prefill: None,
         };
-        if let Some((end, why)) = self.check_head(&mut opened, sent_at) {
-            return Err(failed(Unanswered::without_break(end, why)));
+        if let Some((end, reason)) = self.check_head(&mut opened, sent_at) {
+            return Err(failed(FailedSend::without_connection_loss(end, reason)));
         }
-        if let Some(trial) = trial.as_ref().filter(|_| opened.is_failure()) {
-            trial.failed();
+        if let Some(tracked) = tracked.as_ref().filter(|_| opened.is_failure()) {
+            tracked.record_failure();
         }
-        opened.trial = trial;
+        opened.trial = tracked;
         Ok(opened)
     }
 
-    /// Finds what is wrong with the head of an answer to a request that left at `sent_at`.
-    fn check_head(&self, opened: &mut Opened, sent_at: Duration) -> Option<(SendEnd, String)> {
+    /// Checks the head of a response to a request that was sent at `sent_at`; returns the fault if there is one.
+    fn check_head(
+        &self,
+        opened: &mut OpenedResponse,
+        sent_at: Duration,
+    ) -> Option<(SendOutcome, String)> {
         let status = opened.head.status;
-        let fields = self.serving.wire.decode_answer(status, &opened.head.headers);
+        let fields = self.serving.wire.decode_response(status, &opened.head.headers);
         if fields.wrong_instance {
-            return Some((SendEnd::WrongInstance, "another instance is there".to_owned()));
+            return Some((
+                SendOutcome::WrongInstance,
+                "another instance responded at this address".to_owned(),
+            ));
         }
         if fields.request_id.as_deref() != Some(&*self.request.id) {
-            return Some((SendEnd::Unknown, "the answer is to another request".to_owned()));
+            return Some((SendOutcome::Unknown, "the response is for another request".to_owned()));
         }
-        self.serving.upstreams.said_limit(&opened.target, sent_at, fields.limit);
+        self.serving.upstreams.record_announced_limit(&opened.target, sent_at, fields.limit);
         if fields.not_run {
-            return Some((SendEnd::Refused, format!("refused with status {status}")));
+            return Some((SendOutcome::Refused, format!("refused with status {status}")));
         }
         if status.is_success() && (!fields.is_signed || fields.is_encoded) {
-            return Some((SendEnd::Unknown, "the answer is not the upstream's own".to_owned()));
+            return Some((
+                SendOutcome::Unknown,
+                "the response is unsigned or encoded, so it is not the upstream's own".to_owned(),
+            ));
         }
         if let Some(idle_timeout) = fields.idle_timeout {
             opened.body.set_idle_timeout(idle_timeout);
@@ -388,32 +414,32 @@
         request
     }
 
-    fn judge(&self, target: &Target, end: SendEnd) {
+    fn update_health(&self, target: &Target, end: SendOutcome) {
         let now = self.serving.now();
         match end {
-            SendEnd::Refused => self.serving.upstreams.was_full(now, target.key),
-            // It is as well as before.
-            SendEnd::Barred => {}
-            SendEnd::NotSent => self.serving.upstreams.was_unreachable(now, target.key),
-            SendEnd::WrongInstance => {
-                self.serving.upstreams.failed(now, target.key);
-                self.serving.blame.replaced(target.key);
+            SendOutcome::Refused => self.serving.upstreams.record_full(now, target.key),
+            // The request wasn't sent, so the upstream's health is unchanged.
+            SendOutcome::Ineligible => {}
+            SendOutcome::NotSent => self.serving.upstreams.record_unreachable(now, target.key),
+            SendOutcome::WrongInstance => {
+                self.serving.upstreams.record_failure(now, target.key);
+                self.serving.crash_attribution.handle_replaced(target.key);
             }
-            SendEnd::Unknown => {
-                self.serving.upstreams.failed(now, target.key);
+            SendOutcome::Unknown => {
+                self.serving.upstreams.record_failure(now, target.key);
             }
         }
     }
 
-    fn log_send(&self, target: &Target, end: SendEnd, why: &str) {
-        measures::send_ended(&self.service, end.name());
+    fn log_failed_send(&self, target: &Target, end: SendOutcome, reason: &str) {
+        telemetry::record_send(&self.service, end.name());
         let line = LogLine::event("send_failed")
             .with("request", &self.request.id)
-            .with("content", self.request.content)
+            .with("content", self.request.fingerprint)
             .with("upstream", &target.instance)
             .with("address", target.address)
             .with("end", end.name())
-            .with("reason", why);
+            .with("reason", reason);
         log::info(line);
     }
 }
--- a/crates/fernring-gateway/src/serving/exchange/staging.rs
+++ b/crates/fernring-gateway/src/serving/exchange/staging.rs
@@ -1,11 +1,11 @@
-//! The stages of a request on its way: what each works on, where, and until when.
+//! Runs the stages of a request: determines the input, the failure domain and the deadline of each stage.
 
 use {
     super::Exchange,
     crate::{
-        backlog::rank,
+        backlog::rank_index,
         model::{PieceInput, StageSpec},
-        owner::{Work, WorkEnd},
+        owner::{Work, WorkOutcome},
         refusal::Refusal,
         stage_plan::StagePlan,
     },
@@ -14,215 +14,222 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Wait of a stage for its turn, as a part of a call without pieces.
-const TURN_PART: f64 = 0.5;
-/// What one piece makes or reads, in bytes, from which on it is placed by failure domain. What
-/// less costs between domains is not worth a wait for a maker there.
-const NEAR_BYTES_MIN: u64 = 200_000;
-/// Times that the stages of a request are made again because results were gone.
-const STAGE_ROUNDS_MAX: u32 = 2;
+/// Expected queueing time of a stage, as a share of the time of a call without pieces.
+const QUEUE_WAIT_SHARE: f64 = 0.5;
+/// Bytes that one piece reads or produces from which on it is placed by failure domain. The transfer of less data between domains
+/// costs less than the wait for a worker in a particular domain.
+const PLACED_BYTES_MIN: u64 = 200_000;
+/// Most runs of the stages of a request; they are run again when results were lost.
+const STAGE_RUNS_MAX: u32 = 2;
 
 impl Exchange {
-    /// Has all stages made.
+    /// Admits the request and runs all of its stages.
     ///
     /// # Errors
-    /// If they could not be made in time; the request itself has not run.
-    pub async fn make_stages(&mut self) -> Result<(), Refusal> {
-        self.settle_doubt().await;
-        if self.serving.blame.is_turned_away(self.request.content) {
-            return Err(self.give_up(ResultCode::EndsUpstreams, ""));
+    /// If the request is refused or its stages were not completed in time; the request itself has not run.
+    pub async fn admit_and_run_stages(&mut self) -> Result<(), Refusal> {
+        self.wait_for_quarantine_decision().await;
+        if self.serving.crash_attribution.is_quarantined(self.request.fingerprint) {
+            return Err(self.refusal_for(ResultCode::EndsUpstreams, ""));
         }
         if let Some(service) = self.evacuated_service() {
             let detail = format!("service {service}");
-            return Err(self.give_up(ResultCode::Evacuated, &detail));
+            return Err(self.refusal_for(ResultCode::Evacuated, &detail));
         }
-        if let Some(service) = self.outside_service() {
+        if let Some(service) = self.service_outside_regions() {
             let detail = format!("service {service}");
-            return Err(self.give_up(ResultCode::OutsideRegions, &detail));
+            return Err(self.refusal_for(ResultCode::OutsideRegions, &detail));
         }
-        if let Some(after) = self.serving.upstreams.limited_for(&self.service, self.rank()) {
-            return Err(self.give_up_until(ResultCode::Limited, "", Some(after)));
+        if let Some(after) = self.serving.upstreams.limit_retry_after(&self.service, self.rank()) {
+            return Err(self.refusal_with_forecast(ResultCode::Limited, "", Some(after)));
         }
         self.admit()?;
-        self.make_admitted().await
+        self.run_admitted_stages().await
     }
 
-    /// Returns the first service on the request's way whose upstreams are all evacuated, so that it is told at once.
+    /// Returns the first service needed by the request whose upstreams are all evacuated, so that the caller is answered at once.
     fn evacuated_service(&self) -> Option<Arc<str>> {
         self.services().find(|service| self.serving.upstreams.is_evacuated(service)).cloned()
     }
 
-    /// Returns the first service on the request's way that has no upstreams in the regions where it may be served.
-    fn outside_service(&self) -> Option<Arc<str>> {
+    /// Returns the first service needed by the request that has no upstreams in the regions where the request may be served.
+    fn service_outside_regions(&self) -> Option<Arc<str>> {
         let upstreams = &self.serving.upstreams;
-        self.services().find(|service| upstreams.is_outside(service, &self.residency)).cloned()
+        self.services()
+            .find(|service| upstreams.is_outside_regions(service, &self.residency))
+            .cloned()
     }
 
-    /// Lists the services on the request's way.
+    /// Lists the services needed by the request: those of its stages, then the one that answers it.
     fn services(&self) -> impl Iterator<Item = &Arc<str>> {
-        let used = (0..self.route.stages.len()).filter(|stage| self.plan.count(*stage) > 0);
+        let used = (0..self.route.stages.len()).filter(|stage| self.plan.piece_count(*stage) > 0);
         let services = used.map(|stage| &self.plan.spec(stage).service);
         services.chain(std::iter::once(&self.service))
     }
 
-    pub(super) async fn make_admitted(&mut self) -> Result<(), Refusal> {
-        if self.serving.rules.get().placing && self.plan.makes_any(NEAR_BYTES_MIN) {
+    pub(super) async fn run_admitted_stages(&mut self) -> Result<(), Refusal> {
+        if self.serving.decide_settings.get().placing
+            && self.plan.makes_large_results(PLACED_BYTES_MIN)
+        {
             self.home = self.choose_home();
         }
-        for _ in 0..STAGE_ROUNDS_MAX {
-            match self.run_stages().await {
-                WorkEnd::Made(_) => {
+        for _ in 0..STAGE_RUNS_MAX {
+            match self.run_stages_once().await {
+                WorkOutcome::Completed(_) => {
                     self.inputs = self.plan.final_handles();
                     return Ok(());
                 }
-                WorkEnd::InputGone => {
-                    self.release_all();
+                WorkOutcome::InputGone => {
+                    self.release_results();
                     let counts = &self.request.fields.piece_counts;
                     self.plan = StagePlan::new(&self.route.stages, counts);
                 }
-                WorkEnd::TurnedAway => {
-                    return Err(self.give_up(ResultCode::NoUpstream, "a stage failed"));
+                WorkOutcome::Quarantined => {
+                    return Err(self.refusal_for(ResultCode::NoUpstream, "a stage failed"));
                 }
-                WorkEnd::Late => return Err(self.give_up(ResultCode::ExpiredInQueue, "stage")),
-                WorkEnd::Failed | WorkEnd::OwnerLost | WorkEnd::NoMakers => {
+                WorkOutcome::Late => {
+                    return Err(self.refusal_for(ResultCode::ExpiredInQueue, "stage"));
+                }
+                WorkOutcome::Failed | WorkOutcome::OwnerLost | WorkOutcome::NoWorkers => {
                     let code = if self.evacuated_service().is_some() {
                         ResultCode::Evacuated
-                    } else if self.outside_service().is_some() {
+                    } else if self.service_outside_regions().is_some() {
                         ResultCode::OutsideRegions
                     } else {
                         ResultCode::NoUpstream
                     };
-                    return Err(self.give_up(code, "a stage failed"));
+                    return Err(self.refusal_for(code, "a stage failed"));
                 }
             }
         }
-        Err(self.give_up(ResultCode::NoUpstream, "results of stages were lost"))
+        Err(self.refusal_for(ResultCode::NoUpstream, "the results of stages were lost"))
     }
 
-    async fn run_stages(&mut self) -> WorkEnd {
+    async fn run_stages_once(&mut self) -> WorkOutcome {
         let serving = self.serving.clone();
         let lead = self.chain_lead();
         let mut running = FuturesUnordered::new();
         loop {
             for stage in self.plan.start_ready(lead) {
                 let Some(work) = self.stage_work(stage) else {
-                    return WorkEnd::NoMakers;
+                    return WorkOutcome::NoWorkers;
                 };
-                self.promises.remove(&stage);
+                self.reservations.remove(&stage);
                 let stages = &serving.stages;
-                running.push(async move { (stage, stages.make(work).await) });
+                running.push(async move { (stage, stages.run_stage(work).await) });
             }
             let Some((stage, end)) = running.next().await else {
                 debug_assert!(self.plan.is_done());
-                return WorkEnd::Made(Vec::new());
+                return WorkOutcome::Completed(Vec::new());
             };
             match end {
-                WorkEnd::Made(handles) => self.plan.finish(stage, handles),
+                WorkOutcome::Completed(handles) => self.plan.finish(stage, handles),
                 other => return other,
             }
-            for (stage, handles) in self.plan.take_spent() {
+            for (stage, handles) in self.plan.take_consumed() {
                 serving.stages.release(&self.plan.spec(stage).service, handles, &self.residency);
             }
         }
     }
 
-    /// Stages by which a chain may be longer than another and both start: one, so that the other is
-    /// not what the request waits for in the end. Requests of the lowest rank do without, and
-    /// leave the room for results to the others meanwhile.
+    /// Returns by how many stages a chain may be shorter than the longest one and still start with it: one, so that the request
+    /// doesn't wait for the shorter chain in the end. Zero for requests of the lowest rank, which leaves the capacity for results to
+    /// other requests meanwhile. If stages aren't delayed at all, the number of stages.
     fn chain_lead(&self) -> usize {
-        if !self.serving.rules.get().made_late {
+        if !self.serving.decide_settings.get().made_late {
             return self.route.stages.len();
         }
-        let held = self.serving.config.borrow().current();
-        let routes = held.iter().flat_map(|held| &held.config.routes);
+        let current = self.serving.config.borrow().current();
+        let routes = current.iter().flat_map(|current| &current.config.routes);
         let lowest = routes.filter(|route| !route.stages.is_empty()).map(|route| route.priority);
         usize::from(lowest.max().is_some_and(|lowest| self.route.priority < lowest))
     }
 
-    /// Returns the pieces of a stage; `None` if no maker is where the request may be served.
+    /// Returns the work of a stage; `None` if there is no worker where the request may be served.
     fn stage_work(&self, stage: usize) -> Option<Work> {
         let spec = self.plan.spec(stage);
         let key = self.request.fields.piece_key.clone().unwrap_or_else(|| Arc::from(""));
-        let input = match self.plan.inputs(stage) {
+        let input = match self.plan.input_handles(stage) {
             Some(handles) => PieceInput::Results(handles.into()),
             None => PieceInput::Key(key),
         };
-        let near = self.near(stage);
+        let consumer_domain = self.consumer_domain(stage);
         let pool = self.serving.stages.pool_for(
             &spec.service,
-            near.as_ref(),
+            consumer_domain.as_ref(),
             &self.request.id,
             &self.residency,
         )?;
         Some(Work {
             pool,
             request_id: self.request.id.clone(),
-            content: self.request.content,
+            fingerprint: self.request.fingerprint,
             stage: stage as u32,
-            pieces: self.plan.count(stage),
+            pieces: self.plan.piece_count(stage),
             input,
             due_at: self.due_at(stage),
-            near,
+            consumer_domain,
             deadline_at: self
-                .hold_until
-                .saturating_sub(self.time_after(stage) + self.reading_time()),
+                .patience_ends_at
+                .saturating_sub(self.time_after(stage) + self.prefill_time()),
             priority: self.priority(),
             result_bytes: spec.result_bytes,
             residency: self.residency.clone(),
-            asker: self.serving.peers.address(),
+            requester: self.serving.peers.address(),
         })
     }
 
-    /// When a stage's results are due for the first event to be on time.
+    /// Returns when the results of a stage are due for the first event to meet the objective.
     fn due_at(&self, stage: usize) -> Duration {
-        self.objective_at.saturating_sub(self.time_after(stage) + self.reading_time())
+        self.objective_at.saturating_sub(self.time_after(stage) + self.prefill_time())
     }
 
-    /// Time that the stages after one take.
+    /// Returns the expected time of the stages that follow a stage.
     fn time_after(&self, stage: usize) -> Duration {
-        let held = self.serving.config.borrow().current();
+        let current = self.serving.config.borrow().current();
         let time_of = |spec: &StageSpec, pieces: u32| {
-            let service = held.as_ref().and_then(|held| held.config.services.get(&spec.service));
+            let service =
+                current.as_ref().and_then(|current| current.config.services.get(&spec.service));
             let Some(shape) = service.and_then(|service| service.batch) else {
                 return Duration::ZERO;
             };
             let pieces = pieces.min(shape.pieces_max as u32);
-            shape.call_time.mul_f64(1.0 + TURN_PART) + shape.piece_time * pieces
+            shape.call_time.mul_f64(1.0 + QUEUE_WAIT_SHARE) + shape.piece_time * pieces
         };
         self.plan.time_after(stage, &time_of)
     }
 
-    /// Time that a model engine needs for the whole prompt.
-    pub(super) fn reading_time(&self) -> Duration {
-        self.serving.reading.of(&self.service).time_for(self.prompt_tokens())
+    /// Returns the time that a model engine needs for the prefill of the whole prompt.
+    pub(super) fn prefill_time(&self) -> Duration {
+        self.serving.prefill_speeds.for_service(&self.service).time_for(self.prompt_tokens())
     }
 
-    /// Failure domain in which a stage's pieces are best made: where its results are read if they
-    /// are large, else where the results lie that each piece reads, if those are.
-    fn near(&self, stage: usize) -> Option<Arc<str>> {
-        if !self.serving.rules.get().placing {
+    /// Returns the preferred failure domain for the pieces of a stage: the domain where the results are read if they are large, or
+    /// else the domain that stores the inputs if these are large.
+    fn consumer_domain(&self, stage: usize) -> Option<Arc<str>> {
+        if !self.serving.decide_settings.get().placing {
             return None;
         }
         let spec = self.plan.spec(stage);
-        if spec.result_bytes >= NEAR_BYTES_MIN {
+        if spec.result_bytes >= PLACED_BYTES_MIN {
             return self.home.as_ref().map(|home| home.failure_domain.clone());
         }
         let inputs = self.plan.inputs_by_stage(stage);
         let bytes: u64 = inputs.iter().map(|(bytes, handles)| bytes * handles.len() as u64).sum();
-        if bytes < NEAR_BYTES_MIN {
+        if bytes < PLACED_BYTES_MIN {
             return None;
         }
         let largest = inputs.iter().max_by_key(|(bytes, handles)| bytes * handles.len() as u64);
-        largest.and_then(|(_, handles)| self.serving.upstreams.domain_of(handles))
+        largest.and_then(|(_, handles)| self.serving.upstreams.domain_with_most_results(handles))
     }
 
-    /// Returns the request's rank as an index.
+    /// Returns the rank of the request's priority, as an index.
     pub(super) fn rank(&self) -> usize {
-        rank(self.priority())
+        rank_index(self.priority())
     }
 
     pub(super) fn priority(&self) -> u32 {
-        let of_workspace = self.workspace.as_ref().and_then(|workspace| workspace.priority);
-        of_workspace.unwrap_or(self.route.priority)
+        let own_priority = self.workspace.as_ref().and_then(|workspace| workspace.priority);
+        own_priority.unwrap_or(self.route.priority)
     }
 }
--- a/crates/fernring-gateway/src/serving/ingress.rs
+++ b/crates/fernring-gateway/src/serving/ingress.rs
@@ -1,8 +1,9 @@
-//! Connections of callers: accepting, time limits, shutting down.
+//! Connections of callers: accepting them, their timeouts, and shutdown.
 
 use {
     crate::{
-        caller_body::CallerBody, config::ConfigState, context::Serving, log, model::CallerLimits,
+        caller_body::CallerBody, config::ConfigState, context::ServingContext, log,
+        model::CallerLimits,
     },
     fernring_core::{clock::Clock, text::LogLine},
     http::{HeaderValue, Request, Response, header::CONNECTION},
@@ -26,42 +27,42 @@
     },
 };
 
-/// Smallest buffer that the HTTP library takes.
+/// Smallest buffer that the HTTP library accepts, in bytes.
 const BUFFER_BYTES_MIN: usize = 8_192;
-/// How long a caller may go on reading when the time of its request is over. One that has stopped would keep its connection, and
-/// one to an upstream, for as long as it likes.
-const UNREAD_TIME: Duration = Duration::from_secs(5);
-/// Pause after a failed accept, which mostly means that descriptors are short.
+/// How long a caller may keep reading an answer after the deadline of its request. Without this limit, a caller that stops reading
+/// would occupy its connection, and one to an upstream, indefinitely.
+const OVERTIME_MAX: Duration = Duration::from_secs(5);
+/// Pause after a failed accept, which mostly means that file descriptors have run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// How far a node's shutdown is.
+/// The phase of a node's life, up to its shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// It takes connections.
+    /// The node accepts connections.
     Serving,
-    /// It is not ready any more; answers tell callers to connect elsewhere.
+    /// The node is no longer ready; answers close their connections, so that callers connect to another node.
     Leaving,
-    /// Connections are closed as soon as they carry no request.
+    /// Connections are closed as soon as they have no request in flight.
     Closing,
 }
 
-/// What a connection is doing.
+/// The current activity of a connection.
 #[derive(Debug, Clone, Copy)]
-enum Doing {
-    /// Nothing, since then.
+enum Activity {
+    /// Idle since this time.
     Idle(Duration),
-    /// Reading a head, since its first byte.
-    Head(Duration),
-    /// Carrying a request; its own limits hold.
-    Request,
-    /// Sending an answer, which is given up then.
-    Answer(Duration),
+    /// Reading a request's head, since its first byte.
+    ReadingHead(Duration),
+    /// Serving a request, which has its own time limits.
+    ServingRequest,
+    /// Sending an answer, which is abandoned at this time.
+    SendingAnswer(Duration),
 }
 
-/// What the tasks of one connection share.
+/// The state shared by the tasks of one connection.
 #[derive(Debug)]
 pub struct ConnectionState {
-    doing: Cell<Doing>,
+    activity: Cell<Activity>,
     clock: Rc<dyn Clock>,
 }
 
@@ -70,33 +71,33 @@
         self.clock.now().monotonic
     }
 
-    fn started_head(&self) {
-        if let Doing::Idle(_) = self.doing.get() {
-            self.doing.set(Doing::Head(self.now()));
+    fn record_head_start(&self) {
+        if let Activity::Idle(_) = self.activity.get() {
+            self.activity.set(Activity::ReadingHead(self.now()));
         }
     }
 
     fn deadline(&self, limits: &CallerLimits) -> Option<Duration> {
-        match self.doing.get() {
-            Doing::Idle(since) => Some(since + limits.idle_timeout),
-            Doing::Head(since) => Some(since + limits.head_timeout),
-            Doing::Request => None,
-            Doing::Answer(until) => Some(until),
+        match self.activity.get() {
+            Activity::Idle(since) => Some(since + limits.idle_timeout),
+            Activity::ReadingHead(since) => Some(since + limits.head_timeout),
+            Activity::ServingRequest => None,
+            Activity::SendingAnswer(until) => Some(until),
         }
     }
 }
 
-/// A request that a connection carries; the connection is idle again when it is dropped.
+/// A guard for a request in flight on a connection; the connection becomes idle when it is dropped.
 #[derive(Debug)]
 pub struct RequestGuard(Rc<ConnectionState>);
 
 impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.0.doing.set(Doing::Idle(self.0.now()));
+        self.0.activity.set(Activity::Idle(self.0.now()));
     }
 }
 
-/// Notes when bytes of a head begin to arrive.
+/// A TCP stream that records when the first bytes of a request's head arrive.
 struct WatchedStream {
     stream: TcpStream,
     state: Rc<ConnectionState>,
@@ -111,7 +112,7 @@
         let before = buffer.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(context, buffer);
         if buffer.filled().len() > before {
-            self.state.started_head();
+            self.state.record_head_start();
         }
         polled
     }
@@ -147,9 +148,9 @@
     }
 }
 
-/// The callers' connections of a node.
+/// The callers' connections to a node.
 pub struct Ingress {
-    serving: Rc<Serving>,
+    serving: Rc<ServingContext>,
     config: Rc<RefCell<ConfigState>>,
     phase: watch::Sender<Phase>,
     open: Cell<usize>,
@@ -157,33 +158,33 @@
 
 impl Ingress {
     /// Creates an ingress without connections.
-    pub fn new(serving: Rc<Serving>, config: Rc<RefCell<ConfigState>>) -> Self {
+    pub fn new(serving: Rc<ServingContext>, config: Rc<RefCell<ConfigState>>) -> Self {
         let open = Cell::new(0);
         Self { serving, config, phase: watch::Sender::new(Phase::Serving), open }
     }
 
     /// Returns the number of open connections.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.open.get()
     }
 
-    /// Returns how far the shutdown is.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
-    /// Moves the shutdown on.
+    /// Sets the phase.
     pub fn set_phase(&self, phase: Phase) {
         self.phase.send_replace(phase);
     }
 
-    /// Takes connections for as long as the process runs.
+    /// Accepts connections for as long as the process runs.
     pub async fn listen(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
                     self.open.set(self.open.get() + 1);
-                    spawn_local(self.clone().carry(stream));
+                    spawn_local(self.clone().serve_connection(stream));
                 }
                 Err(error) => {
                     log::warn(LogLine::event("accept_failed").with("error", error));
@@ -193,19 +194,19 @@
         }
     }
 
-    async fn carry(self: Rc<Self>, stream: TcpStream) {
-        if let Err(error) = self.carry_requests(stream).await {
+    async fn serve_connection(self: Rc<Self>, stream: TcpStream) {
+        if let Err(error) = self.serve_requests(stream).await {
             log::info(LogLine::event("connection_broken").with("error", error));
         }
         self.open.set(self.open.get() - 1);
     }
 
-    async fn carry_requests(self: &Rc<Self>, stream: TcpStream) -> anyhow::Result<()> {
+    async fn serve_requests(self: &Rc<Self>, stream: TcpStream) -> anyhow::Result<()> {
         stream.set_nodelay(true)?;
         socket2::SockRef::from(&stream)
-            .set_tcp_user_timeout(Some(crate::connections::UNACKNOWLEDGED_MAX))?;
-        let doing = Cell::new(Doing::Idle(self.serving.now()));
-        let state = Rc::new(ConnectionState { doing, clock: self.serving.clock.clone() });
+            .set_tcp_user_timeout(Some(crate::connections::TCP_USER_TIMEOUT))?;
+        let activity = Cell::new(Activity::Idle(self.serving.now()));
+        let state = Rc::new(ConnectionState { activity, clock: self.serving.clock.clone() });
         let limits = self.limits();
         let buffer_bytes = limits.head_bytes_max.max(BUFFER_BYTES_MIN);
         let stream = TokioIo::new(WatchedStream { stream, state: state.clone() });
@@ -215,14 +216,14 @@
         );
         let mut phase = self.phase.subscribe();
         let mut closing = pin!(async move {
-            // An error means that the node has ended, so there is nothing to wait for.
+            // An error means that the node has been dropped, so there is nothing to wait for.
             drop(phase.wait_for(|phase| *phase == Phase::Closing).await);
         });
         let mut is_closing = false;
-        // Reset to what the connection is doing each time that it is looked at.
-        let alarm = &self.serving.alarm;
+        // Set to the deadline of the connection's activity at each poll.
+        let deadline_timer = &self.serving.deadline_timer;
         let mut timer_at = self.serving.now() + limits.idle_timeout;
-        let mut timer = Box::pin(alarm.until(timer_at));
+        let mut timer = Box::pin(deadline_timer.sleep_until(timer_at));
         poll_fn(|context| {
             if !is_closing && closing.as_mut().poll(context).is_ready() {
                 is_closing = true;
@@ -236,7 +237,7 @@
             };
             if timer_at != deadline {
                 timer_at = deadline;
-                timer.set(alarm.until(deadline));
+                timer.set(deadline_timer.sleep_until(deadline));
             }
             match timer.as_mut().poll(context) {
                 Poll::Ready(()) => Poll::Ready(Ok(())),
@@ -247,8 +248,8 @@
     }
 
     fn limits(&self) -> CallerLimits {
-        let held = self.config.borrow().current();
-        held.map_or_else(CallerLimits::default, |held| held.config.limits)
+        let current = self.config.borrow().current();
+        current.map_or_else(CallerLimits::default, |current| current.config.limits)
     }
 
     async fn answer(
@@ -256,16 +257,16 @@
         request: Request<Incoming>,
         state: Rc<ConnectionState>,
     ) -> Result<Response<CallerBody>, Infallible> {
-        state.doing.set(Doing::Request);
+        state.activity.set(Activity::ServingRequest);
         let guard = RequestGuard(state.clone());
         let mut response = self.serving.clone().serve(request).await;
-        if let Some(ends_at) = response.body().ends_at() {
-            state.doing.set(Doing::Answer(ends_at + UNREAD_TIME));
+        if let Some(deadline) = response.body().deadline() {
+            state.activity.set(Activity::SendingAnswer(deadline + OVERTIME_MAX));
         }
         if self.phase() >= Phase::Leaving {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        response.body_mut().hold(guard);
+        response.body_mut().attach_guard(guard);
         Ok(response)
     }
 }
--- a/crates/fernring-gateway/src/serving/refusal.rs
+++ b/crates/fernring-gateway/src/serving/refusal.rs
@@ -1,6 +1,6 @@
-//! Answers of the gateway's own.
+//! Answers that the gateway generates itself.
 //!
-//! A status that promises "not run" is built only from [`NotRun`], or before anything was sent.
+//! A status that guarantees that the request has not run is built only from [`NotRun`], or before anything was sent.
 
 use {
     crate::{attempts::NotRun, wire::Wire},
@@ -11,37 +11,37 @@
     std::time::Duration,
 };
 
-/// When to come back to a node that isn't ready; the retry reaches another one.
+/// Retry-after of a node that isn't ready; the retry reaches another node.
 pub const RETRY_AFTER_NOT_READY: Duration = Duration::from_millis(100);
 
-/// A final answer of the gateway's own.
+/// A final answer to a caller that the gateway generates itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
-    /// What happened.
+    /// The reason.
     pub code: ResultCode,
-    /// More, for the log.
+    /// Details for the log.
     pub detail: String,
     status: StatusCode,
     retry_after: Option<Duration>,
-    closes: bool,
+    closes_connection: bool,
 }
 
 impl Refusal {
-    /// Refuses a request that the caller has to correct. `code` must be of that kind.
-    pub fn incorrect(code: ResultCode, detail: impl Into<String>) -> Self {
+    /// Refuses a request that the caller has to correct. `code` must be a caller's error.
+    pub fn invalid_request(code: ResultCode, detail: impl Into<String>) -> Self {
         let status = StatusCode::from_u16(code.http_status()).unwrap_or(StatusCode::BAD_REQUEST);
-        let closes = matches!(code, ResultCode::BadRequest | ResultCode::BodyTooLarge);
-        Self { code, detail: detail.into(), status, retry_after: None, closes }
+        let closes_connection = matches!(code, ResultCode::BadRequest | ResultCode::BodyTooLarge);
+        Self { code, detail: detail.into(), status, retry_after: None, closes_connection }
     }
 
-    /// Refuses a request whose body did not come in time. It has not run: it wasn't whole.
+    /// Refuses a request whose body was not received in time. It has not run, since it was incomplete.
     pub fn slow_body() -> Self {
         Self {
             code: ResultCode::BodyTooSlow,
-            detail: "the body did not come in time".to_owned(),
+            detail: "the body was not received in time".to_owned(),
             status: StatusCode::REQUEST_TIMEOUT,
             retry_after: None,
-            closes: true,
+            closes_connection: true,
         }
     }
 
@@ -53,24 +53,30 @@
         detail: impl Into<String>,
     ) -> Self {
         let status = StatusCode::SERVICE_UNAVAILABLE;
-        Self { code, detail: detail.into(), status, retry_after: Some(after), closes: false }
+        Self {
+            code,
+            detail: detail.into(),
+            status,
+            retry_after: Some(after),
+            closes_connection: false,
+        }
     }
 
-    /// Turns away a request that has not run and that upstreams end under. There is no time to come back at: it would be
+    /// Refuses a quarantined request, which crashes upstreams and has not run. There is no retry-after, since the request would be
     /// refused again.
-    pub fn turned_away(_: NotRun, detail: impl Into<String>) -> Self {
+    pub fn quarantined(_: NotRun, detail: impl Into<String>) -> Self {
         let code = ResultCode::EndsUpstreams;
         let status = StatusCode::TOO_MANY_REQUESTS;
-        Self { code, detail: detail.into(), status, retry_after: None, closes: false }
+        Self { code, detail: detail.into(), status, retry_after: None, closes_connection: false }
     }
 
-    /// Gives up a request that may have run.
+    /// Abandons a request that may have run.
     pub fn may_have_run(code: ResultCode, detail: impl Into<String>) -> Self {
         let status = match code {
             ResultCode::WindowEnded | ResultCode::EffectUnknown => StatusCode::GATEWAY_TIMEOUT,
             _ => StatusCode::BAD_GATEWAY,
         };
-        Self { code, detail: detail.into(), status, retry_after: None, closes: false }
+        Self { code, detail: detail.into(), status, retry_after: None, closes_connection: false }
     }
 
     /// Returns the status.
@@ -78,7 +84,7 @@
         self.status
     }
 
-    /// Builds the answer.
+    /// Builds the HTTP response.
     pub fn response(&self, wire: &dyn Wire) -> Response<Full<Bytes>> {
         let mut response = Response::new(Full::default());
         *response.status_mut() = self.status;
@@ -86,7 +92,7 @@
         if let Some(after) = self.retry_after {
             wire.encode_retry_after(headers, after);
         }
-        if self.closes {
+        if self.closes_connection {
             headers.insert(CONNECTION, HeaderValue::from_static("close"));
         }
         response
--- a/crates/fernring-gateway/src/serving/serve.rs
+++ b/crates/fernring-gateway/src/serving/serve.rs
@@ -1,18 +1,19 @@
-//! From a caller's request to its answer.
+//! Checks and routes a caller's request, and turns the result of its exchange into the answer.
 
 use {
     crate::{
         attempts::NotRun,
         caller_body::CallerBody,
-        config::HeldConfig,
-        connections::BreakOff,
-        content::ContentKey,
-        context::Serving,
-        exchange::{CallerRequest, Ended, Exchange, InFlight, Opened},
-        log, measures,
-        model::{Route, Workspace, key_hash},
+        config::ActiveConfig,
+        connections::ConnectionLoss,
+        context::ServingContext,
+        exchange::{CallerRequest, Exchange, ExchangeEnd, InFlight, OpenedResponse},
+        fingerprint::Fingerprint,
+        log,
+        model::{Route, Workspace, api_key_hash},
         refusal::{RETRY_AFTER_NOT_READY, Refusal},
         relay::Relay,
+        telemetry,
     },
     bytes::Bytes,
     fernring_core::{code::ResultCode, text::LogLine},
@@ -31,21 +32,21 @@
     tokio::time::timeout,
 };
 
-/// Longest whole answer of a plain route that is held until it is complete, in bytes. Larger ones
-/// end as failed: nothing of the kind is served today.
-const WHOLE_ANSWER_BYTES_MAX: usize = 8 << 20;
-/// How long the rest of a body that is too long is read, so that its sender sees the answer.
+/// Largest response of a non-streaming route, in bytes; it is buffered until it is complete. Larger responses count as failed:
+/// no service has any today.
+const PLAIN_ANSWER_BYTES_MAX: usize = 8 << 20;
+/// How long the rest of a body that is too long is read, so that the caller receives the answer.
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A request that may be served.
+/// A request that passed all checks.
 struct Accepted {
     route: Arc<Route>,
     workspace: Option<Arc<Workspace>>,
     request: CallerRequest,
 }
 
-impl Serving {
-    /// Answers a request. Dropping the future gives it up.
+impl ServingContext {
+    /// Serves a request and returns the answer. Dropping the future abandons the request.
     pub async fn serve(self: Rc<Self>, request: Request<Incoming>) -> Response<CallerBody> {
         let arrived_at = self.now();
         let in_flight = InFlight::new(self.clone());
@@ -54,7 +55,7 @@
             Ok(accepted) => accepted,
             Err((id, refusal)) => {
                 self.log_refusal(id.as_deref(), &refusal);
-                return refusal.response(&*self.wire).map(CallerBody::whole);
+                return refusal.response(&*self.wire).map(CallerBody::full);
             }
         };
         let streaming = accepted.route.streaming;
@@ -66,11 +67,11 @@
             arrived_at,
         );
         drop(in_flight);
-        if streaming { self.stream(exchange).await } else { self.plain(exchange).await }
+        if streaming { self.serve_stream(exchange).await } else { self.serve_plain(exchange).await }
     }
 
     fn log_refusal(&self, id: Option<&str>, refusal: &Refusal) {
-        measures::request_refused(refusal.code.number());
+        telemetry::record_request_refused(refusal.code.number());
         let line = LogLine::event("request_refused")
             .with("request", id.unwrap_or("-"))
             .with("code", refusal.code.number())
@@ -87,37 +88,39 @@
         arrived_at: Duration,
     ) -> Result<Accepted, (Option<Arc<str>>, Refusal)> {
         let fields = self.wire.decode_request(&head.headers).map_err(|error| {
-            (None, Refusal::incorrect(ResultCode::BadRequest, error.to_string()))
+            (None, Refusal::invalid_request(ResultCode::BadRequest, error.to_string()))
         })?;
         let id = fields.id.clone();
         let refuse = |refusal| (id.clone(), refusal);
-        let held = self.config.borrow().current().ok_or_else(|| refuse(not_ready()))?;
+        let current = self.config.borrow().current().ok_or_else(|| refuse(not_ready()))?;
         check_host(&head).map_err(refuse)?;
-        let route = find_route(&held, &head).map_err(refuse)?;
-        let workspace = find_workspace(&held, &route, fields.api_key.as_deref()).map_err(refuse)?;
+        let route = find_route(&current, &head).map_err(refuse)?;
+        let workspace =
+            find_workspace(&current, &route, fields.api_key.as_deref()).map_err(refuse)?;
         let Some(request_id) = id.clone() else {
-            return Err(refuse(Refusal::incorrect(ResultCode::BadRequest, "no request id")));
+            return Err(refuse(Refusal::invalid_request(ResultCode::BadRequest, "no request id")));
         };
-        let end_at = arrived_at + route.wait(fields.remaining);
-        let reading = read_body(body, held.config.limits.body_bytes_max);
-        let body = self.alarm.within(end_at, reading).await;
+        let end_at = arrived_at + route.wait_limit(fields.remaining);
+        let body_read = read_body(body, current.config.limits.body_bytes_max);
+        let body = self.deadline_timer.complete_by(end_at, body_read).await;
         let body = body.unwrap_or_else(|| Err(Refusal::slow_body()));
         let body = body.map_err(refuse)?;
         let path = head.uri.path_and_query().map(|path| path.as_str()).unwrap_or("/");
         let uri = path.parse().map_err(|_| {
-            refuse(Refusal::incorrect(ResultCode::BadRequest, "the path can't be read"))
+            refuse(Refusal::invalid_request(ResultCode::BadRequest, "malformed path"))
         })?;
         let mut headers = head.headers;
         strip_connection_headers(&mut headers);
         headers.remove(CONTENT_LENGTH);
         let method = head.method;
         let caller = workspace.as_ref().map(|workspace| &*workspace.name);
-        let content = ContentKey::of(caller, path, &body);
-        let request = CallerRequest { method, uri, headers, body, fields, id: request_id, content };
+        let fingerprint = Fingerprint::of(caller, path, &body);
+        let request =
+            CallerRequest { method, uri, headers, body, fields, id: request_id, fingerprint };
         Ok(Accepted { route, workspace, request })
     }
 
-    async fn plain(&self, mut exchange: Exchange) -> Response<CallerBody> {
+    async fn serve_plain(&self, mut exchange: Exchange) -> Response<CallerBody> {
         let mut failure = None;
         loop {
             let opened = match exchange.open().await {
@@ -132,56 +135,57 @@
             let status = opened.status();
             let is_failure = opened.is_failure();
             let key = opened.key();
-            match self.collect(&mut exchange, opened).await {
+            match self.collect_answer(&mut exchange, opened).await {
                 Ok(answer) if is_failure && exchange.may_send() => {
-                    exchange.answered_with_failure();
+                    exchange.record_failure_response();
                     if !exchange.may_send() {
-                        exchange.finished(Ended::Answered { status });
+                        exchange.record_end(ExchangeEnd::Answered { status });
                         return answer;
                     }
                     failure = Some(answer);
                 }
                 Ok(answer) => {
-                    exchange.succeeded(key);
-                    exchange.finished(Ended::Answered { status });
+                    exchange.record_success(key);
+                    exchange.record_end(ExchangeEnd::Answered { status });
                     return answer;
                 }
                 Err(reason) => {
                     if exchange.may_send() {
                         continue;
                     }
-                    let refusal = exchange.give_up(ResultCode::StageFailed, &reason);
+                    let refusal = exchange.refusal_for(ResultCode::StageFailed, &reason);
                     return self.refuse(&mut exchange, &refusal);
                 }
             }
         }
     }
 
-    /// Reads a whole answer; the account of the send is settled if that fails.
-    async fn collect(
+    /// Collects a complete response; records a broken send if that fails.
+    async fn collect_answer(
         &self,
         exchange: &mut Exchange,
-        mut opened: Opened,
+        mut opened: OpenedResponse,
     ) -> Result<Response<CallerBody>, String> {
-        let collecting = Limited::new(&mut opened.body, WHOLE_ANSWER_BYTES_MAX).collect();
-        let why = match self.alarm.within(exchange.end_at(), collecting).await {
-            Some(Ok(whole)) => {
-                opened.is_whole_so_far();
-                let body = CallerBody::whole(Full::new(whole.to_bytes())).until(exchange.end_at());
-                return Ok(response(&opened, body, true));
+        let collecting = Limited::new(&mut opened.body, PLAIN_ANSWER_BYTES_MAX).collect();
+        let loss = match self.deadline_timer.complete_by(exchange.end_at(), collecting).await {
+            Some(Ok(collected)) => {
+                opened.record_intact();
+                let body = CallerBody::full(Full::new(collected.to_bytes()))
+                    .with_deadline(exchange.end_at());
+                return Ok(caller_response(&opened, body, true));
             }
             Some(Err(error)) => match error.downcast_ref::<hyper::Error>() {
                 Some(error) => error.into(),
-                None => BreakOff { reason: error.to_string(), how: None },
+                None => ConnectionLoss { reason: error.to_string(), kind: None },
             },
-            None => BreakOff::silent("the answer was not whole in time"),
+            None => ConnectionLoss::silent("the response was incomplete at the deadline"),
         };
-        exchange.send_broke(&opened, &why);
-        Err(why.reason)
+        exchange.record_broken_send(&opened, &loss);
+        Err(loss.reason)
     }
 
-    async fn stream(&self, mut exchange: Exchange) -> Response<CallerBody> {
-        let opened = match exchange.make_stages().await {
+    async fn serve_stream(&self, mut exchange: Exchange) -> Response<CallerBody> {
+        let opened = match exchange.admit_and_run_stages().await {
             Ok(()) => exchange.open().await,
             Err(refusal) => Err(refusal),
         };
@@ -189,9 +193,9 @@
             Ok(opened) => opened,
             Err(refusal) => return self.refuse(&mut exchange, &refusal),
         };
-        let head = response(&opened, CallerBody::whole(Full::default()), false);
+        let head = caller_response(&opened, CallerBody::full(Full::default()), false);
         if opened.status() == StatusCode::OK {
-            exchange.succeeded(opened.key());
+            exchange.record_success(opened.key());
         }
         let end_at = exchange.end_at();
         let relay = Relay::new(exchange, opened);
@@ -199,12 +203,12 @@
             let item = relay.next().await?;
             Some((item, relay))
         });
-        head.map(|_| CallerBody::stream(events).until(end_at))
+        head.map(|_| CallerBody::stream(events).with_deadline(end_at))
     }
 
     fn refuse(&self, exchange: &mut Exchange, refusal: &Refusal) -> Response<CallerBody> {
-        exchange.finished(Ended::Refused(refusal));
-        refusal.response(&*self.wire).map(CallerBody::whole)
+        exchange.record_end(ExchangeEnd::Refused(refusal));
+        refusal.response(&*self.wire).map(CallerBody::full)
     }
 }
 
@@ -215,30 +219,32 @@
 
 fn check_host(head: &request::Parts) -> Result<(), Refusal> {
     if head.headers.get_all(HOST).iter().count() > 1 {
-        return Err(Refusal::incorrect(ResultCode::BadRequest, "more than one host"));
+        return Err(Refusal::invalid_request(ResultCode::BadRequest, "more than one host header"));
     }
     Ok(())
 }
 
-fn find_route(held: &HeldConfig, head: &request::Parts) -> Result<Arc<Route>, Refusal> {
-    let named = head.headers.get(HOST).and_then(|host| host.to_str().ok());
-    let host = head.uri.host().or(named).unwrap_or_default();
+fn find_route(current: &ActiveConfig, head: &request::Parts) -> Result<Arc<Route>, Refusal> {
+    let host_header = head.headers.get(HOST).and_then(|host| host.to_str().ok());
+    let host = head.uri.host().or(host_header).unwrap_or_default();
     let host = host.rsplit_once(':').map_or(host, |(host, _port)| host);
-    let route = held.config.route(host, head.uri.path()).cloned();
-    route.ok_or_else(|| Refusal::incorrect(ResultCode::UnknownPipeline, "no route"))
+    let route = current.config.route(host, head.uri.path()).cloned();
+    route.ok_or_else(|| {
+        Refusal::invalid_request(ResultCode::UnknownPipeline, "no route for this host and path")
+    })
 }
 
 fn find_workspace(
-    held: &HeldConfig,
+    current: &ActiveConfig,
     route: &Route,
     key: Option<&str>,
 ) -> Result<Option<Arc<Workspace>>, Refusal> {
-    let Some(workspaces) = &held.config.workspaces else {
+    let Some(workspaces) = &current.config.workspaces else {
         return Ok(None);
     };
-    let found = key.and_then(|key| workspaces.get(&key_hash(key)).cloned());
+    let found = key.and_then(|key| workspaces.get(&api_key_hash(key)).cloned());
     if found.is_none() && !route.is_public {
-        return Err(Refusal::incorrect(ResultCode::UnknownKeyHolder, "the key is unknown"));
+        return Err(Refusal::invalid_request(ResultCode::UnknownKeyHolder, "unknown API key"));
     }
     Ok(found)
 }
@@ -248,38 +254,41 @@
         return Ok(Bytes::new());
     }
     if body.size_hint().lower() > bytes_max as u64 {
-        return Err(too_long(body, bytes_max).await);
+        return Err(body_too_long(body, bytes_max).await);
     }
     match Limited::new(&mut body, bytes_max).collect().await {
-        Ok(whole) => Ok(whole.to_bytes()),
-        Err(error) if error.is::<LengthLimitError>() => Err(too_long(body, bytes_max).await),
-        Err(error) => Err(Refusal::incorrect(ResultCode::BadRequest, error.to_string())),
+        Ok(collected) => Ok(collected.to_bytes()),
+        Err(error) if error.is::<LengthLimitError>() => Err(body_too_long(body, bytes_max).await),
+        Err(error) => Err(Refusal::invalid_request(ResultCode::BadRequest, error.to_string())),
     }
 }
 
-async fn too_long(body: Incoming, bytes_max: usize) -> Refusal {
-    discard(body).await;
-    Refusal::incorrect(ResultCode::BodyTooLarge, format!("over {bytes_max} bytes"))
+async fn body_too_long(body: Incoming, bytes_max: usize) -> Refusal {
+    drain_body(body).await;
+    Refusal::invalid_request(
+        ResultCode::BodyTooLarge,
+        format!("the body is longer than {bytes_max} bytes"),
+    )
 }
 
-/// Reads on for a while, since closing a connection with unread bytes resets it and the answer
-/// would be lost.
-async fn discard(mut body: Incoming) {
-    let reading = async { while let Some(Ok(_)) = body.frame().await {} };
-    // Whether it ended or not, the answer is the same.
-    drop(timeout(DISCARD_TIMEOUT, reading).await);
+/// Reads and discards the rest of a body for up to [`DISCARD_TIMEOUT`]: closing a connection with unread bytes would reset it, and
+/// the answer would be lost.
+async fn drain_body(mut body: Incoming) {
+    let discarding = async { while let Some(Ok(_)) = body.frame().await {} };
+    // The answer is the same whether the body ended or not.
+    drop(timeout(DISCARD_TIMEOUT, discarding).await);
 }
 
-/// Takes out the headers that concern one connection only.
+/// Removes the headers that apply to a single connection only.
 fn strip_connection_headers(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+    let listed: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    let fixed = [
+    let standard = [
         CONNECTION,
         PROXY_AUTHENTICATE,
         PROXY_AUTHORIZATION,
@@ -291,17 +300,21 @@
         HeaderName::from_static("proxy-connection"),
         http::header::EXPECT,
     ];
-    for name in named.iter().chain(&fixed) {
+    for name in listed.iter().chain(&standard) {
         headers.remove(name);
     }
 }
 
-fn response(opened: &Opened, body: CallerBody, is_whole: bool) -> Response<CallerBody> {
+fn caller_response(
+    opened: &OpenedResponse,
+    body: CallerBody,
+    is_complete: bool,
+) -> Response<CallerBody> {
     let mut response = Response::new(body);
     *response.status_mut() = opened.head.status;
     let mut headers = opened.head.headers.clone();
     strip_connection_headers(&mut headers);
-    if is_whole {
+    if is_complete {
         headers.remove(CONTENT_LENGTH);
     }
     *response.headers_mut() = headers;
--- a/crates/fernring-gateway/src/stages.rs
+++ b/crates/fernring-gateway/src/stages.rs
@@ -1,22 +1,24 @@
-//! The asking side of stages: hands the pieces of a request's stages to their owners and waits.
+//! Client side of stages: submits the pieces of a request's stages to the owners of their services,
+//! and waits for the results.
 
 use {
     crate::{
         backlog::Backlog,
         backlogs::Backlogs,
-        content::ContentKey,
-        log, measures,
+        fingerprint::Fingerprint,
+        log,
         model::PieceInput,
-        owner::{Owner, Work, WorkEnd},
+        owner::{Owner, Work, WorkOutcome},
         peers::Peers,
-        pools::{MakerPool, Splits, draw_domain},
         residency::Residency,
+        telemetry,
         upstreams::Upstreams,
+        worker_pools::{ShardedServices, WorkerPool, draw_domain},
     },
     bytes::Bytes,
     fernring_core::{clock::Clock, text::LogLine},
     fernring_protocol::gateway::{
-        GatewayBody, LoadsOf, ReleaseResults, StageDone, StageLoad, StageWork, WorkTicket,
+        GatewayBody, LoadScope, ReleaseResults, StageDone, StageLoad, StageWork, WorkTicket,
     },
     std::{
         cell::{Cell, RefCell},
@@ -29,50 +31,51 @@
     tokio::{sync::oneshot, task::spawn_local},
 };
 
-/// Owners that a stage is asked of, one after the other, when they are lost.
-const OWNERS_MAX: u32 = 3;
+/// Number of owners that a stage is submitted to, one after the other, if each is lost.
+const OWNER_ATTEMPTS_MAX: u32 = 3;
 
 #[derive(Debug)]
-struct Pending {
+struct PendingStage {
     owner: SocketAddr,
-    reply: oneshot::Sender<WorkEnd>,
+    reply: oneshot::Sender<WorkOutcome>,
 }
 
-/// The stages that this node has asked for, and those that peers have asked of it.
+/// The stages that this node has submitted to owners, and those that peers have submitted to it.
 pub struct Stages {
     clock: Rc<dyn Clock>,
     peers: Rc<Peers>,
     owner: Rc<Owner>,
     upstreams: Rc<Upstreams>,
     backlogs: Rc<Backlogs>,
-    pending: RefCell<HashMap<u64, Pending>>,
-    /// Works of peers that are under way here, by who asked and their number there.
-    foreign: RefCell<HashMap<(SocketAddr, u64), u64>>,
+    pending: RefCell<HashMap<u64, PendingStage>>,
+    /// Work of peers that is in progress here, by peer and the peer's ticket; the value is the
+    /// work's number at the owner.
+    peer_work: RefCell<HashMap<(SocketAddr, u64), u64>>,
     next_ticket: Cell<u64>,
-    /// The owner that each service was last asked of, and since when, for the log.
-    owners: RefCell<HashMap<MakerPool, (SocketAddr, Duration)>>,
-    /// The services that are split between owners.
-    splits: RefCell<Splits>,
+    /// Last known owner of each worker pool, and since when, for the log.
+    last_owners: RefCell<HashMap<WorkerPool, (SocketAddr, Duration)>>,
+    /// The services that are sharded by failure domain.
+    sharded_services: RefCell<ShardedServices>,
 }
 
-/// Cancels a stage whose request is given up.
+/// Cancels a stage when its request is abandoned.
 struct CancelGuard<'a> {
     stages: &'a Stages,
-    cancel: Option<Cancel>,
+    cancel: Option<CancelTarget>,
 }
 
 #[derive(Debug, Clone, Copy)]
-enum Cancel {
-    Here(u64),
-    There { owner: SocketAddr, ticket: u64 },
+enum CancelTarget {
+    Local(u64),
+    Remote { owner: SocketAddr, ticket: u64 },
 }
 
 impl Drop for CancelGuard<'_> {
     fn drop(&mut self) {
         match self.cancel {
             None => {}
-            Some(Cancel::Here(work)) => self.stages.owner.cancel(work),
-            Some(Cancel::There { owner, ticket }) => {
+            Some(CancelTarget::Local(work)) => self.stages.owner.cancel(work),
+            Some(CancelTarget::Remote { owner, ticket }) => {
                 self.stages.pending.borrow_mut().remove(&ticket);
                 self.stages.peers.send(owner, GatewayBody::WorkCancel(WorkTicket { ticket }));
             }
@@ -81,7 +84,7 @@
 }
 
 impl Stages {
-    /// Creates the stages of a node, none under way.
+    /// Creates the state of a node without any stage in progress.
     pub fn new(
         clock: Rc<dyn Clock>,
         peers: Rc<Peers>,
@@ -95,159 +98,168 @@
             upstreams,
             backlogs: Rc::default(),
             pending: RefCell::default(),
-            foreign: RefCell::default(),
+            peer_work: RefCell::default(),
             next_ticket: Cell::new(1),
-            owners: RefCell::default(),
-            splits: RefCell::default(),
+            last_owners: RefCell::default(),
+            sharded_services: RefCell::default(),
         }
     }
 
-    /// Returns the owner of a service, and says so if it isn't the one of before: nodes that name different ones at the
-    /// same time split the service's calls.
-    fn owner_of(&self, pool: &MakerPool) -> SocketAddr {
+    /// Returns the owner of a worker pool, and logs it if it has changed: if nodes name different
+    /// owners at the same time, the service's pieces are batched in several places.
+    fn resolve_owner(&self, pool: &WorkerPool) -> SocketAddr {
         let owner = self.owner_address(pool);
         let now = self.clock.now().monotonic;
-        let mut owners = self.owners.borrow_mut();
-        let before = owners.get(pool).copied();
-        if before.is_none_or(|(before, _)| before != owner) {
+        let mut owners = self.last_owners.borrow_mut();
+        let previous = owners.get(pool).copied();
+        if previous.is_none_or(|(previous, _)| previous != owner) {
             owners.insert(pool.clone(), (owner, now));
             let line = LogLine::event("owner_changed").with("service", pool).with("owner", owner);
-            let line = line.with_some("before", before.map(|(before, _)| before));
-            let lasted_ms = before.map(|(_, since)| now.saturating_sub(since).as_millis());
-            log::info(line.with_some("lasted_ms", lasted_ms).with("nodes", self.peers.nodes()));
+            let line = line.with_some("before", previous.map(|(previous, _)| previous));
+            let lasted_ms = previous.map(|(_, since)| now.saturating_sub(since).as_millis());
+            log::info(
+                line.with_some("lasted_ms", lasted_ms).with("nodes", self.peers.node_count()),
+            );
         }
         owner
     }
 
-    /// Returns the backlogs that this node knows.
+    /// Returns the backlogs that peers have reported.
     pub fn backlogs(&self) -> &Rc<Backlogs> {
         &self.backlogs
     }
 
-    /// Returns what is ahead at some makers, as far as this node knows.
-    pub fn backlog(&self, pool: &MakerPool) -> Option<Backlog> {
+    /// Returns the known backlog of a worker pool.
+    pub fn backlog(&self, pool: &WorkerPool) -> Option<Backlog> {
         let own = if self.owns(pool) { self.owner.backlog(pool) } else { None };
-        self.backlogs.of(self.clock.now().monotonic, pool, own)
+        self.backlogs.estimate(self.clock.now().monotonic, pool, own)
     }
 
-    fn owns(&self, pool: &MakerPool) -> bool {
+    fn owns(&self, pool: &WorkerPool) -> bool {
         self.owner_address(pool) == self.peers.address()
     }
 
-    /// Returns the owner of some makers. Those of a failure domain have one in their own region, since requests that may not
-    /// leave it are asked of them; without another node there, each asks them itself.
-    fn owner_address(&self, pool: &MakerPool) -> SocketAddr {
-        let what = pool.to_string();
+    /// Returns the owner of a worker pool. The owner of one failure domain's workers is a node of
+    /// the same region, since it gets requests that must not leave the region; if there is no other
+    /// node in the region, each node is its own owner.
+    fn owner_address(&self, pool: &WorkerPool) -> SocketAddr {
+        let pool_name = pool.to_string();
         let regions = self.upstreams.regions();
-        let region = pool.failure_domain.as_ref().and_then(|domain| regions.of(domain));
+        let region = pool.failure_domain.as_ref().and_then(|domain| regions.region_of(domain));
         match region {
-            None => self.peers.owner(&what),
+            None => self.peers.owner(&pool_name),
             Some(region) => {
-                let is_there = |domain: &str| regions.of(domain) == Some(region);
-                self.peers.owner_among(&what, is_there).unwrap_or(self.peers.address())
+                let is_in_region = |domain: &str| regions.region_of(domain) == Some(region);
+                self.peers.owner_among(&pool_name, is_in_region).unwrap_or(self.peers.address())
             }
         }
     }
 
-    /// Returns the makers that a stage of a request is asked of: all of a service, or those of one failure domain while it is
-    /// split, or if the request is restricted to regions: of `near` if it has some, else of one that is drawn. `None` if no
-    /// maker is where the request may be served.
+    /// Selects the worker pool for a stage of a request.
+    ///
+    /// That is all workers of the service, unless the service is sharded or the request is
+    /// restricted to regions. Then it is the workers of one failure domain: of `preferred_domain` if it has
+    /// workers, else of a domain that is drawn by the request's identifier. Returns `None` if there
+    /// are no workers in the regions of the request.
     pub fn pool_for(
         &self,
         service: &Arc<str>,
-        near: Option<&Arc<str>>,
+        preferred_domain: Option<&Arc<str>>,
         request_id: &str,
         residency: &Residency,
-    ) -> Option<MakerPool> {
-        let whole = MakerPool::whole(service.clone());
-        if !self.is_by_domain(service, residency) {
-            return Some(whole);
+    ) -> Option<WorkerPool> {
+        let unsharded = WorkerPool::unsharded(service.clone());
+        if !self.is_sharded(service, residency) {
+            return Some(unsharded);
         }
-        let mut makers = self.owner.makers_by_domain(service);
-        makers.retain(|(domain, _)| self.upstreams.allows(residency, domain));
-        let near = near.filter(|near| makers.iter().any(|(domain, _)| domain == *near)).cloned();
-        let failure_domain = near.or_else(|| draw_domain(&makers, request_id));
+        let mut workers = self.owner.workers_by_domain(service);
+        workers.retain(|(domain, _)| self.upstreams.allows_domain(residency, domain));
+        let preferred_domain = preferred_domain
+            .filter(|preferred| workers.iter().any(|(domain, _)| domain == *preferred))
+            .cloned();
+        let failure_domain = preferred_domain.or_else(|| draw_domain(&workers, request_id));
         if failure_domain.is_none() && residency.is_restricted() {
             return None;
         }
-        Some(MakerPool { failure_domain, ..whole })
+        Some(WorkerPool { failure_domain, ..unsharded })
     }
 
-    /// Tells whether the pieces of a request are handed to the makers of one failure domain.
-    fn is_by_domain(&self, service: &str, residency: &Residency) -> bool {
+    /// Returns whether the pieces of a request go to the workers of a single failure domain.
+    fn is_sharded(&self, service: &str, residency: &Residency) -> bool {
         let now = self.clock.now().monotonic;
-        residency.is_restricted() || self.splits.borrow().is_split(now, service)
+        residency.is_restricted() || self.sharded_services.borrow().is_sharded(now, service)
     }
 
-    /// Lists the services, by their short hashes, that are to be split by what this node carries of them.
-    pub fn to_be_split(&self, link_bytes_per_s: f64) -> Vec<u32> {
-        let services = self.owner.to_be_split(|pool| self.owns(pool), link_bytes_per_s);
-        services.iter().for_each(|service| self.said_split(*service));
+    /// Returns the short hashes of the services that should be sharded, judged by the traffic that
+    /// this node carries for them as their owner.
+    pub fn services_to_shard(&self, link_bytes_per_s: f64) -> Vec<u32> {
+        let services = self.owner.services_to_shard(|pool| self.owns(pool), link_bytes_per_s);
+        services.iter().for_each(|service| self.mark_sharded(*service));
         services
     }
 
-    /// Takes in that an owner says that a service, by its short hash, should be split.
-    pub fn said_split(&self, service: u32) {
+    /// Records that an owner reports a service, named by its short hash, as to be sharded.
+    pub fn mark_sharded(&self, service: u32) {
         let now = self.clock.now().monotonic;
-        if self.splits.borrow_mut().said(now, service) {
+        if self.sharded_services.borrow_mut().record_shard_report(now, service) {
             log::info(LogLine::event("service_split").with("service_hash", service));
         }
     }
 
-    /// Returns what is to be said of stage services in heartbeats.
-    pub fn described(&self, loads_of: LoadsOf) -> Vec<StageLoad> {
+    /// Returns the loads of stage services that the next heartbeat reports.
+    pub fn stage_loads(&self, load_scope: LoadScope) -> Vec<StageLoad> {
         let mut own = self.owner.backlogs();
         own.retain(|(pool, _)| self.owns(pool));
-        self.backlogs.described(self.clock.now().monotonic, own, loads_of)
+        self.backlogs.stage_loads(self.clock.now().monotonic, own, load_scope)
     }
 
-    /// Takes in what a peer says of stage services. `contains_own` tells whether sums of its domain contain what
-    /// this node has told.
-    pub fn heard(
+    /// Handles the loads of stage services in a peer's heartbeat. `contains_own` says whether the
+    /// sums of the peer's domain include the loads that this node has reported.
+    pub fn handle_peer_loads(
         &self,
         peer: SocketAddr,
         loads: &[StageLoad],
-        loads_of: LoadsOf,
+        load_scope: LoadScope,
         contains_own: bool,
     ) {
         let now = self.clock.now().monotonic;
-        self.backlogs.heard(now, peer, loads, loads_of, contains_own);
+        self.backlogs.handle_loads(now, peer, loads, load_scope, contains_own);
     }
 
-    /// Has the pieces of a stage made. Dropping the future cancels them.
-    pub async fn make(&self, mut work: Work) -> WorkEnd {
+    /// Runs the pieces of a stage and returns their outcome. Dropping the future cancels them.
+    pub async fn run_stage(&self, mut work: Work) -> WorkOutcome {
         let started = self.clock.now().monotonic;
-        for _ in 0..OWNERS_MAX {
-            let owner = self.owner_of(&work.pool);
+        for _ in 0..OWNER_ATTEMPTS_MAX {
+            let owner = self.resolve_owner(&work.pool);
             let (sender, receiver) = oneshot::channel();
             let cancel = self.ask(owner, &work, sender);
             let mut guard = CancelGuard { stages: self, cancel: Some(cancel) };
-            let end = receiver.await.unwrap_or(WorkEnd::OwnerLost);
+            let outcome = receiver.await.unwrap_or(WorkOutcome::OwnerLost);
             guard.cancel = None;
             drop(guard);
-            if end == WorkEnd::NoMakers {
-                self.log_end(&work, owner, started, &end);
+            if outcome == WorkOutcome::NoWorkers {
+                self.log_end(&work, owner, started, &outcome);
                 let service = work.pool.service.clone();
                 let pool = self.pool_for(&service, None, &work.request_id, &work.residency);
                 let Some(pool) = pool else {
-                    return end;
+                    return outcome;
                 };
                 work.pool = pool;
                 continue;
             }
-            if end != WorkEnd::OwnerLost {
-                self.log_end(&work, owner, started, &end);
-                return end;
+            if outcome != WorkOutcome::OwnerLost {
+                self.log_end(&work, owner, started, &outcome);
+                return outcome;
             }
             let line = LogLine::event("stage_owner_lost").with("request", &work.request_id);
             log::warn(line.with("stage", work.stage).with("owner", owner));
         }
-        WorkEnd::Failed
+        WorkOutcome::Failed
     }
 
-    fn log_end(&self, work: &Work, owner: SocketAddr, started: Duration, end: &WorkEnd) {
+    fn log_end(&self, work: &Work, owner: SocketAddr, started: Duration, outcome: &WorkOutcome) {
         let now = self.clock.now().monotonic;
-        measures::stage_ended(&work.pool.service, end.name(), now.saturating_sub(started));
+        telemetry::record_stage(&work.pool.service, outcome.name(), now.saturating_sub(started));
         let line = LogLine::event("stage_ended")
             .with("request", &work.request_id)
             .with("stage", work.stage)
@@ -255,33 +267,33 @@
             .with_some("of_domain", work.pool.failure_domain.as_ref())
             .with("owner", owner)
             .with("pieces", work.pieces)
-            .with("outcome", end.name())
+            .with("outcome", outcome.name())
             .with("took_ms", now.saturating_sub(started).as_millis())
             .with("due_in_ms", work.due_at.as_millis() as i64 - now.as_millis() as i64);
         log::info(line);
     }
 
-    /// Gives up results of a service.
+    /// Releases results of a service.
     pub fn release(&self, service: &Arc<str>, handles: Vec<Arc<str>>, residency: &Residency) {
         if handles.is_empty() {
             return;
         }
-        if !self.is_by_domain(service, residency) {
-            self.release_at(self.peers.owner(service), service, handles);
+        if !self.is_sharded(service, residency) {
+            self.send_release(self.peers.owner(service), service, handles);
             return;
         }
         let mut by_owner: HashMap<SocketAddr, Vec<Arc<str>>> = HashMap::new();
         for handle in handles {
-            let failure_domain = self.owner.domain_of_maker(service, &handle);
-            let pool = MakerPool { service: service.clone(), failure_domain };
+            let failure_domain = self.owner.domain_of_worker(service, &handle);
+            let pool = WorkerPool { service: service.clone(), failure_domain };
             by_owner.entry(self.owner_address(&pool)).or_default().push(handle);
         }
         for (owner, handles) in by_owner {
-            self.release_at(owner, service, handles);
+            self.send_release(owner, service, handles);
         }
     }
 
-    fn release_at(&self, owner: SocketAddr, service: &Arc<str>, handles: Vec<Arc<str>>) {
+    fn send_release(&self, owner: SocketAddr, service: &Arc<str>, handles: Vec<Arc<str>>) {
         if owner == self.peers.address() {
             self.owner.release(service, handles);
             return;
@@ -291,15 +303,15 @@
         self.peers.send(owner, GatewayBody::Release(release));
     }
 
-    /// Takes in that nothing more is heard of a peer that owns nothing.
-    pub fn unfollowed(&self, peer: SocketAddr) {
-        self.backlogs.lost(peer);
+    /// Handles that a peer that owns no service sends no more heartbeats to this node.
+    pub fn handle_unfollowed(&self, peer: SocketAddr) {
+        self.backlogs.remove_peer(peer);
     }
 
-    /// Takes in that a peer is lost: what it owned is to be asked for elsewhere, and nobody
-    /// there waits any more.
-    pub fn peer_lost(&self, peer: SocketAddr) {
-        self.backlogs.lost(peer);
+    /// Handles the loss of a peer: stages that it owned are submitted to another owner, and the
+    /// work that it submitted here is cancelled.
+    pub fn handle_peer_lost(&self, peer: SocketAddr) {
+        self.backlogs.remove_peer(peer);
         let lost: Vec<_> = {
             let mut pending = self.pending.borrow_mut();
             let tickets: Vec<_> =
@@ -307,43 +319,48 @@
             tickets.into_iter().filter_map(|ticket| pending.remove(&ticket)).collect()
         };
         for pending in lost {
-            drop(pending.reply.send(WorkEnd::OwnerLost));
+            drop(pending.reply.send(WorkOutcome::OwnerLost));
         }
-        let asked: Vec<_> =
-            self.foreign.borrow().keys().filter(|(asker, _)| *asker == peer).copied().collect();
-        for (asker, ticket) in asked {
-            self.cancel(asker, ticket);
+        let tickets: Vec<_> = self
+            .peer_work
+            .borrow()
+            .keys()
+            .filter(|(requester, _)| *requester == peer)
+            .copied()
+            .collect();
+        for (requester, ticket) in tickets {
+            self.handle_cancel(requester, ticket);
         }
-        self.owner.release_of(peer);
+        self.owner.release_results_of(peer);
     }
 
-    /// Takes in pieces that a peer asks for.
-    pub fn work(self: &Rc<Self>, sender: SocketAddr, message: StageWork) {
+    /// Handles pieces that a peer submits to this node as their owner.
+    pub fn handle_work(self: &Rc<Self>, sender: SocketAddr, message: StageWork) {
         let ticket = message.ticket;
-        let work = self.work_from(sender, message);
+        let work = self.decode_work(sender, message);
         let (reply, receiver) = oneshot::channel();
         let id = self.owner.submit(work, reply);
-        self.foreign.borrow_mut().insert((sender, ticket), id);
+        self.peer_work.borrow_mut().insert((sender, ticket), id);
         let stages = self.clone();
         spawn_local(async move {
-            let end = receiver.await;
-            if stages.foreign.borrow_mut().remove(&(sender, ticket)).is_none() {
+            let outcome = receiver.await;
+            if stages.peer_work.borrow_mut().remove(&(sender, ticket)).is_none() {
                 return;
             }
-            let done = done_message(ticket, end.unwrap_or(WorkEnd::Failed));
+            let done = encode_done(ticket, outcome.unwrap_or(WorkOutcome::Failed));
             stages.peers.send(sender, GatewayBody::WorkDone(done));
         });
     }
 
-    /// Takes in that a peer gives up pieces.
-    pub fn cancel(&self, sender: SocketAddr, ticket: u64) {
-        if let Some(work) = self.foreign.borrow_mut().remove(&(sender, ticket)) {
+    /// Handles a peer's cancellation of its pieces.
+    pub fn handle_cancel(&self, sender: SocketAddr, ticket: u64) {
+        if let Some(work) = self.peer_work.borrow_mut().remove(&(sender, ticket)) {
             self.owner.cancel(work);
         }
     }
 
-    /// Takes in what became of pieces that a peer was asked for.
-    pub fn done(&self, sender: SocketAddr, done: StageDone) {
+    /// Handles the outcome of pieces that were submitted to a peer.
+    pub fn handle_done(&self, sender: SocketAddr, done: StageDone) {
         let Some(pending) = self.pending.borrow_mut().remove(&done.ticket) else {
             return;
         };
@@ -351,36 +368,41 @@
             return;
         }
         let handles = done.handles.iter().map(|handle| Arc::from(handle.as_str())).collect();
-        let end = match done.outcome {
-            0 => WorkEnd::Made(handles),
-            1 => WorkEnd::Late,
-            2 => WorkEnd::InputGone,
-            4 => WorkEnd::TurnedAway,
-            5 => WorkEnd::NoMakers,
-            _ => WorkEnd::Failed,
+        let outcome = match done.outcome {
+            0 => WorkOutcome::Completed(handles),
+            1 => WorkOutcome::Late,
+            2 => WorkOutcome::InputGone,
+            4 => WorkOutcome::Quarantined,
+            5 => WorkOutcome::NoWorkers,
+            _ => WorkOutcome::Failed,
         };
-        drop(pending.reply.send(end));
+        drop(pending.reply.send(outcome));
     }
 
-    /// Takes in results that a peer gives up.
-    pub fn released(&self, release: ReleaseResults) {
+    /// Handles a peer's release of results.
+    pub fn handle_release(&self, release: ReleaseResults) {
         let handles = release.handles.iter().map(|handle| Arc::from(handle.as_str()));
         self.owner.release(&release.service, handles);
     }
 
-    fn ask(&self, owner: SocketAddr, work: &Work, reply: oneshot::Sender<WorkEnd>) -> Cancel {
+    fn ask(
+        &self,
+        owner: SocketAddr,
+        work: &Work,
+        reply: oneshot::Sender<WorkOutcome>,
+    ) -> CancelTarget {
         if owner == self.peers.address() {
-            return Cancel::Here(self.owner.submit(work.clone(), reply));
+            return CancelTarget::Local(self.owner.submit(work.clone(), reply));
         }
         let ticket = self.next_ticket.get();
         self.next_ticket.set(ticket + 1);
-        self.pending.borrow_mut().insert(ticket, Pending { owner, reply });
-        let message = self.work_message(ticket, work);
+        self.pending.borrow_mut().insert(ticket, PendingStage { owner, reply });
+        let message = self.encode_work(ticket, work);
         self.peers.send(owner, GatewayBody::Work(message));
-        Cancel::There { owner, ticket }
+        CancelTarget::Remote { owner, ticket }
     }
 
-    fn work_message(&self, ticket: u64, work: &Work) -> StageWork {
+    fn encode_work(&self, ticket: u64, work: &Work) -> StageWork {
         let now = self.clock.now().monotonic;
         let (key, inputs) = match &work.input {
             PieceInput::Key(key) => (Some(key.to_string()), Vec::new()),
@@ -392,7 +414,7 @@
         StageWork {
             ticket,
             service: work.pool.service.to_string(),
-            makers_of: work.pool.failure_domain.as_deref().unwrap_or_default().to_owned(),
+            worker_domain: work.pool.failure_domain.as_deref().unwrap_or_default().to_owned(),
             request_id: work.request_id.to_string(),
             stage: work.stage,
             pieces: work.pieces,
@@ -402,13 +424,13 @@
             due_ms: due_ms as i32,
             priority: work.priority,
             result_bytes: work.result_bytes,
-            near: work.near.as_deref().unwrap_or_default().to_owned(),
-            content: Bytes::copy_from_slice(work.content.bytes()),
+            consumer_domain: work.consumer_domain.as_deref().unwrap_or_default().to_owned(),
+            fingerprint: Bytes::copy_from_slice(work.fingerprint.bytes()),
             allowed_regions: work.residency.regions().map(|region| region.to_string()).collect(),
         }
     }
 
-    fn work_from(&self, sender: SocketAddr, message: StageWork) -> Work {
+    fn decode_work(&self, sender: SocketAddr, message: StageWork) -> Work {
         let now = self.clock.now().monotonic;
         let input = match message.key {
             Some(key) => PieceInput::Key(key.into()),
@@ -418,9 +440,10 @@
         };
         let due_ms = now.as_millis() as i64 + i64::from(message.due_ms);
         Work {
-            pool: MakerPool {
+            pool: WorkerPool {
                 service: message.service.into(),
-                failure_domain: (!message.makers_of.is_empty()).then(|| message.makers_of.into()),
+                failure_domain: (!message.worker_domain.is_empty())
+                    .then(|| message.worker_domain.into()),
             },
             request_id: message.request_id.as_str().into(),
             stage: message.stage,
@@ -430,29 +453,32 @@
             deadline_at: now + Duration::from_millis(u64::from(message.remaining_ms)),
             priority: message.priority,
             result_bytes: message.result_bytes,
-            residency: residency_from(message.allowed_regions),
-            asker: sender,
-            // A node of before says nothing; what it asks for is alike to nobody's.
-            content: ContentKey::from_bytes(&message.content)
-                .unwrap_or_else(|| ContentKey::of(None, "", message.request_id.as_bytes())),
-            near: (!message.near.is_empty()).then(|| message.near.into()),
+            residency: decode_residency(message.allowed_regions),
+            requester: sender,
+            // Nodes of a former version send no fingerprint. The request then gets one that no
+            // other request shares.
+            fingerprint: Fingerprint::from_bytes(&message.fingerprint)
+                .unwrap_or_else(|| Fingerprint::of(None, "", message.request_id.as_bytes())),
+            consumer_domain: (!message.consumer_domain.is_empty())
+                .then(|| message.consumer_domain.into()),
         }
     }
 }
 
-/// Reads the regions that a peer names. It asks for nothing that is allowed nowhere, so none stand for any.
-fn residency_from(regions: Vec<String>) -> Residency {
+/// Decodes the regions of a peer's request. Peers submit nothing that may be served nowhere, so an
+/// empty list stands for any region.
+fn decode_residency(regions: Vec<String>) -> Residency {
     if regions.is_empty() { Residency::default() } else { Residency::within(regions) }
 }
 
-fn done_message(ticket: u64, end: WorkEnd) -> StageDone {
-    let (outcome, handles) = match end {
-        WorkEnd::Made(handles) => (0, handles),
-        WorkEnd::Late => (1, Vec::new()),
-        WorkEnd::InputGone => (2, Vec::new()),
-        WorkEnd::Failed | WorkEnd::OwnerLost => (3, Vec::new()),
-        WorkEnd::TurnedAway => (4, Vec::new()),
-        WorkEnd::NoMakers => (5, Vec::new()),
+fn encode_done(ticket: u64, outcome: WorkOutcome) -> StageDone {
+    let (outcome, handles) = match outcome {
+        WorkOutcome::Completed(handles) => (0, handles),
+        WorkOutcome::Late => (1, Vec::new()),
+        WorkOutcome::InputGone => (2, Vec::new()),
+        WorkOutcome::Failed | WorkOutcome::OwnerLost => (3, Vec::new()),
+        WorkOutcome::Quarantined => (4, Vec::new()),
+        WorkOutcome::NoWorkers => (5, Vec::new()),
     };
     StageDone { ticket, outcome, handles: handles.iter().map(|h| h.to_string()).collect() }
 }
--- a/crates/fernring-gateway/src/store/records.rs
+++ b/crates/fernring-gateway/src/store/records.rs
@@ -1,26 +1,27 @@
-//! Changes of upstreams' records, words on failure domains, and what is said of roll-outs, as nodes pass them on to each other.
+//! Encodes and decodes what nodes pass on to each other: changes of upstreams' records, operators' orders for failure domains and
+//! roll-outs, and counts of roll-outs.
 
 use {
     crate::{
         directory::{Change, Entry},
-        evacuations::Word,
+        evacuations::EvacuationOrder,
         model::{UpstreamRecord, UpstreamState},
         position::Position,
         rollout::{
-            counts::{Answers, Counts, RouteAnswers, TIME_CLASSES},
-            orders::{Order, Standing, Word as OrderWord},
+            counts::{LATENCY_BUCKETS, ResponseStats, RolloutCounts, RouteStats},
+            orders::{KnownOrder as RolloutState, RolloutOrder, RolloutProgress},
         },
     },
     fernring_core::clock::saturating_ms,
     fernring_protocol::gateway::{
-        DirectoryRecord, EvacuationWord, RolloutReport, RolloutStanding, RolloutWord, RouteReport,
-        VersionAnswers,
+        DirectoryRecord, EvacuationOrderMessage, RolloutOrderMessage, RolloutProgressReport,
+        RolloutReport, RouteReport, VersionAnswers,
     },
     std::{sync::Arc, time::Duration},
 };
 
-/// Encodes a change for a peer.
-pub(crate) fn directory_record(change: &Change) -> DirectoryRecord {
+/// Encodes a change of an upstream's record for a peer.
+pub(crate) fn encode_change(change: &Change) -> DirectoryRecord {
     let instance = change.instance.to_string();
     let Position { era, offset } = change.at;
     let record = match &change.entry {
@@ -36,7 +37,7 @@
         }
         Entry::Unusable => {
             let removed = DirectoryRecord { instance, offset, era, ..Default::default() };
-            return DirectoryRecord { is_removed: true, is_unusable: true, ..removed };
+            return DirectoryRecord { is_removed: true, is_unreadable: true, ..removed };
         }
     };
     DirectoryRecord {
@@ -49,7 +50,7 @@
         is_draining: record.state == UpstreamState::Draining,
         is_removed: false,
         started_ms: record.started_ms,
-        is_unusable: false,
+        is_unreadable: false,
         era,
         sequence: record.sequence,
         cold_ms: record.cold_for.unwrap_or_default().as_millis() as u32,
@@ -57,12 +58,12 @@
     }
 }
 
-/// Decodes a change of a peer; `None` if its address can't be read.
-pub(crate) fn change_from(record: DirectoryRecord) -> Option<Change> {
+/// Decodes a change of an upstream's record from a peer; `None` if the address is malformed.
+pub(crate) fn decode_change(record: DirectoryRecord) -> Option<Change> {
     let instance: Arc<str> = record.instance.into();
     let at = Position::new(record.era, record.offset);
     if record.is_removed {
-        let entry = if record.is_unusable { Entry::Unusable } else { Entry::Removed };
+        let entry = if record.is_unreadable { Entry::Unusable } else { Entry::Removed };
         return Some(Change { instance, at, entry });
     }
     let state = match record.is_draining {
@@ -84,9 +85,11 @@
     Some(Change { instance, at, entry: Entry::Present(upstream) })
 }
 
-/// Encodes an operator's word on a failure domain for a peer.
-pub(crate) fn evacuation_word((failure_domain, word): (&Arc<str>, &Word)) -> EvacuationWord {
-    EvacuationWord {
+/// Encodes an operator's order for a failure domain for a peer.
+pub(crate) fn encode_evacuation(
+    (failure_domain, word): (&Arc<str>, &EvacuationOrder),
+) -> EvacuationOrderMessage {
+    EvacuationOrderMessage {
         failure_domain: failure_domain.to_string(),
         is_in_force: word.is_in_force,
         offset: word.at.offset,
@@ -94,81 +97,86 @@
     }
 }
 
-/// Decodes a word that a peer passes on, and on which failure domain.
-pub(crate) fn evacuation_from(word: &EvacuationWord) -> (Arc<str>, Word) {
+/// Decodes an operator's order from a peer; returns the failure domain with it.
+pub(crate) fn decode_evacuation(word: &EvacuationOrderMessage) -> (Arc<str>, EvacuationOrder) {
     let at = Position::new(word.era, word.offset);
-    (word.failure_domain.as_str().into(), Word { at, is_in_force: word.is_in_force })
+    (word.failure_domain.as_str().into(), EvacuationOrder { at, is_in_force: word.is_in_force })
 }
 
-/// Encodes what is known of a service's order for a peer.
-pub(crate) fn rollout_word(
+/// Encodes the roll-out order of a service and its progress for a peer.
+pub(crate) fn encode_rollout_order(
     now: Duration,
     service: &str,
-    word: &OrderWord,
+    word: &RolloutState,
     is_withdrawn: bool,
-) -> RolloutWord {
+) -> RolloutOrderMessage {
     let age_ms = |at: Duration| saturating_ms(now.saturating_sub(at)) as u32;
-    let told = RolloutWord {
+    let report = RolloutOrderMessage {
         service: service.to_owned(),
         destination: word.order.destination.to_string(),
         offset: word.at.offset,
         era: word.at.era,
         duration_ms: saturating_ms(word.order.duration),
-        left_ms: saturating_ms(word.deadline_at.saturating_sub(now)),
+        remaining_ms: saturating_ms(word.deadline_at.saturating_sub(now)),
         is_withdrawn,
-        ..RolloutWord::default()
+        ..RolloutOrderMessage::default()
     };
-    let with =
-        |standing: RolloutStanding| RolloutWord { standing: standing.into(), ..told.clone() };
-    match word.standing {
-        Standing::Unknown => with(RolloutStanding::Unknown),
-        Standing::Completed => with(RolloutStanding::Completed),
-        Standing::RolledBack => with(RolloutStanding::RolledBack),
-        Standing::Running { share, serial, said_at } => RolloutWord {
+    let with = |standing: RolloutProgressReport| RolloutOrderMessage {
+        progress: standing.into(),
+        ..report.clone()
+    };
+    match word.progress {
+        RolloutProgress::Unknown => with(RolloutProgressReport::Unknown),
+        RolloutProgress::Completed => with(RolloutProgressReport::Completed),
+        RolloutProgress::RolledBack => with(RolloutProgressReport::RolledBack),
+        RolloutProgress::Running { share, serial, announced_at: said_at } => RolloutOrderMessage {
             share,
             serial,
-            said_ms: age_ms(said_at),
-            ..with(RolloutStanding::Running)
+            decision_age_ms: age_ms(said_at),
+            ..with(RolloutProgressReport::Running)
         },
     }
 }
 
-/// Decodes what a peer says of a service's order.
-pub(crate) fn rollout_word_from(now: Duration, word: &RolloutWord) -> (Arc<str>, OrderWord) {
+/// Decodes the roll-out order of a service and its progress from a peer; returns the service with it.
+pub(crate) fn decode_rollout_order(
+    now: Duration,
+    word: &RolloutOrderMessage,
+) -> (Arc<str>, RolloutState) {
     let ago = |ms: u32| now.saturating_sub(Duration::from_millis(ms.into()));
-    let standing = match word.standing() {
-        RolloutStanding::Unknown => Standing::Unknown,
-        RolloutStanding::Completed => Standing::Completed,
-        RolloutStanding::RolledBack => Standing::RolledBack,
-        RolloutStanding::Running => Standing::Running {
+    let standing = match word.progress() {
+        RolloutProgressReport::Unknown => RolloutProgress::Unknown,
+        RolloutProgressReport::Completed => RolloutProgress::Completed,
+        RolloutProgressReport::RolledBack => RolloutProgress::RolledBack,
+        RolloutProgressReport::Running => RolloutProgress::Running {
             share: word.share.clamp(0.0, 1.0),
             serial: word.serial,
-            said_at: ago(word.said_ms),
+            announced_at: ago(word.decision_age_ms),
         },
     };
-    let order = Order {
+    let order = RolloutOrder {
         destination: word.destination.as_str().into(),
         duration: Duration::from_millis(word.duration_ms),
     };
     let at = Position::new(word.era, word.offset);
-    let deadline_at = now + Duration::from_millis(word.left_ms);
-    (word.service.as_str().into(), OrderWord { order, at, deadline_at, standing })
+    let deadline_at = now + Duration::from_millis(word.remaining_ms);
+    (word.service.as_str().into(), RolloutState { order, at, deadline_at, progress: standing })
 }
 
-/// Encodes what a node counts of an order. Its own run is left to be named.
-pub(crate) fn rollout_report(
+/// Encodes a node's counts of a roll-out. The caller sets the node's incarnation.
+pub(crate) fn encode_rollout_report(
     service: &str,
     at: Position,
-    counts: &Counts,
+    counts: &RolloutCounts,
     is_drained: bool,
 ) -> RolloutReport {
-    let answers = |answers: &Answers| VersionAnswers {
+    let answers = |answers: &ResponseStats| VersionAnswers {
         failed: answers.failed,
-        times: answers.times.to_vec(),
+        latency_counts: answers.latency_counts.to_vec(),
     };
     let routes = counts.routes.iter().map(|(route, of_route)| RouteReport {
         route: route.to_string(),
-        ordered: answers(&of_route.ordered),
+        ordered: answers(&of_route.destination),
         others: answers(&of_route.others),
     });
     RolloutReport {
@@ -178,27 +186,30 @@
         incarnation: 0,
         requests: counts.requests,
         exposed: counts.exposed,
-        at_others: counts.at_others,
+        in_flight_at_others: counts.in_flight_at_others,
         is_drained,
         routes: routes.collect(),
     }
 }
 
-/// Decodes what a node counts of an order.
-pub(crate) fn rollout_counts(report: RolloutReport) -> Counts {
+/// Decodes a node's counts of a roll-out.
+pub(crate) fn decode_rollout_counts(report: RolloutReport) -> RolloutCounts {
     let answers = |answers: VersionAnswers| {
-        let time = |class: usize| answers.times.get(class).copied().unwrap_or(0);
-        Answers { failed: answers.failed, times: std::array::from_fn::<_, TIME_CLASSES, _>(time) }
+        let time = |class: usize| answers.latency_counts.get(class).copied().unwrap_or(0);
+        ResponseStats {
+            failed: answers.failed,
+            latency_counts: std::array::from_fn::<_, LATENCY_BUCKETS, _>(time),
+        }
     };
     let routes = report.routes.into_iter().map(|route| {
         let of_route =
-            RouteAnswers { ordered: answers(route.ordered), others: answers(route.others) };
+            RouteStats { destination: answers(route.ordered), others: answers(route.others) };
         (route.route.into(), of_route)
     });
-    Counts {
+    RolloutCounts {
         requests: report.requests,
         exposed: report.exposed,
-        at_others: report.at_others,
+        in_flight_at_others: report.in_flight_at_others,
         routes: routes.collect(),
     }
 }
