--- a/crates/fernring-gateway/src/store/store_loops/mod.rs
+++ b/crates/fernring-gateway/src/store/store_loops/mod.rs
@@ -1,32 +1,32 @@
-//! Keeping up with the platform's store: the configuration, the upstreams, the nodes.
+//! Keeps up with the topics of the platform's store: the configuration, the upstreams, the nodes.
 //!
-//! Each topic is read whole once, then followed by one call at a time that waits for the next
-//! record: by one node of each failure domain, whose peers follow it (see [`crate::freshness`]). `operators` and `listing` take in
-//! what is
-//! read or passed on, `joining` keeps this node's own records.
+//! Each topic is read in full once. After that, one node of each failure domain reads the changes, with one call at a time that
+//! waits for the next record, and its peers rely on that node (see [`crate::freshness`]). `operator_records` and
+//! `upstream_records` apply what is read or passed on by peers; `node_records` maintains this node's own record.
 
-mod joining;
-mod listing;
-mod operators;
+mod node_records;
+mod operator_records;
+mod upstream_records;
 
-pub use listing::PeerRecords;
+pub use upstream_records::PeerRecords;
 
 use {
     crate::{
-        alarm::Alarm,
-        blame::Blame,
+        bootstrap::Bootstrap,
         config::ConfigState,
-        following::Following,
+        crash_attribution::CrashAttribution,
+        deadline_timer::DeadlineTimer,
         freshness::read_wait,
-        log, measures,
-        members::ReaderPart,
+        full_read::FullRead,
+        log,
+        members::ReaderRole,
         owner::Owner,
         peers::Peers,
         position::Position,
-        rollout::shell::Rollouts,
-        starting::Starting,
+        rollout::coordinator::Rollouts,
+        tailing::Tailing,
+        telemetry,
         upstreams::Upstreams,
-        whole::WholeReading,
         wire::{Page, Store, StoreError, Topic, Wire},
     },
     fernring_core::{clock::Clock, text::LogLine},
@@ -39,35 +39,34 @@
     tokio::time::sleep,
 };
 
-/// Pause after a failed call, at first; doubled up to [`PAUSE_MAX`].
-const PAUSE_FIRST: Duration = Duration::from_millis(250);
-/// Longest pause of a reader after a failed call: the return of a store that was out is known
-/// within a second.
-const PAUSE_MAX: Duration = Duration::from_millis(700);
-/// Longest pause of any other node, which asks only because it hears nothing new.
-const STAND_IN_PAUSE_MAX: Duration = Duration::from_secs(2);
-/// Pause between two questions of all such nodes together.
-const STAND_IN_PAUSE_PER_NODE: Duration = Duration::from_millis(10);
-/// How often a starting node looks whether it has to read on by itself.
-const START_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// How often a node that doesn't read looks whether it has to.
-const WATCH_INTERVAL: Duration = Duration::from_millis(100);
-/// Shortest pause between two looks whether a read has lasted too long.
-const SILENCE_CHECK_MIN: Duration = Duration::from_millis(20);
-/// Time after the start in which a node doesn't know its peers yet, so that it takes nobody's part.
-const START_TIME: Duration = Duration::from_secs(1);
-/// Pause between two reads of the upstreams' records, so that the heartbeats of all of them don't
-/// cost a call each. Well below the time after which a leaving upstream may get no new work.
-const GATHER_PAUSE: Duration = Duration::from_millis(600);
-/// How often the upstreams whose records lapsed are looked through.
+/// First pause after a failed call; doubled up to [`RETRY_PAUSE_MAX`].
+const RETRY_PAUSE_MIN: Duration = Duration::from_millis(250);
+/// Longest pause of a reader after a failed call: the end of a store outage is noticed within a second.
+const RETRY_PAUSE_MAX: Duration = Duration::from_millis(700);
+/// Longest pause of any other node, which reads only because its state isn't confirmed.
+const STAND_IN_RETRY_PAUSE_MAX: Duration = Duration::from_secs(2);
+/// Pause between two reads of all such nodes together.
+const STAND_IN_RETRY_PAUSE_PER_NODE: Duration = Duration::from_millis(10);
+/// How often a starting node checks whether it has to read the remaining pages itself.
+const BOOTSTRAP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// How often a node that doesn't read the store checks whether it has to.
+const READER_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Shortest pause between two checks whether a read is overdue.
+const OVERDUE_CHECK_MIN: Duration = Duration::from_millis(20);
+/// Time after the start in which a node doesn't know its peers yet, so that it doesn't act as a reader for others.
+const PEER_DISCOVERY_TIME: Duration = Duration::from_secs(1);
+/// Pause between two reads of the upstreams' records, so that the heartbeats of many upstreams are read with one call. Well below
+/// the time after which a draining upstream may get no new work.
+const COALESCE_PAUSE: Duration = Duration::from_millis(600);
+/// How often lapsed upstreams are checked for expiry.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The loops that follow the store.
+/// The background loops that keep up with the store.
 pub struct StoreLoops {
     /// The clock.
     pub clock: Rc<dyn Clock>,
-    /// Wakes those who wait for its points.
-    pub alarm: Rc<Alarm>,
+    /// The timer for waits until a deadline.
+    pub deadline_timer: Rc<DeadlineTimer>,
     /// The platform's formats.
     pub wire: Rc<dyn Wire>,
     /// The platform's store.
@@ -76,38 +75,38 @@
     pub config: Rc<RefCell<ConfigState>>,
     /// The upstreams.
     pub upstreams: Rc<Upstreams>,
-    /// The owner of stages, who wants to know of changes among upstreams.
+    /// The owner of stages; it is notified of changes of upstreams.
     pub owner: Rc<Owner>,
-    /// What is to be known of upstreams that ended.
-    pub blame: Rc<Blame>,
+    /// The attribution of upstreams' crashes to requests.
+    pub crash_attribution: Rc<CrashAttribution>,
     /// Versions that operators order to be rolled out.
     pub rollouts: Rc<Rollouts>,
     /// The other nodes.
     pub peers: Rc<Peers>,
-    /// How well the configuration and the upstreams' records are known, in the order of [`Followed`].
-    pub following: [RefCell<Following>; 2],
+    /// The state of the configuration's topic and of the upstreams' topic, in the order of [`TailedTopic`].
+    pub tailing: [RefCell<Tailing>; 2],
     /// When the node started.
     pub started_at: Duration,
-    /// Whether the last call on the upstreams' records was answered.
+    /// Whether the store answered the last read of the upstreams' records.
     pub store_answers: Cell<bool>,
-    /// Longest time for which operators' words may go unconfirmed: the bound of an evacuation.
-    pub word_bound: Cell<Duration>,
-    /// Whether that time was over at the last look.
-    pub is_unheard: Cell<bool>,
-    /// Era of the store in which this node's own records were written last, once they were.
-    pub joined_in: Cell<Option<u64>>,
+    /// Longest time for which operators' orders may be unconfirmed: the bound of an evacuation.
+    pub evacuation_bound: Cell<Duration>,
+    /// Whether that bound was exceeded at the last check.
+    pub has_unconfirmed_orders: Cell<bool>,
+    /// Era of the store in which this node's own record was last written; `None` before the first write.
+    pub registered_era: Cell<Option<u64>>,
 }
 
 /// The topics that nodes pass on to each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Followed {
-    /// The configuration; it is marked by its version.
+pub enum TailedTopic {
+    /// The configuration; its mark is the version.
     Config,
-    /// The upstreams' records, marked by the number up to which they are known.
+    /// The upstreams' records; their mark is the position up to which they are known.
     Upstreams,
 }
 
-impl Followed {
+impl TailedTopic {
     fn topic(self) -> Topic {
         match self {
             Self::Config => Topic::Config,
@@ -117,62 +116,69 @@
 }
 
 impl StoreLoops {
-    /// Follows the configuration.
-    pub async fn follow_config(self: Rc<Self>) {
-        self.follow(Followed::Config, Duration::ZERO, |page, is_whole| {
-            self.take_operator_records(page, is_whole);
+    /// Keeps up with the operators' records: the configuration, evacuations and roll-outs.
+    pub async fn tail_config(self: Rc<Self>) {
+        self.tail(TailedTopic::Config, Duration::ZERO, |page, is_full| {
+            self.apply_operator_page(page, is_full);
         })
         .await;
     }
 
-    /// Follows the upstreams' records.
-    pub async fn follow_upstreams(self: Rc<Self>) {
-        self.follow(Followed::Upstreams, GATHER_PAUSE, |page, is_whole| {
-            self.take_upstreams(page, is_whole);
+    /// Keeps up with the upstreams' records.
+    pub async fn tail_upstreams(self: Rc<Self>) {
+        self.tail(TailedTopic::Upstreams, COALESCE_PAUSE, |page, is_full| {
+            self.apply_upstream_page(page, is_full);
         })
         .await;
     }
 
-    /// Reads a topic whole, then follows it whenever this node has to.
-    async fn follow(self: &Rc<Self>, what: Followed, gather: Duration, take: impl Fn(Page, bool)) {
-        let topic = what.topic();
+    /// Reads a topic in full, then reads its changes whenever this node has to.
+    async fn tail(
+        self: &Rc<Self>,
+        tailed: TailedTopic,
+        coalesce: Duration,
+        apply: impl Fn(Page, bool),
+    ) {
+        let topic = tailed.topic();
         let mut from: Option<Position> = None;
-        let mut reading = WholeReading::default();
-        let mut starting = None;
-        let mut pause = PAUSE_FIRST;
+        let mut full_read = FullRead::default();
+        let mut bootstrap = None;
+        let mut pause = RETRY_PAUSE_MIN;
         let mut has_failed = false;
         let mut has_read = false;
         loop {
-            let part = self.part();
-            if !self.following(what).borrow().shall_read(self.now(), part) {
-                (pause, has_failed) = (PAUSE_FIRST, false);
-                reading = WholeReading::default();
-                sleep(WATCH_INTERVAL).await;
+            let part = self.reader_part();
+            if !self.tailing(tailed).borrow().should_read(self.now(), part) {
+                (pause, has_failed) = (RETRY_PAUSE_MIN, false);
+                full_read = FullRead::default();
+                sleep(READER_CHECK_INTERVAL).await;
                 continue;
             }
-            // What peers have told is known up to a position, too. Once the store has answered, its answers say where to read on.
-            let told = self.known_from_peers(what).filter(|_| !has_read);
-            if (reading.has_begun() || told.is_some()) && !self.shall_read_on(what, &mut starting) {
-                sleep(START_CHECK_INTERVAL).await;
+            // Records from peers are known up to a position, too. Once the store has answered, its answers determine the position.
+            let peer_position = self.position_from_peers(tailed).filter(|_| !has_read);
+            if (full_read.has_started() || peer_position.is_some())
+                && !self.should_read_on(tailed, &mut bootstrap)
+            {
+                sleep(BOOTSTRAP_CHECK_INTERVAL).await;
                 continue;
             }
-            // What was read in an earlier era of the store says nothing of this one: it is read anew.
-            from = from.map(|from| self.known_to(what, from)).or(told);
+            // Positions of an earlier era of the store are invalid in this one: the topic is read in full again.
+            from = from.map(|from| self.resume_position(tailed, from)).or(peer_position);
             from = from.filter(|from| from.era == self.store.era());
-            if !reading.has_begun() {
-                self.reads(what, part);
+            if !full_read.has_started() {
+                self.log_stand_in(tailed, part);
             }
             let answer = match from {
-                None => match self.read_page(what, &mut reading).await {
+                None => match self.read_page(tailed, &mut full_read).await {
                     Ok(None) => continue,
                     Ok(Some(page)) => Ok(page),
                     Err(error) => Err(error),
                 },
                 Some(from) => {
-                    let wait = self.read_wait(what, part, has_failed);
+                    let wait = self.read_wait(tailed, part, has_failed);
                     tokio::select! {
-                        answer = self.store.read(topic, from.offset, wait) => answer,
-                        () = self.silence(what, wait) => continue,
+                    answer = self.store.read(topic, from.offset, wait) => answer,
+                    () = self.until_overdue(tailed, wait) => continue,
                     }
                 }
             };
@@ -180,24 +186,24 @@
             has_read |= matches!(answer, Ok(_) | Err(StoreError::Expired));
             match answer {
                 Ok(page) => {
-                    pause = PAUSE_FIRST;
-                    let is_whole = from.is_none();
+                    pause = RETRY_PAUSE_MIN;
+                    let is_full = from.is_none();
                     let has_records = !page.records.is_empty();
-                    // An end below what was read means that the store has lost its history; in a later era, what follows the
-                    // number that was read up to isn't what followed it then.
+                    // An end before the position that was read up to means that the store has lost its history. In a later era
+                    // other records follow that offset.
                     let end = page.end_position();
-                    let went_back = from.is_some_and(|from| end < from || end.era != from.era);
-                    from = (!went_back).then_some(end);
-                    self.answered(what);
-                    note_unreadable(topic, &page);
+                    let has_regressed = from.is_some_and(|from| end < from || end.era != from.era);
+                    from = (!has_regressed).then_some(end);
+                    self.record_answer(tailed);
+                    report_unreadable(topic, &page);
                     let read_at = self.now().saturating_sub(page.took);
-                    self.hear_era(page.era);
-                    if !went_back {
-                        take(page, is_whole);
-                        self.following(what).borrow_mut().was_read(read_at, part);
+                    self.handle_era(page.era);
+                    if !has_regressed {
+                        apply(page, is_full);
+                        self.tailing(tailed).borrow_mut().record_read(read_at, part);
                     }
-                    if has_records && !gather.is_zero() {
-                        sleep(gather).await;
+                    if has_records && !coalesce.is_zero() {
+                        sleep(coalesce).await;
                     }
                 }
                 Err(StoreError::Expired) => {
@@ -205,178 +211,187 @@
                     from = None;
                 }
                 Err(error) => {
-                    self.did_not_answer(topic, &error);
-                    sleep(spread(pause)).await;
-                    let is_reader = part != ReaderPart::None;
-                    let pause_max = if is_reader { PAUSE_MAX } else { self.stand_in_pause_max() };
+                    self.record_failure(topic, &error);
+                    sleep(jitter(pause)).await;
+                    let is_reader = part != ReaderRole::None;
+                    let pause_max =
+                        if is_reader { RETRY_PAUSE_MAX } else { self.stand_in_retry_pause_max() };
                     pause = (pause * 2).min(pause_max);
                 }
             }
         }
     }
 
-    /// Reads the next page of a topic that isn't known; returns all records if it was the last.
+    /// Reads the next page of a full read; returns all records if it was the last one.
     async fn read_page(
         &self,
-        what: Followed,
-        reading: &mut WholeReading,
+        tailed: TailedTopic,
+        full_read: &mut FullRead,
     ) -> Result<Option<Page>, StoreError> {
-        let is_first = !reading.has_begun();
-        let page = self.store.newest(what.topic(), reading.next()).await?;
-        let whole = reading.take(page)?;
-        if whole.is_none() {
-            measures::store_called(what.topic().name(), "answered");
-            if let Some(first) = reading.pages().filter(|_| is_first) {
-                self.take_preview(what, first);
+        let is_first = !full_read.has_started();
+        let page = self.store.read_newest(tailed.topic(), full_read.page_token()).await?;
+        let all_records = full_read.add_page(page)?;
+        if all_records.is_none() {
+            telemetry::record_store_call(tailed.topic().name(), "answered");
+            if let Some(first) = full_read.pages().filter(|_| is_first) {
+                self.apply_preview(tailed, first);
             }
         }
-        Ok(whole)
+        Ok(all_records)
     }
 
-    /// Tells whether this node reads on in a topic of which it knows something, or waits for peers that know all of it.
-    fn shall_read_on(&self, what: Followed, starting: &mut Option<Starting>) -> bool {
-        if self.age(what).is_some() {
+    /// Returns whether this node reads the rest of a partly known topic itself; otherwise it waits for peers that know all of it.
+    fn should_read_on(&self, tailed: TailedTopic, bootstrap: &mut Option<Bootstrap>) -> bool {
+        if self.age(tailed).is_some() {
             return true;
         }
         let now = self.now();
-        let following = self.following(what).borrow();
-        let link = following.link_bytes_per_s();
-        let starting = starting.get_or_insert_with(|| Starting::new(now, link, rand::random()));
-        starting.shall_read_on(now, following.behind().shown_at())
+        let tailing = self.tailing(tailed).borrow();
+        let link = tailing.link_bytes_per_s();
+        let bootstrap = bootstrap.get_or_insert_with(|| Bootstrap::new(now, link, rand::random()));
+        bootstrap.should_read_on(now, tailing.lag().peer_ahead_at())
     }
 
-    /// Returns the position to read on from that peers have told, if this node has never read by itself.
-    fn known_from_peers(&self, what: Followed) -> Option<Position> {
+    /// Returns the position up to which peers have sent records; used while this node hasn't read the store itself.
+    fn position_from_peers(&self, tailed: TailedTopic) -> Option<Position> {
         let end = self.upstreams.directory().end();
-        (what == Followed::Upstreams && end > Position::default()).then_some(end)
+        (tailed == TailedTopic::Upstreams && end > Position::default()).then_some(end)
     }
 
-    /// Returns the longest pause of a node that asks the store only because it hears nothing new. All that do so together ask as
-    /// often in a large fleet as in a small one.
-    fn stand_in_pause_max(&self) -> Duration {
-        STAND_IN_PAUSE_MAX.max(STAND_IN_PAUSE_PER_NODE * self.peers.nodes() as u32)
+    /// Returns the longest pause of a node that reads the store only because its state isn't confirmed. Together, such nodes read
+    /// as often in a large fleet as in a small one.
+    fn stand_in_retry_pause_max(&self) -> Duration {
+        STAND_IN_RETRY_PAUSE_MAX.max(STAND_IN_RETRY_PAUSE_PER_NODE * self.peers.node_count() as u32)
     }
 
-    /// Returns the position to read on from: peers may have told more than this node has read.
-    fn known_to(&self, what: Followed, from: Position) -> Position {
-        match what {
-            // Without it a node that has long followed peers would read all versions since.
-            // Not in another era, of which this node has to read the operators' words on failure domains, too.
-            Followed::Config if self.config.borrow().end().era == from.era => {
+    /// Returns the position to read on from: peers may have sent more than this node has read.
+    fn resume_position(&self, tailed: TailedTopic, from: Position) -> Position {
+        match tailed {
+            // Without this, a node that has long relied on peers would read all versions written since its last read.
+            // In another era it has to read all operators' orders for failure domains, too.
+            TailedTopic::Config if self.config.borrow().end().era == from.era => {
                 self.config.borrow().end().max(from)
             }
-            Followed::Config => from,
-            Followed::Upstreams => self.upstreams.directory().end().max(from),
+            TailedTopic::Config => from,
+            TailedTopic::Upstreams => self.upstreams.directory().end().max(from),
         }
     }
 
-    /// Returns how long the next read waits for a record. After a failure the question is whether
-    /// the store is back, and after silence what it holds; these have no time.
-    fn read_wait(&self, what: Followed, part: ReaderPart, has_failed: bool) -> Duration {
-        let following = self.following(what).borrow();
-        let is_in_doubt = following.freshness().is_in_doubt(self.now());
-        if has_failed || (is_in_doubt && part != ReaderPart::Alone) {
+    /// Returns how long the next read waits for a record. A read that checks whether the store is back after a failure, or
+    /// refreshes an unconfirmed state, doesn't wait.
+    fn read_wait(&self, tailed: TailedTopic, part: ReaderRole, has_failed: bool) -> Duration {
+        let tailing = self.tailing(tailed).borrow();
+        let is_unconfirmed = tailing.freshness().needs_confirmation(self.now());
+        if has_failed || (is_unconfirmed && part != ReaderRole::Standalone) {
             return Duration::ZERO;
         }
         let drawn = rand::rng().random_range(read_wait(part));
-        following.freshness().wait_of_read(self.now(), part, drawn)
+        tailing.freshness().read_wait_of(self.now(), part, drawn)
     }
 
-    /// Waits until a read that was to wait for `wait` has lasted too long: nothing has confirmed
-    /// for a while what is known, though others could. The read of a lone node ends by itself, and
-    /// so does one whose answer is coming: a large one may take longer than that.
-    async fn silence(&self, what: Followed, wait: Duration) {
+    /// Completes when a read that waits for `wait` is overdue: this node's state has been unconfirmed for a while, though peers
+    /// could confirm it. Never completes for the read of a lone node or while an answer is being received, since a large answer
+    /// may take longer; these reads end by themselves.
+    async fn until_overdue(&self, tailed: TailedTopic, wait: Duration) {
         loop {
-            let sure_for = self.following(what).borrow().freshness().sure_for(self.now());
-            sleep(sure_for.max(SILENCE_CHECK_MIN)).await;
-            let is_in_doubt = self.following(what).borrow().freshness().is_in_doubt(self.now());
-            let has_time = wait.is_zero() || self.part() == ReaderPart::Alone;
-            if is_in_doubt && !has_time && !self.store.receives(what.topic()) {
+            let confirmed_for =
+                self.tailing(tailed).borrow().freshness().time_until_doubt(self.now());
+            sleep(confirmed_for.max(OVERDUE_CHECK_MIN)).await;
+            let is_unconfirmed =
+                self.tailing(tailed).borrow().freshness().needs_confirmation(self.now());
+            let may_wait = wait.is_zero() || self.reader_part() == ReaderRole::Standalone;
+            if is_unconfirmed && !may_wait && !self.store.is_receiving(tailed.topic()) {
                 return;
             }
         }
     }
 
-    /// Returns this node's part in reading the store for others.
-    fn part(&self) -> ReaderPart {
-        match self.now() >= self.started_at + START_TIME {
-            true => self.peers.reader_part(),
-            false => ReaderPart::None,
+    /// Returns this node's role in reading the store for others.
+    fn reader_part(&self) -> ReaderRole {
+        match self.now() >= self.started_at + PEER_DISCOVERY_TIME {
+            true => self.peers.reader_role(),
+            false => ReaderRole::None,
         }
     }
 
-    /// Returns how well a topic is known.
-    pub fn following(&self, what: Followed) -> &RefCell<Following> {
-        &self.following[what as usize]
+    /// Returns the state of a topic.
+    pub fn tailing(&self, tailed: TailedTopic) -> &RefCell<Tailing> {
+        &self.tailing[tailed as usize]
     }
 
-    /// Returns the time since what is known was the newest for sure.
-    pub fn age(&self, what: Followed) -> Option<Duration> {
-        self.following(what).borrow().freshness().age(self.now())
+    /// Returns the time since this node's state of a topic was last confirmed.
+    pub fn age(&self, tailed: TailedTopic) -> Option<Duration> {
+        self.tailing(tailed).borrow().freshness().age(self.now())
     }
 
-    /// Says that this node reads a topic, if it does so in place of the readers.
-    fn reads(&self, what: Followed, part: ReaderPart) {
-        if part != ReaderPart::None {
+    /// Logs that this node reads a topic in place of the readers; does nothing if it is a reader.
+    fn log_stand_in(&self, tailed: TailedTopic, part: ReaderRole) {
+        if part != ReaderRole::None {
             return;
         }
-        let behind = self.following(what).borrow().behind();
-        let behind_ms = behind.since.map(|since| (self.now() - since).as_millis());
-        let line = LogLine::event("store_stand_in").with("topic", what.topic().name());
-        let line = line.with_some("age_ms", self.age(what).map(|age| age.as_millis()));
+        let lag = self.tailing(tailed).borrow().lag();
+        let behind_ms = lag.since.map(|since| (self.now() - since).as_millis());
+        let line = LogLine::event("store_stand_in").with("topic", tailed.topic().name());
+        let line = line.with_some("age_ms", self.age(tailed).map(|age| age.as_millis()));
         log::info(line.with_some("behind_ms", behind_ms));
     }
 
-    /// Returns the mark of what is known.
-    fn mark(&self, what: Followed) -> Position {
-        match what {
-            Followed::Config => self.config.borrow().version().into(),
-            Followed::Upstreams => self.upstreams.directory().end(),
+    /// Returns this node's mark of a topic.
+    fn own_mark(&self, tailed: TailedTopic) -> Position {
+        match tailed {
+            TailedTopic::Config => self.config.borrow().version().into(),
+            TailedTopic::Upstreams => self.upstreams.directory().end(),
         }
     }
 
-    /// Takes in what a peer says of its knowledge; tells whether it is to be asked for it.
-    pub fn heard(&self, what: Followed, mark: Position, age: Option<Duration>) -> bool {
-        let (now, own) = (self.now(), self.mark(what));
-        let shall_ask = self.following(what).borrow_mut().heard(now, own, mark, age);
+    /// Handles the mark and age that a peer reports for a topic; returns whether to request newer records from it.
+    pub fn handle_peer_mark(
+        &self,
+        tailed: TailedTopic,
+        mark: Position,
+        age: Option<Duration>,
+    ) -> bool {
+        let (now, own) = (self.now(), self.own_mark(tailed));
+        let should_request =
+            self.tailing(tailed).borrow_mut().handle_peer_mark(now, own, mark, age);
         if mark == own
             && let Some(age) = age
         {
-            self.peer_hears_store(what, now.saturating_sub(age));
+            self.record_peer_read(tailed, now.saturating_sub(age));
         }
-        shall_ask
+        should_request
     }
 
-    /// Takes in that a peer read the store `age` ago, which then had nothing newer than is known here.
-    fn known_from_peer(&self, what: Followed, age: Duration) {
+    /// Records that a peer read the store `age` ago and found nothing newer than this node's state.
+    fn confirm_from_peer(&self, tailed: TailedTopic, age: Duration) {
         let at = self.now().saturating_sub(age);
-        self.following(what).borrow_mut().confirmed(at);
-        self.peer_hears_store(what, at);
+        self.tailing(tailed).borrow_mut().record_confirmation(at);
+        self.record_peer_read(tailed, at);
     }
 
-    /// Takes in that a peer was answered by the store at some time. Whether records may have lapsed, it says itself.
-    fn peer_hears_store(&self, what: Followed, at: Duration) {
-        let is_stale = self.following(what).borrow().freshness().is_stale(self.now());
-        if what == Followed::Upstreams && !is_stale {
+    /// Records that the store answered a peer at `at`. The peer itself reports whether records may have lapsed.
+    fn record_peer_read(&self, tailed: TailedTopic, at: Duration) {
+        let is_stale = self.tailing(tailed).borrow().freshness().is_stale(self.now());
+        if tailed == TailedTopic::Upstreams && !is_stale {
             self.store_answers.set(true);
-            self.upstreams.records_read(at);
+            self.upstreams.mark_records_read(at);
         }
     }
 
-    fn answered(&self, what: Followed) {
-        measures::store_called(what.topic().name(), "answered");
-        if what == Followed::Config {
+    fn record_answer(&self, tailed: TailedTopic) {
+        telemetry::record_store_call(tailed.topic().name(), "answered");
+        if tailed == TailedTopic::Config {
             return;
         }
-        self.upstreams.records_read(self.now());
+        self.upstreams.mark_records_read(self.now());
         if !self.store_answers.replace(true) {
-            self.upstreams.store_was_out(self.now());
+            self.upstreams.record_store_outage(self.now());
             log::info(LogLine::event("store_regained"));
         }
     }
 
-    fn did_not_answer(&self, topic: Topic, error: &StoreError) {
-        measures::store_called(topic.name(), "failed");
+    fn record_failure(&self, topic: Topic, error: &StoreError) {
+        telemetry::record_store_call(topic.name(), "failed");
         let line = LogLine::event("store_call_failed").with("topic", topic.name());
         log::warn(line.with("error", error));
         if topic == Topic::Upstreams {
@@ -384,31 +399,31 @@
         }
     }
 
-    /// Lets lapsed upstreams go, for as long as the process runs.
+    /// Removes lapsed upstreams periodically, for as long as the process runs.
     pub async fn expire(self: Rc<Self>) {
         loop {
             sleep(EXPIRY_INTERVAL).await;
-            self.alarm.look();
+            self.deadline_timer.check_for_suspension();
             let effects = self.upstreams.expire(self.now());
             self.upstreams_changed(&effects);
-            self.upstreams.set_nodes(self.peers.nodes());
-            self.note_unheard();
+            self.upstreams.set_node_count(self.peers.node_count());
+            self.check_order_confirmation();
         }
     }
 
-    /// Says that operators' words have gone unconfirmed for longer than an evacuation may take, and when that is over: until
-    /// then this node may send into a domain that was evacuated.
-    fn note_unheard(&self) {
-        let Some(age) = self.age(Followed::Config) else {
+    /// Logs when operators' orders have been unconfirmed for longer than an evacuation may take, and when that is over: meanwhile
+    /// this node may send to a domain that was evacuated.
+    fn check_order_confirmation(&self) {
+        let Some(age) = self.age(TailedTopic::Config) else {
             return;
         };
-        let is_unheard = age > self.word_bound.get();
-        if self.is_unheard.replace(is_unheard) == is_unheard {
+        let is_unconfirmed = age > self.evacuation_bound.get();
+        if self.has_unconfirmed_orders.replace(is_unconfirmed) == is_unconfirmed {
             return;
         }
-        let line = LogLine::event("operators_unheard").with("is_unheard", is_unheard);
+        let line = LogLine::event("operators_unheard").with("is_unheard", is_unconfirmed);
         let line = line.with("age_ms", age.as_millis());
-        log::warn(line.with("bound_ms", self.word_bound.get().as_millis()));
+        log::warn(line.with("bound_ms", self.evacuation_bound.get().as_millis()));
     }
 
     fn now(&self) -> Duration {
@@ -416,15 +431,15 @@
     }
 }
 
-/// Spreads a pause, so that nodes which failed together don't ask again together.
-fn spread(pause: Duration) -> Duration {
+/// Randomizes a pause, so that nodes whose calls failed together don't retry together.
+fn jitter(pause: Duration) -> Duration {
     pause.mul_f64(rand::rng().random_range(0.5..1.5))
 }
 
-/// Says that a page held records without a readable key. Only a read of changes brings them, so each is said once.
-fn note_unreadable(topic: Topic, page: &Page) {
+/// Logs that a page held records without a readable key. Only a read of changes returns them, so each is logged once.
+fn report_unreadable(topic: Topic, page: &Page) {
     if page.unreadable > 0 {
-        measures::record_refused(topic.name());
+        telemetry::record_rejected_record(topic.name());
         let line = LogLine::event("records_unreadable").with("topic", topic.name());
         log::warn(line.with("records", page.unreadable).with("end", page.end));
     }
--- a/crates/fernring-gateway/src/store/store_loops/listing.rs
+++ b/crates/fernring-gateway/src/store/store_loops/upstream_records.rs
@@ -1,25 +1,25 @@
-//! What upstreams write of themselves.
+//! Applies the records that upstreams write about themselves.
 
 use {
-    super::{Followed, StoreLoops},
+    super::{StoreLoops, TailedTopic},
     crate::{
         directory::{Change, Effect, Entry},
-        log, measures,
+        log,
         position::Position,
+        telemetry,
         wire::{KeyedRecord, Page, Topic},
     },
     fernring_core::text::LogLine,
     std::time::Duration,
 };
 
-/// Changes that come together and have a line each; more are said in one: ten thousand lines at the start of each node would
-/// have others left out.
+/// Most simultaneous changes that are logged with a line each; more are summed up in one line. Ten thousand lines at the start of
+/// each node would cause other lines to be dropped.
 const LOGGED_CHANGES_MAX: usize = 50;
 
-/// Size of all records where they are more than a page, as far as a node can know that has read one: ten thousand of some forty bytes,
-/// packed.
-/// One that asks another peer before they can have come gets them twice.
-const WHOLE_BYTES: usize = 400 << 10;
+/// Assumed size of all records, packed, after the first page of several was read: ten thousand records of some forty bytes. With
+/// too low a value a node would ask a second peer before the first one's answer can have arrived, and get the records twice.
+const ALL_RECORDS_BYTES: usize = 400 << 10;
 
 /// Records of upstreams that a peer passes on.
 #[derive(Debug)]
@@ -28,83 +28,85 @@
     pub end: Position,
     /// The records.
     pub changes: Vec<Change>,
-    /// Whether these are all; if not, those since the number that was asked for.
-    pub is_whole: bool,
+    /// Whether these are all records; if not, they are the changes since the requested position.
+    pub is_full: bool,
     /// Time for which removals may still be lapses.
     pub lapses_for: Duration,
-    /// Time since they were the newest for sure.
+    /// Time since the peer's state was last confirmed.
     pub age: Option<Duration>,
 }
 
 impl StoreLoops {
-    pub(super) fn take_upstreams(&self, page: Page, is_whole: bool) {
+    pub(super) fn apply_upstream_page(&self, page: Page, is_full: bool) {
         let decoded = page.records.iter().map(|record| self.decode(record, page.position(record)));
         let changes: Vec<_> = decoded.collect();
-        self.apply_upstreams(changes, page.end_position(), is_whole);
+        self.apply_upstreams(changes, page.end_position(), is_full);
     }
 
-    /// Takes in the first of the pages of a topic that isn't known, so that requests are served before the others have come.
-    pub(super) fn take_preview(&self, what: Followed, page: &Page) {
-        if what != Followed::Upstreams || self.upstreams.directory().end() > Position::default() {
+    /// Applies the first page of a full read, so that requests are served before the other pages have come.
+    pub(super) fn apply_preview(&self, tailed: TailedTopic, page: &Page) {
+        if tailed != TailedTopic::Upstreams
+            || self.upstreams.directory().end() > Position::default()
+        {
             return;
         }
         let decoded = page.records.iter().map(|record| self.decode(record, page.position(record)));
         let effects = self.upstreams.preview(self.now(), decoded.collect());
-        self.following(what).borrow_mut().expect(WHOLE_BYTES);
+        self.tailing(tailed).borrow_mut().expect_bytes(ALL_RECORDS_BYTES);
         self.upstreams_changed(&effects);
     }
 
-    /// Decodes a record; one that can't be read takes the upstream that its key named out of use.
+    /// Decodes a record. One that is malformed removes the upstream that its key names.
     pub(super) fn decode(&self, record: &KeyedRecord, at: Position) -> Change {
         let instance = record.key.clone();
         let error = match self.wire.decode_upstream(record) {
             Ok(entry) => {
                 let change = Change { instance, at, entry };
-                note_cold_time(&change);
+                report_missing_cold_time(&change);
                 return change;
             }
             Err(error) => error,
         };
-        // Whole readings bring it again and again; it is said once.
-        if !self.upstreams.directory().is_refused(&record.key, at) {
-            measures::record_refused(Topic::Upstreams.name());
+        // Each full read returns the record again; it is logged once.
+        if !self.upstreams.directory().is_known_unusable(&record.key, at) {
+            telemetry::record_rejected_record(Topic::Upstreams.name());
             let line = LogLine::event("upstream_refused").with("instance", &record.key);
             log::warn(line.with("record", at).with("error", error));
         }
         Change { instance, at, entry: Entry::Unusable }
     }
 
-    /// Takes in records of upstreams that a peer passes on.
-    pub fn take_peer_upstreams(&self, records: PeerRecords) {
+    /// Handles records of upstreams from a peer.
+    pub fn handle_peer_upstreams(&self, records: PeerRecords) {
         if records.end <= self.upstreams.directory().end() {
             return;
         }
-        self.upstreams.lapses_known(self.now(), records.lapses_for);
-        self.apply_upstreams(records.changes, records.end, records.is_whole);
+        self.upstreams.extend_lapse_window(self.now(), records.lapses_for);
+        self.apply_upstreams(records.changes, records.end, records.is_full);
         if let Some(age) = records.age {
-            self.known_from_peer(Followed::Upstreams, age);
+            self.confirm_from_peer(TailedTopic::Upstreams, age);
         }
     }
 
-    /// Puts changes of upstreams in force, or all records, which reach up to `end`.
-    pub(super) fn apply_upstreams(&self, changes: Vec<Change>, end: Position, is_whole: bool) {
+    /// Applies changes of upstreams up to `end`, or all records.
+    pub(super) fn apply_upstreams(&self, changes: Vec<Change>, end: Position, is_full: bool) {
         let (now, known) = (self.now(), self.upstreams.directory().end());
-        let effects = match is_whole {
+        let effects = match is_full {
             true => self.upstreams.replace(now, changes, end),
             false => self.upstreams.apply(now, changes),
         };
         self.upstreams.advance(end);
         if end > known {
-            // Only changes are passed on, so what a peer sends is small.
-            self.following(Followed::Upstreams).borrow_mut().caught_up(0);
+            // Peers send only changes, so the expected size is small.
+            self.tailing(TailedTopic::Upstreams).borrow_mut().record_caught_up(0);
         }
         self.upstreams_changed(&effects);
     }
 
     pub(super) fn upstreams_changed(&self, effects: &[Effect]) {
         self.log_changes(effects);
-        self.blame.upstreams_changed(effects);
-        self.owner.upstreams_changed(effects);
+        self.crash_attribution.handle_upstream_changes(effects);
+        self.owner.handle_upstream_changes(effects);
     }
 
     fn log_changes(&self, effects: &[Effect]) {
@@ -122,7 +124,7 @@
                 Effect::None => continue,
                 Effect::Appeared(key) => (key, "appeared"),
                 Effect::Draining(key) => (key, "draining"),
-                Effect::Held(key) => (key, "held"),
+                Effect::Lapsed(key) => (key, "held"),
                 Effect::Returned(key) => (key, "returned"),
                 Effect::Restarted { new, .. } => (new, "restarted"),
                 Effect::Gone(key) => (key, "gone"),
@@ -138,12 +140,12 @@
     }
 }
 
-/// Says that an upstream's record holds no time for how long it is cold; what was known of that stays so.
-fn note_cold_time(change: &Change) {
+/// Logs that an upstream's record holds no cold time; the known one stays in force.
+fn report_missing_cold_time(change: &Change) {
     if let Entry::Present(record) = &change.entry
         && record.cold_for.is_none()
     {
-        measures::record_refused(Topic::Upstreams.name());
+        telemetry::record_rejected_record(Topic::Upstreams.name());
         let line = LogLine::event("cold_time_refused").with("instance", &change.instance);
         log::warn(line.with("record", change.at));
     }
--- /dev/null
+++ b/crates/fernring-gateway/src/telemetry.rs
@@ -0,0 +1,162 @@
+//! The gateway's metrics: names, labels, and the limit on label values.
+//!
+//! Values are recorded through the `metrics` facade; the program installs a recorder and renders
+//! them on the node's ready address.
+
+use {
+    metrics::{counter, gauge, histogram},
+    std::{
+        cell::RefCell,
+        collections::{BTreeMap, HashSet},
+        sync::Arc,
+        time::Duration,
+    },
+};
+
+/// Largest number of distinct values of labels that come from the configuration. Further values
+/// share one label, so that a configuration with thousands of routes doesn't exhaust memory.
+const LABEL_VALUES_MAX: usize = 64;
+/// Label value that is shared by the names above the limit.
+const OTHER_LABEL: &str = "other";
+
+thread_local! {
+    static LABELS: RefCell<HashSet<Arc<str>>> = RefCell::default();
+}
+
+/// Returns a name as a label value, or [`OTHER_LABEL`] if there are too many.
+fn bounded_label(name: &Arc<str>) -> Arc<str> {
+    LABELS.with_borrow_mut(|labels| {
+        if labels.contains(name) || (labels.len() < LABEL_VALUES_MAX && labels.insert(name.clone()))
+        {
+            name.clone()
+        } else {
+            OTHER_LABEL.into()
+        }
+    })
+}
+
+/// Records the end of a request, with the code of its outcome (1000 for an answer) and its
+/// duration.
+pub(crate) fn record_request(pipeline: &Arc<str>, outcome: &'static str, duration: Duration) {
+    let pipeline = bounded_label(pipeline);
+    let labels = [("pipeline", pipeline.to_string()), ("outcome", outcome.to_owned())];
+    counter!("fernring_gateway_requests_total", &labels).increment(1);
+    histogram!("fernring_gateway_request_seconds", "pipeline" => pipeline.to_string())
+        .record(duration.as_secs_f64());
+}
+
+/// Counts a request that was rejected because it was invalid or matched no pipeline.
+pub(crate) fn record_request_refused(code: u16) {
+    counter!("fernring_gateway_refused_total", "code" => code.to_string()).increment(1);
+}
+
+/// Counts a send to an upstream, by its outcome.
+pub(crate) fn record_send(service: &Arc<str>, end: &'static str) {
+    let labels = [("service", bounded_label(service).to_string()), ("end", end.to_owned())];
+    counter!("fernring_gateway_sends_total", &labels).increment(1);
+}
+
+/// Records the end of a stage, with its outcome and duration.
+pub(crate) fn record_stage(service: &Arc<str>, outcome: &'static str, duration: Duration) {
+    let service = bounded_label(service).to_string();
+    let labels = [("service", service.clone()), ("outcome", outcome.to_owned())];
+    counter!("fernring_gateway_stages_total", &labels).increment(1);
+    histogram!("fernring_gateway_stage_seconds", "service" => service)
+        .record(duration.as_secs_f64());
+}
+
+/// Records a batch call: its number of pieces, and the number of pieces that still wait.
+pub(crate) fn record_batch(service: &Arc<str>, pieces: usize, waiting: usize) {
+    let service = bounded_label(service).to_string();
+    histogram!("fernring_gateway_batch_pieces", "service" => service.clone()).record(pieces as f64);
+    gauge!("fernring_gateway_waiting_pieces", "service" => service).set(waiting as f64);
+}
+
+/// Counts a call to the store.
+pub(crate) fn record_store_call(topic: &'static str, outcome: &'static str) {
+    counter!("fernring_gateway_store_calls_total", "topic" => topic, "outcome" => outcome)
+        .increment(1);
+}
+
+/// Counts a malformed record of the store, once for each time that it was written.
+pub(crate) fn record_rejected_record(topic: &'static str) {
+    counter!("fernring_gateway_records_refused_total", "topic" => topic).increment(1);
+}
+
+/// Counts a crash of an upstream with requests in flight.
+pub(crate) fn record_upstream_crash() {
+    counter!("fernring_gateway_upstreams_ended_total").increment(1);
+}
+
+/// Counts a send that the retry budget denied.
+pub(crate) fn record_retry_denied(service: &Arc<str>) {
+    let service = bounded_label(service).to_string();
+    counter!("fernring_gateway_budget_refused_total", "service" => service).increment(1);
+}
+
+/// Counts a permit request for an upstream that announces a limit.
+pub(crate) fn record_permit(is_granted: bool) {
+    let outcome = if is_granted { "granted" } else { "denied" };
+    counter!("fernring_gateway_limited_turns_total", "outcome" => outcome).increment(1);
+}
+
+/// Values of the gauges, read from a node when its metrics are rendered.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct GaugeValues {
+    /// Version of the configuration in force.
+    pub(crate) config_version: u64,
+    /// Time since the configuration was last read or confirmed; `None` if it never was.
+    pub(crate) config_age: Option<Duration>,
+    /// Number of live nodes, including this one.
+    pub(crate) nodes: usize,
+    /// Whether the node is a delegate of its failure domain.
+    pub(crate) is_delegate: bool,
+    /// Number of upstreams that accept work.
+    pub(crate) upstreams: usize,
+    /// Number of requests in flight.
+    pub(crate) in_flight: isize,
+    /// Number of quarantined fingerprints, whose requests are rejected because upstreams crashed
+    /// under them.
+    pub(crate) quarantined: usize,
+    /// Number of open connections from callers.
+    pub(crate) caller_connections: usize,
+    /// Number of open connections to upstreams.
+    pub(crate) upstream_connections: usize,
+    /// Number of upstreams that are cold according to their records.
+    pub(crate) cold_upstreams: usize,
+    /// Number of upstreams that announce a limit.
+    pub(crate) limited_upstreams: usize,
+    /// Number of evacuated failure domains.
+    pub(crate) evacuated_domains: usize,
+    /// Whether the last call to the store succeeded.
+    pub(crate) store_answers: bool,
+}
+
+/// Sets the number of reachable nodes by failure domain.
+pub(crate) fn set_reachable_nodes(by_domain: &BTreeMap<Arc<str>, usize>) {
+    for (domain, count) in by_domain {
+        let domain = bounded_label(domain).to_string();
+        gauge!("fernring_gateway_heard_nodes", "failure_domain" => domain).set(*count as f64);
+    }
+}
+
+/// Sets the other gauges.
+pub(crate) fn set_gauges(values: GaugeValues) {
+    gauge!("fernring_gateway_config_version").set(values.config_version as f64);
+    if let Some(age) = values.config_age {
+        gauge!("fernring_gateway_config_age_seconds").set(age.as_secs_f64());
+    }
+    gauge!("fernring_gateway_nodes").set(values.nodes as f64);
+    gauge!("fernring_gateway_delegate").set(f64::from(u8::from(values.is_delegate)));
+    gauge!("fernring_gateway_upstreams").set(values.upstreams as f64);
+    gauge!("fernring_gateway_requests_in_flight").set(values.in_flight as f64);
+    gauge!("fernring_gateway_turned_away").set(values.quarantined as f64);
+    gauge!("fernring_gateway_connections", "side" => "callers")
+        .set(values.caller_connections as f64);
+    gauge!("fernring_gateway_connections", "side" => "upstreams")
+        .set(values.upstream_connections as f64);
+    gauge!("fernring_gateway_cold_upstreams").set(values.cold_upstreams as f64);
+    gauge!("fernring_gateway_limited_upstreams").set(values.limited_upstreams as f64);
+    gauge!("fernring_gateway_evacuated_domains").set(values.evacuated_domains as f64);
+    gauge!("fernring_gateway_store_answers").set(f64::from(u8::from(values.store_answers)));
+}
--- a/crates/fernring-gateway/tests/testsuite/attempts.rs
+++ b/crates/fernring-gateway/tests/testsuite/attempts.rs
@@ -1,75 +1,75 @@
-//! How often a request may be sent, and what may be said of it.
+//! How often a request may be sent, and when it counts as not run.
 
 use {
     fernring_gateway::{
-        attempts::{Attempts, SendEnd},
-        model::Repeat,
+        attempts::{Attempts, SendOutcome},
+        model::RetryPolicy,
     },
     proptest::prelude::*,
 };
 
 #[test]
-fn a_request_that_may_run_once_is_not_sent_again_after_it_may_have_run() {
-    let mut attempts = Attempts::new(Repeat::Never, 5);
-    attempts.ended(SendEnd::Unknown);
+fn unrepeatable_request_is_not_resent_after_possible_run() {
+    let mut attempts = Attempts::new(RetryPolicy::Never, 5);
+    attempts.record_failure(SendOutcome::Unknown);
     assert!(!attempts.may_send());
     assert!(attempts.not_run().is_none());
 }
 
 #[test]
-fn a_refusal_that_says_so_allows_another_send_and_the_promise() {
-    let mut attempts = Attempts::new(Repeat::Never, 2);
-    attempts.ended(SendEnd::Refused);
+fn refusal_allows_another_send_and_proves_not_run() {
+    let mut attempts = Attempts::new(RetryPolicy::Never, 2);
+    attempts.record_failure(SendOutcome::Refused);
     assert!(attempts.may_send() && attempts.next_is_extra());
     assert!(attempts.not_run().is_some());
 }
 
 #[test]
-fn sends_that_reached_nobody_do_not_count() {
-    let mut attempts = Attempts::new(Repeat::Never, 1);
+fn sends_that_reached_no_upstream_do_not_count() {
+    let mut attempts = Attempts::new(RetryPolicy::Never, 1);
     for _ in 0..10 {
-        attempts.ended(SendEnd::NotSent);
-        attempts.ended(SendEnd::WrongInstance);
+        attempts.record_failure(SendOutcome::NotSent);
+        attempts.record_failure(SendOutcome::WrongInstance);
     }
     assert!(attempts.may_send() && !attempts.next_is_extra());
 }
 
 #[test]
-fn no_more_upstreams_than_allowed_are_sent_to() {
-    let mut attempts = Attempts::new(Repeat::Always, 2);
-    attempts.ended(SendEnd::Unknown);
+fn sends_stop_at_the_maximum() {
+    let mut attempts = Attempts::new(RetryPolicy::Always, 2);
+    attempts.record_failure(SendOutcome::Unknown);
     assert!(attempts.may_send());
-    attempts.ended(SendEnd::Refused);
+    attempts.record_failure(SendOutcome::Refused);
     assert!(!attempts.may_send());
 }
 
-fn any_end() -> impl Strategy<Value = SendEnd> {
+fn any_outcome() -> impl Strategy<Value = SendOutcome> {
     prop_oneof![
-        Just(SendEnd::NotSent),
-        Just(SendEnd::Refused),
-        Just(SendEnd::WrongInstance),
-        Just(SendEnd::Unknown),
+        Just(SendOutcome::NotSent),
+        Just(SendOutcome::Refused),
+        Just(SendOutcome::WrongInstance),
+        Just(SendOutcome::Unknown),
     ]
 }
 
 proptest! {
-    /// However sends end, a request that may not be repeated never has two sends that may have
-    /// run, and the promise is never made after one.
-    #[test]
-    fn at_most_once_and_true_promises(
-        ends in prop::collection::vec(any_end(), 0..20),
-        sends_max in 1u32..5,
-    ) {
-        let mut attempts = Attempts::new(Repeat::Never, sends_max);
-        let mut may_have_run = 0;
-        for end in ends {
-            if !attempts.may_send() {
-                break;
-            }
-            attempts.ended(end);
-            may_have_run += u32::from(end == SendEnd::Unknown);
-        }
-        prop_assert!(may_have_run <= 1);
-        prop_assert_eq!(attempts.not_run().is_some(), may_have_run == 0);
-    }
+/// For any sequence of send outcomes, a request that may not be repeated never has two sends
+/// that may have run, and the proof that nothing has run is never given after one.
+#[test]
+fn unrepeatable_request_runs_at_most_once(
+outcomes in prop::collection::vec(any_outcome(), 0..20),
+sends_max in 1u32..5,
+) {
+let mut attempts = Attempts::new(RetryPolicy::Never, sends_max);
+let mut may_have_run = 0;
+for outcome in outcomes {
+if !attempts.may_send() {
+break;
+}
+attempts.record_failure(outcome);
+may_have_run += u32::from(outcome == SendOutcome::Unknown);
+}
+prop_assert!(may_have_run <= 1);
+prop_assert_eq!(attempts.not_run().is_some(), may_have_run == 0);
+}
 }
--- a/crates/fernring-gateway/tests/testsuite/backlogs.rs
+++ b/crates/fernring-gateway/tests/testsuite/backlogs.rs
@@ -1,13 +1,13 @@
-//! What a node knows of what waits at stage services elsewhere.
+//! Estimates of the backlogs at stage services that other nodes own.
 
 use {
-    fernring_gateway::{backlog::Backlog, backlogs::Backlogs, pools::MakerPool},
-    fernring_protocol::gateway::LoadsOf,
+    fernring_gateway::{backlog::Backlog, backlogs::Backlogs, worker_pools::WorkerPool},
+    fernring_protocol::gateway::LoadScope,
     std::{net::SocketAddr, rc::Rc, time::Duration},
 };
 
-fn first() -> MakerPool {
-    MakerPool::whole("first".into())
+fn first_pool() -> WorkerPool {
+    WorkerPool::unsharded("first".into())
 }
 
 const NOW: Duration = Duration::from_secs(100);
@@ -23,88 +23,92 @@
     backlog
 }
 
-fn ahead(backlogs: &Backlogs, now: Duration) -> Option<u32> {
-    backlogs.of(now, &first(), None).map(|backlog| backlog.waiting.iter().sum())
+fn pieces_ahead(backlogs: &Backlogs, now: Duration) -> Option<u32> {
+    backlogs.estimate(now, &first_pool(), None).map(|backlog| backlog.waiting.iter().sum())
 }
 
 #[test]
-fn what_the_owner_says_and_what_all_have_promised_is_ahead() {
-    let service = first();
+fn estimate_adds_reservations_of_all_nodes() {
+    let service = first_pool();
     let [owner, other, here] = [(); 3].map(|()| Rc::new(Backlogs::default()));
-    let _theirs = other.promise(&service, 0, 5);
-    here.heard(
+    let _peer_reservation = other.reserve(&service, 0, 5);
+    here.handle_loads(
         NOW,
         peer(1),
-        &owner.described(NOW, vec![(service.clone(), backlog(20))], LoadsOf::Sender),
-        LoadsOf::Sender,
+        &owner.stage_loads(NOW, vec![(service.clone(), backlog(20))], LoadScope::Sender),
+        LoadScope::Sender,
         false,
     );
-    here.heard(
+    here.handle_loads(
         NOW,
         peer(2),
-        &other.described(NOW, Vec::new(), LoadsOf::Sender),
-        LoadsOf::Sender,
+        &other.stage_loads(NOW, Vec::new(), LoadScope::Sender),
+        LoadScope::Sender,
         false,
     );
-    assert_eq!(ahead(&here, NOW), Some(25));
-    let ours = here.promise(&service, 2, 3);
-    assert_eq!(ahead(&here, NOW), Some(28));
-    drop(ours);
-    assert_eq!(ahead(&here, NOW), Some(25), "it has come to the stage, or was given up");
-    here.lost(peer(2));
-    assert_eq!(ahead(&here, NOW), Some(20));
+    assert_eq!(pieces_ahead(&here, NOW), Some(25));
+    let own_reservation = here.reserve(&service, 2, 3);
+    assert_eq!(pieces_ahead(&here, NOW), Some(28));
+    drop(own_reservation);
+    assert_eq!(
+        pieces_ahead(&here, NOW),
+        Some(25),
+        "the request has reached the stage or was abandoned"
+    );
+    here.remove_peer(peer(2));
+    assert_eq!(pieces_ahead(&here, NOW), Some(20));
 }
 
 #[test]
-fn an_owner_that_fell_silent_says_nothing_any_more() {
+fn report_of_silent_owner_expires() {
     let here = Rc::new(Backlogs::default());
-    assert_eq!(ahead(&here, NOW), None);
-    here.heard(
+    assert_eq!(pieces_ahead(&here, NOW), None);
+    here.handle_loads(
         NOW,
         peer(1),
-        &here.described(NOW, vec![(first(), backlog(20))], LoadsOf::Sender),
-        LoadsOf::Sender,
+        &here.stage_loads(NOW, vec![(first_pool(), backlog(20))], LoadScope::Sender),
+        LoadScope::Sender,
         false,
     );
-    assert_eq!(ahead(&here, NOW + Duration::from_millis(500)), Some(20));
-    assert_eq!(ahead(&here, NOW + Duration::from_secs(1)), None);
+    assert_eq!(pieces_ahead(&here, NOW + Duration::from_millis(500)), Some(20));
+    assert_eq!(pieces_ahead(&here, NOW + Duration::from_secs(1)), None);
 }
 
 #[test]
-fn the_owner_itself_goes_by_its_own_queue() {
+fn owner_uses_its_own_backlog() {
     let here = Rc::new(Backlogs::default());
-    here.heard(
+    here.handle_loads(
         NOW,
         peer(1),
-        &here.described(NOW, vec![(first(), backlog(20))], LoadsOf::Sender),
-        LoadsOf::Sender,
+        &here.stage_loads(NOW, vec![(first_pool(), backlog(20))], LoadScope::Sender),
+        LoadScope::Sender,
         false,
     );
-    let own = here.of(NOW, &first(), Some(backlog(7)));
+    let own = here.estimate(NOW, &first_pool(), Some(backlog(7)));
     assert_eq!(own.map(|backlog| backlog.waiting[0]), Some(7));
 }
 
 #[test]
-fn promises_of_a_domain_are_added_up_by_a_delegate_and_counted_once() {
-    let service = first();
-    let [owner, follower, delegate, far] = [(); 4].map(|()| Rc::new(Backlogs::default()));
-    let owned = owner.described(NOW, vec![(service.clone(), backlog(20))], LoadsOf::Nobody);
-    for node in [&follower, &delegate, &far] {
-        node.heard(NOW, peer(1), &owned, LoadsOf::Nobody, false);
+fn delegate_sums_reservations_of_its_domain_once() {
+    let service = first_pool();
+    let [owner, follower, delegate, remote] = [(); 4].map(|()| Rc::new(Backlogs::default()));
+    let owned = owner.stage_loads(NOW, vec![(service.clone(), backlog(20))], LoadScope::Omitted);
+    for node in [&follower, &delegate, &remote] {
+        node.handle_loads(NOW, peer(1), &owned, LoadScope::Omitted, false);
     }
-    let _theirs = follower.promise(&service, 0, 5);
-    let _ours = delegate.promise(&service, 1, 2);
-    let told = follower.described(NOW, Vec::new(), LoadsOf::Sender);
-    delegate.heard(NOW, peer(2), &told, LoadsOf::Sender, false);
-    assert_eq!(ahead(&delegate, NOW), Some(27));
-    let sums = delegate.described(NOW, Vec::new(), LoadsOf::Domain);
-    far.heard(NOW, peer(3), &sums, LoadsOf::Domain, false);
-    assert_eq!(ahead(&far, NOW), Some(27));
-    follower.heard(NOW, peer(3), &sums, LoadsOf::Domain, true);
-    assert_eq!(ahead(&follower, NOW), Some(27), "what it promised itself isn't counted twice");
-    // Heartbeats in between that tell no loads leave the sums as they are.
-    far.heard(NOW, peer(3), &[], LoadsOf::Nobody, false);
-    assert_eq!(ahead(&far, NOW), Some(27));
-    let passed_on = far.described(NOW, Vec::new(), LoadsOf::Domain);
-    assert!(passed_on.is_empty(), "sums of other domains aren't passed on");
+    let _peer_reservation = follower.reserve(&service, 0, 5);
+    let _own_reservation = delegate.reserve(&service, 1, 2);
+    let reported = follower.stage_loads(NOW, Vec::new(), LoadScope::Sender);
+    delegate.handle_loads(NOW, peer(2), &reported, LoadScope::Sender, false);
+    assert_eq!(pieces_ahead(&delegate, NOW), Some(27));
+    let sums = delegate.stage_loads(NOW, Vec::new(), LoadScope::Domain);
+    remote.handle_loads(NOW, peer(3), &sums, LoadScope::Domain, false);
+    assert_eq!(pieces_ahead(&remote, NOW), Some(27));
+    follower.handle_loads(NOW, peer(3), &sums, LoadScope::Domain, true);
+    assert_eq!(pieces_ahead(&follower, NOW), Some(27), "its own reservations aren't counted twice");
+    // Heartbeats without loads leave the sums unchanged.
+    remote.handle_loads(NOW, peer(3), &[], LoadScope::Omitted, false);
+    assert_eq!(pieces_ahead(&remote, NOW), Some(27));
+    let republished = remote.stage_loads(NOW, Vec::new(), LoadScope::Domain);
+    assert!(republished.is_empty(), "sums of other domains aren't republished");
 }
--- a/crates/fernring/src/cmd/gateway.rs
+++ b/crates/fernring/src/cmd/gateway.rs
@@ -8,7 +8,7 @@
     fernring_adapter::{PlatformStore, PlatformWire, SETTINGS_VARIABLE},
     fernring_core::clock::SystemClock,
     fernring_gateway::{
-        node::{Foundation, Listeners, Node, stop_signal},
+        node::{Listeners, Node, NodeDependencies, stop_signal},
         settings::{Settings, load},
     },
     metrics_exporter_prometheus::{Matcher, PrometheusBuilder, PrometheusHandle},
@@ -58,7 +58,7 @@
         .context("could not start the runtime")?;
     let recorder = metrics_recorder()?;
     let clock = Rc::new(SystemClock::new());
-    let foundation = Foundation {
+    let foundation = NodeDependencies {
         clock: clock.clone(),
         wire: Rc::new(PlatformWire),
         store: Rc::new(PlatformStore::new(settings.store.address, clock)),
--- a/crates/fernring/src/node/order_loop.rs
+++ b/crates/fernring/src/node/order_loop.rs
@@ -7,7 +7,7 @@
     },
     crate::upstream::OrderOutcome,
     fernring_core::{orders::ORDER_STREAM, text::LogLine},
-    fernring_policy::placement::{GrantRecord, PlacementStep, TargetOrder},
+    fernring_policy::placement::{EngineOrder, GrantRecord, PlacementStep},
     futures_util::StreamExt,
     spdlog::{info, warn},
     std::{collections::BTreeSet, sync::Arc, time::Duration},
@@ -36,7 +36,7 @@
             let catalog = lock(&node.fold).catalog().clone();
             let models = lock(&node.models).clone();
             let mut placement = lock(&node.placement);
-            placement.read(now.monotonic, page.time_ms, &records);
+            placement.apply_records(now.monotonic, page.time_ms, &records);
             // A draining node takes no charge, so that another one does.
             match node.is_draining() {
                 true => PlacementStep::Idle,
@@ -81,7 +81,7 @@
     }
 }
 
-async fn send(node: &Arc<Node>, target: TargetOrder) {
+async fn send(node: &Arc<Node>, target: EngineOrder) {
     let catalog = lock(&node.fold).catalog().clone();
     let Some(upstream) = catalog.upstreams.get(&target.upstream) else {
         return;
