--- a/crates/fernring-gateway/src/crash_attribution/mod.rs
+++ b/crates/fernring-gateway/src/crash_attribution/mod.rs
@@ -1,8 +1,8 @@
 //! Attributes crashes of upstreams to the requests that were in flight there.
 //!
 //! Collects the signs of a crash, probes addresses, exchanges crash reports with the other nodes,
-//! and keeps quarantined requests in the store. The module `crash_detection` decides whether an
-//! upstream has crashed, the module `quarantine` which requests are quarantined for it.
+//! and keeps quarantined requests in the store. [`crate::crash_detection`] decides whether
+//! an upstream has crashed, [`crate::quarantine`] which requests are quarantined for it.
 
 mod persistence;
 
@@ -109,7 +109,9 @@
 
 impl std::fmt::Debug for CrashAttribution {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Blame").field("suspects", &self.quarantine).finish_non_exhaustive()
+        f.debug_struct("CrashAttribution")
+            .field("quarantine", &self.quarantine)
+            .finish_non_exhaustive()
     }
 }
 
@@ -413,7 +415,7 @@
         let mut covering_answers = Vec::new();
         for report in received.cleared {
             let clearance = fingerprint_of(&report.fingerprint)
-                .map(|c| ClearanceRecord { fingerprint: c, at: at(report.age_ms) });
+                .map(|fingerprint| ClearanceRecord { fingerprint, at: at(report.age_ms) });
             if clearance.is_some_and(|clearance| {
                 self.quarantine.borrow_mut().record_clearance(now, clearance)
             }) {
@@ -430,7 +432,9 @@
             let crashed_at = at(report.age_ms);
             let quarantine = self.quarantine.borrow();
             covering_answers.extend(
-                fingerprints.iter().filter_map(|c| quarantine.covering_answer(*c, crashed_at)),
+                fingerprints
+                    .iter()
+                    .filter_map(|fingerprint| quarantine.covering_answer(*fingerprint, crashed_at)),
             );
             drop(quarantine);
             if self.attribute(&CrashRecord { incarnation, at: crashed_at, fingerprints }) {
@@ -514,8 +518,8 @@
 }
 
 fn join_names(incarnations: &[Incarnation]) -> String {
-    let join_names: Vec<_> = incarnations.iter().map(Incarnation::to_string).collect();
-    join_names.join(",")
+    let names: Vec<_> = incarnations.iter().map(Incarnation::to_string).collect();
+    names.join(",")
 }
 
 /// Probes whether an address accepts connections.
--- a/crates/fernring-gateway/src/decide/admission.rs
+++ b/crates/fernring-gateway/src/decide/admission.rs
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct StageDemand {
     /// Indexes of the stages whose results it needs. Invariant: all are below its own index.
-    pub after: Vec<usize>,
+    pub depends_on: Vec<usize>,
     /// Number of pieces; 0 if the request leaves the stage out.
     pub pieces: u32,
     /// Backlog of its service; `None` if unknown.
@@ -74,7 +74,7 @@
 ) -> Option<Duration> {
     let mut completed_at: Vec<Duration> = Vec::with_capacity(demand.stages.len());
     for stage in &demand.stages {
-        let ready_at = stage.after.iter().map(|s| completed_at[*s]).max().unwrap_or_default();
+        let ready_at = stage.depends_on.iter().map(|s| completed_at[*s]).max().unwrap_or_default();
         let completes_at = match (stage.pieces, &stage.backlog) {
             (0, _) => ready_at,
             (_, None) => ready_at + stage.call_time,
--- a/crates/fernring-gateway/src/decide/attempts.rs
+++ b/crates/fernring-gateway/src/decide/attempts.rs
@@ -47,7 +47,7 @@
 /// Sends of one request.
 #[derive(Debug, Clone)]
 pub struct Attempts {
-    repeat: RetryPolicy,
+    retry_policy: RetryPolicy,
     sends_max: u32,
     /// Sends so far, without those that reached a different instance than intended.
     sends: u32,
@@ -56,8 +56,8 @@
 
 impl Attempts {
     /// Creates the state of a request that was not sent yet.
-    pub fn new(repeat: RetryPolicy, sends_max: u32) -> Self {
-        Self { repeat, sends_max: sends_max.max(1), sends: 0, may_have_run: false }
+    pub fn new(retry_policy: RetryPolicy, sends_max: u32) -> Self {
+        Self { retry_policy, sends_max: sends_max.max(1), sends: 0, may_have_run: false }
     }
 
     /// Records a send that ended without a response to pass on.
@@ -74,7 +74,7 @@
 
     /// Returns whether the request may be sent to another upstream.
     pub fn may_send(&self) -> bool {
-        let repeatable = self.repeat != RetryPolicy::Never;
+        let repeatable = self.retry_policy != RetryPolicy::Never;
         self.sends < self.sends_max && (repeatable || !self.may_have_run)
     }
 
--- a/crates/fernring-gateway/src/decide/backlogs.rs
+++ b/crates/fernring-gateway/src/decide/backlogs.rs
@@ -99,8 +99,10 @@
             Some(newest.backlogs[&hash].extrapolate(now.saturating_sub(newest.reported_at)))
         };
         let mut backlog = own.or_else(reported)?;
-        for (_, reserved) in
-            peers.values().flat_map(|peer| peer.reserved(now)).filter(|(s, _)| **s == hash)
+        for (_, reserved) in peers
+            .values()
+            .flat_map(|peer| peer.reserved(now))
+            .filter(|(service_hash, _)| **service_hash == hash)
         {
             backlog.add_reserved(reserved);
         }
@@ -116,7 +118,7 @@
         &self,
         now: Duration,
         own: Vec<(WorkerPool, Backlog)>,
-        loads_of: LoadScope,
+        load_scope: LoadScope,
     ) -> Vec<StageLoad> {
         let mut loads: BTreeMap<u32, StageLoad> = BTreeMap::new();
         for (pool, backlog) in own {
@@ -127,26 +129,23 @@
             load.waiting = backlog.waiting.to_vec();
             load.late = backlog.late;
         }
-        for (service, reserved) in self.reservations_of(now, loads_of) {
-            loads.entry(service).or_default().reserved = reserved.to_vec();
+        for (service_hash, reserved) in self.reservations_of(now, load_scope) {
+            loads.entry(service_hash).or_default().reserved = reserved.to_vec();
         }
-        loads
-            .into_iter()
-            .map(|(service, load)| StageLoad { service_hash: service, ..load })
-            .collect()
+        loads.into_iter().map(|(service_hash, load)| StageLoad { service_hash, ..load }).collect()
     }
 
-    fn reservations_of(&self, now: Duration, loads_of: LoadScope) -> HashMap<u32, PiecesByRank> {
+    fn reservations_of(&self, now: Duration, load_scope: LoadScope) -> HashMap<u32, PiecesByRank> {
         let own = self.reserved.borrow();
         let mut sums: HashMap<_, _> =
             own.iter().map(|(pool, reserved)| (pool.hash(), *reserved)).collect();
-        match loads_of {
+        match load_scope {
             LoadScope::Sender => *self.sent.borrow_mut() = sums.clone(),
             LoadScope::Domain => {
                 let peers = self.peers.borrow();
-                let near = peers.values().filter(|peer| !peer.is_sum);
-                for (service, reserved) in near.flat_map(|peer| peer.reserved(now)) {
-                    let sum = sums.entry(*service).or_default();
+                let in_domain = peers.values().filter(|peer| !peer.is_sum);
+                for (service_hash, reserved) in in_domain.flat_map(|peer| peer.reserved(now)) {
+                    let sum = sums.entry(*service_hash).or_default();
                     sum.iter_mut().zip(reserved).for_each(|(sum, more)| *sum += more);
                 }
             }
@@ -162,7 +161,7 @@
         now: Duration,
         peer: SocketAddr,
         loads: &[StageLoad],
-        loads_of: LoadScope,
+        load_scope: LoadScope,
         contains_own: bool,
     ) {
         let mut peers = self.peers.borrow_mut();
@@ -170,16 +169,16 @@
         let owned = loads.iter().filter(|load| load.is_owner);
         report.reported_at = now;
         report.backlogs = owned.map(|load| (load.service_hash, backlog_of(load))).collect();
-        if loads_of == LoadScope::Omitted {
+        if load_scope == LoadScope::Omitted {
             return;
         }
         report.reserved_at = now;
-        report.is_sum = loads_of == LoadScope::Domain;
+        report.is_sum = load_scope == LoadScope::Domain;
         report.reserved =
             loads.iter().map(|load| (load.service_hash, by_rank(&load.reserved))).collect();
         if contains_own {
-            for (service, own) in &*self.sent.borrow() {
-                let sum = report.reserved.entry(*service).or_default();
+            for (service_hash, own) in &*self.sent.borrow() {
+                let sum = report.reserved.entry(*service_hash).or_default();
                 sum.iter_mut().zip(own).for_each(|(sum, own)| *sum = sum.saturating_sub(*own));
             }
         }
--- a/crates/fernring-gateway/src/decide/cold.rs
+++ b/crates/fernring-gateway/src/decide/cold.rs
@@ -75,20 +75,20 @@
 
 impl ColdPermits {
     /// Returns whether a permit is left.
-    pub fn has_permit(&self, now: Duration, bounds: &ColdRateLimit, scope: PermitScope) -> bool {
+    pub fn has_permit(&self, now: Duration, limit: &ColdRateLimit, scope: PermitScope) -> bool {
         let window = window(now, scope);
         let used = if window == self.window { self.used } else { 0 };
-        used < permits_in(window, bounds, scope)
+        used < permits_in(window, limit, scope)
     }
 
     /// Uses a permit; returns whether one was left.
     pub fn try_acquire(
         &mut self,
         now: Duration,
-        bounds: &ColdRateLimit,
+        limit: &ColdRateLimit,
         scope: PermitScope,
     ) -> bool {
-        if !self.has_permit(now, bounds, scope) {
+        if !self.has_permit(now, limit, scope) {
             return false;
         }
         let window = window(now, scope);
@@ -105,8 +105,8 @@
 }
 
 /// Returns the permits of a node in a window.
-fn permits_in(window: u64, bounds: &ColdRateLimit, scope: PermitScope) -> u32 {
-    let share = bounds.max_in_window(WINDOW) / PERMIT_DIVISOR / scope.nodes.max(1) as f64;
+fn permits_in(window: u64, limit: &ColdRateLimit, scope: PermitScope) -> u32 {
+    let share = limit.max_in_window(WINDOW) / PERMIT_DIVISOR / scope.nodes.max(1) as f64;
     let draw =
         xxh3_64_with_seed(&window.to_le_bytes(), scope.node ^ scope.upstream.rotate_left(32));
     let draw = (draw >> 11) as f64 / (1u64 << 53) as f64;
--- a/crates/fernring-gateway/src/decide/crash_detection.rs
+++ b/crates/fernring-gateway/src/decide/crash_detection.rs
@@ -8,8 +8,8 @@
 //! ```
 //! use {
 //!     fernring_gateway::{
-//!         fingerprint::Fingerprint,
 //!         crash_detection::{CrashDetector, Disconnect, Incarnation, ProbeResult},
+//!         fingerprint::Fingerprint,
 //!         model::UpstreamKey,
 //!     },
 //!     std::time::Duration,
@@ -162,8 +162,8 @@
 }
 
 impl CrashDetector {
-    /// Records that the connection of a send broke; returns a crash if one is known now. `content`
-    /// is the fingerprint to attribute a crash to, if any.
+    /// Records that the connection of a send broke; returns a crash if one is known now. `fingerprint`
+    /// is that of the request to attribute a crash to, if any.
     pub fn record_disconnect(
         &mut self,
         now: Duration,
@@ -214,9 +214,9 @@
     }
 
     /// Records the result of a probe.
-    pub fn record_probe(&mut self, key: UpstreamKey, found: ProbeResult) -> Option<Crash> {
+    pub fn record_probe(&mut self, key: UpstreamKey, result: ProbeResult) -> Option<Crash> {
         let broken = self.broken.get_mut(&key)?;
-        broken.probe = Some(found);
+        broken.probe = Some(result);
         broken.take_crash()
     }
 
--- a/crates/fernring-gateway/src/decide/limits.rs
+++ b/crates/fernring-gateway/src/decide/limits.rs
@@ -39,7 +39,7 @@
 }
 
 /// The newest announcements of all upstreams, by incarnation
-/// ([`crate::model::UpstreamRecord::run_id`]).
+/// ([`crate::model::UpstreamRecord::incarnation_id`]).
 #[derive(Debug, Default)]
 pub struct AnnouncedLimits {
     announcements: HashMap<u64, AnnouncedLimit>,
--- a/crates/fernring-gateway/src/decide/quarantine.rs
+++ b/crates/fernring-gateway/src/decide/quarantine.rs
@@ -19,7 +19,7 @@
 //! ```
 //! use {
 //!     fernring_gateway::{
-//!         fingerprint::Fingerprint, crash_detection::Incarnation, quarantine::Quarantine,
+//!         crash_detection::Incarnation, fingerprint::Fingerprint, quarantine::Quarantine,
 //!     },
 //!     std::time::Duration,
 //! };
@@ -341,7 +341,7 @@
         expired
             .into_iter()
             .filter(|(_, was_quarantined)| *was_quarantined)
-            .map(|(c, _)| c)
+            .map(|(fingerprint, _)| fingerprint)
             .collect()
     }
 
@@ -358,8 +358,8 @@
 
     /// Keeps the number of attributions bounded.
     fn evict_excess(&mut self) {
-        let expired = self.attributions.len().saturating_sub(ATTRIBUTIONS_MAX);
-        if expired == 0 {
+        let excess = self.attributions.len().saturating_sub(ATTRIBUTIONS_MAX);
+        if excess == 0 {
             return;
         }
         let mut order: Vec<_> = self.attributions.iter().collect();
@@ -367,7 +367,7 @@
             (attribution.crashes.len(), attribution.last_at(), **fingerprint)
         });
         let evicted: HashSet<_> =
-            order[..expired].iter().map(|(fingerprint, _)| **fingerprint).collect();
+            order[..excess].iter().map(|(fingerprint, _)| **fingerprint).collect();
         self.attributions.retain(|fingerprint, _| !evicted.contains(fingerprint));
     }
 }
--- a/crates/fernring-gateway/src/decide/stage_plan.rs
+++ b/crates/fernring-gateway/src/decide/stage_plan.rs
@@ -101,7 +101,7 @@
     }
 
     /// Returns whether any stage produces results of at least `bytes`.
-    pub fn makes_large_results(&self, bytes: u64) -> bool {
+    pub fn produces_large_results(&self, bytes: u64) -> bool {
         let large = |(spec, count): (&StageSpec, &u32)| *count > 0 && spec.result_bytes >= bytes;
         self.stages.iter().zip(&self.counts).any(large)
     }
--- a/crates/fernring-gateway/src/decide/workers.rs
+++ b/crates/fernring-gateway/src/decide/workers.rs
@@ -27,13 +27,14 @@
 const SLOW_CALLS_MIN: u32 = 2;
 /// How long a slow worker is left out before it is tried again.
 const SLOW_TIME: Duration = Duration::from_millis(1_500);
+
 /// A result that is stored at its worker.
 #[derive(Debug)]
 pub struct StoredResult {
     /// Size in bytes.
     pub bytes: u64,
     /// Time at which it was produced.
-    pub made_at: Duration,
+    pub produced_at: Duration,
     /// The node that requested it.
     pub requester: SocketAddr,
 }
@@ -120,7 +121,7 @@
     }
 
     fn expire(&mut self, now: Duration, shape: &BatchConfig) {
-        self.results.retain(|_, result| now < result.made_at + shape.result_lifetime);
+        self.results.retain(|_, result| now < result.produced_at + shape.result_lifetime);
         self.unknown_bytes = match self.unknown_bytes {
             Some((bytes, until)) if now >= until => {
                 let is_significant = bytes > shape.result_capacity_bytes / UNKNOWN_DIVISOR;
--- a/crates/fernring-gateway/src/lib.rs
+++ b/crates/fernring-gateway/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! [`decide`] contains the node's decisions, without I/O. [`members`] tracks the other nodes,
 //! [`store`] reads and writes the platform's store, and [`serving`] handles single requests.
-//! `crash_attribution` finds the requests under which upstreams crash. The traits in [`wire`]
+//! [`crash_attribution`] finds the requests under which upstreams crash. The traits in [`wire`]
 //! separate the gateway from a platform's formats and calls. Everything runs on one thread.
 //!
 //! ```
--- a/crates/fernring-gateway/src/members/delegates.rs
+++ b/crates/fernring-gateway/src/members/delegates.rs
@@ -190,16 +190,16 @@
         let slow_rounds =
             SLOW_HEARTBEAT_INTERVAL.as_millis() as u64 / HEARTBEAT_INTERVAL.as_millis() as u64;
         let mut targets = Vec::new();
-        let mut has_near_delegate = false;
+        let mut has_domain_delegate = false;
         for delegate in members.live(now).filter(|delegate| delegate.is_delegate) {
             if delegate.failure_domain == me.failure_domain {
-                has_near_delegate = true;
+                has_domain_delegate = true;
                 targets.push((delegate.address, HeartbeatRate::Fast));
             } else if round.wrapping_add(delegate.hash()).is_multiple_of(slow_rounds) {
                 targets.push((delegate.address, HeartbeatRate::Slow));
             }
         }
-        if !has_near_delegate {
+        if !has_domain_delegate {
             let contacts: Vec<_> = members.contacts().into_iter().collect();
             let start = round as usize * CONTACTS_PER_ROUND;
             let contacted = (0..contacts.len().min(CONTACTS_PER_ROUND))
--- a/crates/fernring-gateway/src/members/mod.rs
+++ b/crates/fernring-gateway/src/members/mod.rs
@@ -49,7 +49,7 @@
 /// A node as it describes itself in its heartbeats.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// Identity of this run of its process.
+    /// Incarnation of its process.
     pub incarnation: u64,
     /// Address at which peers connect to it.
     pub address: SocketAddr,
@@ -203,8 +203,8 @@
         self.live(now).count() + 1
     }
 
-    /// Forgets the peers that are no delegates, except for their addresses, and returns them. A
-    /// node that is itself a follower receives no further heartbeats of them.
+    /// Forgets the peers that are not delegates, except for their addresses, and returns them. A
+    /// node that is itself a follower receives no further heartbeats from them.
     pub fn drop_followers(&mut self, now: Duration) -> Vec<SocketAddr> {
         let followers = self.peers.iter().filter(|(_, peer)| !peer.member.is_delegate);
         let followers: Vec<_> = followers.map(|(address, _)| *address).collect();
--- a/crates/fernring-gateway/src/members/peers.rs
+++ b/crates/fernring-gateway/src/members/peers.rs
@@ -147,7 +147,7 @@
         self.members.borrow_mut().suggest(self.now(), others);
     }
 
-    /// Returns the identity of this run of the process.
+    /// Returns the incarnation of this node's process.
     pub fn incarnation(&self) -> u64 {
         self.me.borrow().incarnation
     }
@@ -239,9 +239,9 @@
     /// Forwards a message to the followers of this node, if there are any.
     pub fn send_to_followers(self: &Rc<Self>, body: GatewayBody) {
         let (role, me) = (self.role.borrow(), self.me.borrow());
-        let dependents = role.followers(self.now(), &me, &self.members.borrow());
+        let followers = role.followers(self.now(), &me, &self.members.borrow());
         drop((role, me));
-        self.send_to(&dependents, body);
+        self.send_to(&followers, body);
     }
 
     fn send_to(self: &Rc<Self>, peers: &[SocketAddr], body: GatewayBody) {
--- a/crates/fernring-gateway/src/node.rs
+++ b/crates/fernring-gateway/src/node.rs
@@ -382,7 +382,7 @@
         };
         self.retries.set_allowance(settings.retries.allowance());
         self.serving.decide_settings.set(settings.decide);
-        self.upstreams.set_cold_bounds(settings.cold);
+        self.upstreams.set_cold_settings(settings.cold);
         self.serving.rollouts.set_settings(settings.rollout);
         self.loops.evacuation_bound.set(settings.evacuation.within());
         self.peers.suggest(settings.node.seeds.iter().copied());
@@ -473,15 +473,15 @@
 
     /// Sends the configuration to a peer, or defers it if too much has been sent recently.
     fn send_config(&self, peer: SocketAddr) {
-        let Some(active) = self.config.borrow().current() else {
+        let Some(current) = self.config.borrow().current() else {
             return;
         };
         let config = CompressedConfig {
-            compressed: active.compressed.clone(),
-            end: active.end.offset,
-            era: active.end.era,
+            compressed: current.compressed.clone(),
+            end: current.end.offset,
+            era: current.end.era,
         };
-        let bytes = active.compressed.len();
+        let bytes = current.compressed.len();
         self.send_or_defer(peer, TailedTopic::Config, bytes, GatewayBody::Config(config));
     }
 
@@ -548,9 +548,9 @@
         }
     }
 
-    fn mark_deferred(&self, topic: TailedTopic) {
-        let mut following = self.loops.tailing(topic).borrow_mut();
-        following.handle_deferral(self.serving.now(), rand::random());
+    fn handle_deferral(&self, topic: TailedTopic) {
+        let mut tailing = self.loops.tailing(topic).borrow_mut();
+        tailing.handle_deferral(self.serving.now(), rand::random());
     }
 
     fn handle_directory(&self, mut records: DirectoryRecords) {
@@ -593,8 +593,8 @@
                 let end = Position::new(config.era, config.end);
                 self.loops.handle_peer_config(config.compressed, end);
             }
-            GatewayBody::ConfigDeferred(_) => self.mark_deferred(TailedTopic::Config),
-            GatewayBody::DirectoryDeferred(_) => self.mark_deferred(TailedTopic::Upstreams),
+            GatewayBody::ConfigDeferred(_) => self.handle_deferral(TailedTopic::Config),
+            GatewayBody::DirectoryDeferred(_) => self.handle_deferral(TailedTopic::Upstreams),
             GatewayBody::DirectoryRequest(request) => {
                 self.send_directory(sender, Position::new(request.era, request.since));
             }
--- a/crates/fernring-gateway/src/owner/calls.rs
+++ b/crates/fernring-gateway/src/owner/calls.rs
@@ -41,10 +41,10 @@
         target: Target,
         batch: Batch,
     ) {
-        let Batch { pieces: tasks, limit: bound } = batch;
-        let bytes: u64 = tasks.iter().map(|task| task.result_bytes).sum();
+        let Batch { pieces, limit } = batch;
+        let bytes: u64 = pieces.iter().map(|piece| piece.result_bytes).sum();
         let started = self.now();
-        let expected = expected_call_time(&shape, tasks.len());
+        let expected = expected_call_time(&shape, pieces.len());
         if let Some(worker) = self.workers.borrow_mut().get_or_create(target.key) {
             worker.record_call_start(started + expected, bytes);
         }
@@ -53,10 +53,10 @@
         let pool = pool.clone();
         let waiting = self.queues.borrow().get(&pool).map_or(0, BatchQueue::len);
         spawn_local(async move {
-            let call = owner.call(&pool, &target, connections_max, &shape, &tasks);
+            let call = owner.call(&pool, &target, connections_max, &shape, &pieces);
             let (result, was_overdue) =
-                owner.await_call(call, &pool, &target, &shape, &tasks).await;
-            owner.log_call(&pool, &target, &tasks, started, waiting, bound);
+                owner.await_call(call, &pool, &target, &shape, &pieces).await;
+            owner.log_call(&pool, &target, &pieces, started, waiting, limit);
             let now = owner.now();
             if let Some(worker) = owner.workers.borrow_mut().get_mut(target.key) {
                 worker.record_call_end(bytes);
@@ -64,20 +64,20 @@
                     worker.record_call_time(now, now.saturating_sub(started), expected);
                 }
             }
-            if result.is_ok() && matches!(bound, BatchLimit::Slots | BatchLimit::FreeBytes) {
+            if result.is_ok() && matches!(limit, BatchLimit::Slots | BatchLimit::FreeBytes) {
                 let elapsed = now.saturating_sub(started);
                 let mut throughputs = owner.throughputs.borrow_mut();
                 throughputs.entry(pool.clone()).or_default().record_saturated_call(
                     &shape,
-                    tasks.len(),
+                    pieces.len(),
                     elapsed,
                 );
             }
             let has_crashed = match &result {
-                Err(CallFailure::Broken(loss)) => owner.has_crashed(&target, &tasks, loss).await,
+                Err(CallFailure::Broken(loss)) => owner.has_crashed(&target, &pieces, loss).await,
                 _ => false,
             };
-            owner.handle_call_end(&pool, &target, tasks, result, was_overdue, has_crashed);
+            owner.handle_call_end(&pool, &target, pieces, result, was_overdue, has_crashed);
             owner.dispatch(&pool);
         });
     }
@@ -86,16 +86,21 @@
     async fn has_crashed(
         &self,
         target: &Target,
-        tasks: &[QueuedPiece],
+        pieces: &[QueuedPiece],
         loss: &ConnectionLoss,
     ) -> bool {
-        let Some(how) = loss.kind else {
+        let Some(disconnect) = loss.kind else {
             return false;
         };
-        let first = tasks.first().map(|task| task.fingerprint);
-        let is_single_request = tasks.iter().all(|task| Some(task.fingerprint) == first);
-        self.crash_attribution.record_broken_send(target, how, first.filter(|_| is_single_request));
-        how == Disconnect::Closed && self.crash_attribution.has_upstream_crashed(target.key).await
+        let first = pieces.first().map(|piece| piece.fingerprint);
+        let is_single_request = pieces.iter().all(|piece| Some(piece.fingerprint) == first);
+        self.crash_attribution.record_broken_send(
+            target,
+            disconnect,
+            first.filter(|_| is_single_request),
+        );
+        disconnect == Disconnect::Closed
+            && self.crash_attribution.has_upstream_crashed(target.key).await
     }
 
     /// Waits until a call ends. Once the call is overdue, copies of its pieces are queued for other workers. Returns the call's
@@ -106,21 +111,21 @@
         pool: &WorkerPool,
         target: &Target,
         shape: &BatchConfig,
-        tasks: &[QueuedPiece],
+        pieces: &[QueuedPiece],
     ) -> (T, bool) {
         if !self.decide_settings.get().copies {
             return (call.await, false);
         }
         let mut call = pin!(call);
-        let overdue_time = overdue_after(shape, tasks.len());
+        let overdue_time = overdue_after(shape, pieces.len());
         if let Ok(result) = timeout(overdue_time, &mut call).await {
             return (result, false);
         }
         let line = LogLine::event("stage_call_overdue").with("service", &pool.service);
-        let line = line.with("upstream", &target.instance).with("pieces", tasks.len());
+        let line = line.with("upstream", &target.instance).with("pieces", pieces.len());
         log::info(line.with("after_ms", overdue_time.as_millis()));
-        for task in tasks.iter().filter(|task| may_call_again(task)) {
-            self.requeue(pool, QueuedPiece { calls: task.calls + 1, ..task.clone() });
+        for piece in pieces.iter().filter(|piece| may_call_again(piece)) {
+            self.requeue(pool, QueuedPiece { calls: piece.calls + 1, ..piece.clone() });
         }
         self.dispatch(pool);
         (call.await, true)
@@ -130,20 +135,20 @@
         &self,
         pool: &WorkerPool,
         target: &Target,
-        tasks: &[QueuedPiece],
+        pieces: &[QueuedPiece],
         started: Duration,
         waiting: usize,
-        bound: BatchLimit,
+        limit: BatchLimit,
     ) {
-        telemetry::record_batch(&pool.service, tasks.len(), waiting);
+        telemetry::record_batch(&pool.service, pieces.len(), waiting);
         let kept_bytes = self.workers.borrow().get(target.key).map_or(0, Worker::used_bytes);
         let line = LogLine::event("stage_call")
             .with("service", &pool.service)
             .with_some("of_domain", pool.failure_domain.as_ref())
             .with("upstream", &target.instance)
-            .with("pieces", tasks.len())
+            .with("pieces", pieces.len())
             .with("waiting", waiting)
-            .with("bound", bound.name())
+            .with("bound", limit.name())
             .with("kept_bytes", kept_bytes)
             .with("took_ms", self.now().saturating_sub(started).as_millis());
         log::info(line);
@@ -160,29 +165,29 @@
         target: &Target,
         connections_max: u32,
         shape: &BatchConfig,
-        tasks: &[QueuedPiece],
+        queued: &[QueuedPiece],
     ) -> Result<Vec<PieceOutcome>, CallFailure> {
         let now = self.now();
-        let piece = |task: &QueuedPiece| Piece {
-            remaining: task.deadline_at.saturating_sub(now),
-            ..task.piece.clone()
+        let piece = |queued: &QueuedPiece| Piece {
+            remaining: queued.deadline_at.saturating_sub(now),
+            ..queued.piece.clone()
         };
-        let pieces: Vec<_> = tasks.iter().map(piece).collect();
+        let pieces: Vec<_> = queued.iter().map(piece).collect();
         let call = self.wire.encode_batch(&pieces);
         self.record_traffic(pool, call.body.len());
-        let ranks = tasks.iter().map(|task| rank_index(task.priority));
-        let sending = UpstreamSend {
+        let ranks = queued.iter().map(|piece| rank_index(piece.priority));
+        let send = UpstreamSend {
             request: self.request(target, call.path, call.body),
             rank: ranks.min().unwrap_or(0),
-            residency: tasks
+            residency: queued
                 .iter()
-                .fold(Residency::default(), |all, task| all.intersect(&task.residency)),
+                .fold(Residency::default(), |all, piece| all.intersect(&piece.residency)),
             connections_max,
         };
-        let expected = expected_call_time(shape, tasks.len());
+        let expected = expected_call_time(shape, queued.len());
         let tracked = self.rollouts.track_call(&pool.service, target);
         let exchange = async {
-            let response = self.upstreams.send(target, sending).await?;
+            let response = self.upstreams.send(target, send).await?;
             let fields = self.wire.decode_response(response.head.status, &response.head.headers);
             if !fields.wrong_instance {
                 self.upstreams.record_announced_limit(target, now, fields.limit);
@@ -210,7 +215,7 @@
             }
         }
         let outcomes = outcomes?;
-        if outcomes.len() != tasks.len() {
+        if outcomes.len() != queued.len() {
             return Err(CallFailure::Failed(
                 "the response has the wrong number of outcomes".to_owned(),
             ));
@@ -237,7 +242,7 @@
             return;
         };
         let call = self.wire.encode_release(&handles);
-        let sending = UpstreamSend {
+        let send = UpstreamSend {
             request: self.request(&target, call.path, call.body),
             rank: RANKS - 1,
             // A release holds only handles, and no data of a request.
@@ -245,12 +250,12 @@
             connections_max: self.connections_max(key),
         };
         let exchange = async {
-            let response = self.upstreams.send_release(&target, sending).await?;
+            let response = self.upstreams.send_release(&target, send).await?;
             response.body.collect().await.map_err(|e| SendFailure::Broken((&e).into()))
         };
         let released = timeout(CALL_TIMEOUT_EXTRA, exchange).await;
         if let Ok(Err(SendFailure::Ineligible(_))) = released {
-            // The upstream may get nothing now: the handles go with the next release.
+            // The upstream may get nothing now, so the handles go with the next release.
             self.releases.borrow_mut().entry(key).or_default().extend(handles);
             return;
         }
--- a/crates/fernring-gateway/src/owner/mod.rs
+++ b/crates/fernring-gateway/src/owner/mod.rs
@@ -3,7 +3,7 @@
 //! [`calls`] sends the batches to the workers, [`outcomes`] handles the outcomes of the pieces.
 //!
 //! Each worker gets one call at a time. A piece whose call failed goes into another call, up to
-//! [`CALLS_MAX`](crate::batching::CALLS_MAX) calls in all.
+//! [`CALLS_PER_PIECE_MAX`](crate::batching::CALLS_PER_PIECE_MAX) calls in all.
 //! Pieces may be computed more than once, so further calls don't draw on the retry budget.
 
 mod calls;
@@ -220,9 +220,9 @@
             throughput.record_arrivals(now, rank_index(work.priority), work.pieces);
         }
         // A suspect goes into calls of its own, so that no other request shares the attribution of a crash.
-        let is_apart = self.crash_attribution.is_suspect(work.fingerprint);
+        let is_isolated = self.crash_attribution.is_suspect(work.fingerprint);
         for number in 0..work.pieces {
-            queue.push(task(id, &work, number, is_apart));
+            queue.push(queued_piece(id, &work, number, is_isolated));
         }
         drop(queues);
         self.dispatch(&work.pool);
@@ -393,12 +393,12 @@
                     let workers_in = |domain: &str| {
                         domain_workers.get_or_count(domain, || self.workers_in(pool, domain))
                     };
-                    let taker = TargetWorker {
+                    let worker = TargetWorker {
                         failure_domain: &target.failure_domain,
                         free_bytes,
                         workers: workers.len(),
                     };
-                    queue.take_batch(now, &shape, taker, &self.decide_settings.get(), workers_in)
+                    queue.take_batch(now, &shape, worker, &self.decide_settings.get(), workers_in)
                 }
                 None => return,
             };
@@ -414,8 +414,8 @@
     }
 
     fn service(&self, name: &Arc<str>) -> Option<(Service, BatchConfig)> {
-        let held = self.config.borrow().current()?;
-        let service = held.config.services.get(name)?;
+        let current = self.config.borrow().current()?;
+        let service = current.config.services.get(name)?;
         Some((service.clone(), service.batch?))
     }
 
@@ -466,7 +466,7 @@
             Some(queue) => queue.take_expired(now, shape, &backlog, &self.decide_settings.get()),
             None => return,
         };
-        let works: HashSet<_> = expired.into_iter().map(|task| task.work).collect();
+        let works: HashSet<_> = expired.into_iter().map(|piece| piece.work).collect();
         for work in works {
             self.finish_work(work, WorkOutcome::Late);
         }
@@ -599,11 +599,11 @@
     drop(reply.send(outcome));
 }
 
-fn task(work_id: u64, work: &Work, number: u32, is_apart: bool) -> QueuedPiece {
+fn queued_piece(work_id: u64, work: &Work, number: u32, is_isolated: bool) -> QueuedPiece {
     QueuedPiece {
         work: work_id,
         fingerprint: work.fingerprint,
-        is_isolated: is_apart,
+        is_isolated,
         piece: Piece {
             request_id: work.request_id.clone(),
             stage: work.stage,
--- a/crates/fernring-gateway/src/owner/outcomes.rs
+++ b/crates/fernring-gateway/src/owner/outcomes.rs
@@ -20,14 +20,14 @@
         &self,
         pool: &WorkerPool,
         target: &Target,
-        tasks: Vec<QueuedPiece>,
+        pieces: Vec<QueuedPiece>,
         result: Result<Vec<PieceOutcome>, CallFailure>,
         was_overdue: bool,
         has_crashed: bool,
     ) {
         let now = self.now();
         // Another copy of such a piece waits already or is in a call.
-        let has_copy = |task: &QueuedPiece| was_overdue && may_call_again(task);
+        let has_copy = |piece: &QueuedPiece| was_overdue && may_call_again(piece);
         let outcomes = match result {
             Ok(outcomes) => {
                 self.upstreams.record_success(target.key);
@@ -45,35 +45,36 @@
                 let line = LogLine::event("stage_call_failed")
                     .with("service", &pool.service)
                     .with("upstream", &target.instance)
-                    .with("pieces", tasks.len())
+                    .with("pieces", pieces.len())
                     .with("error", &failure);
                 log::warn(line);
                 if matches!(failure, CallFailure::Ineligible(Ineligible::OutsideRegions)) {
                     // The region of this failure domain has changed since the pieces were submitted: their requester must
                     // choose another one.
-                    tasks
+                    pieces
                         .iter()
-                        .for_each(|task| self.finish_work(task.work, WorkOutcome::NoWorkers));
+                        .for_each(|piece| self.finish_work(piece.work, WorkOutcome::NoWorkers));
                     return;
                 }
-                let first = tasks.first().map(|task| task.fingerprint);
-                let has_other_requests = tasks.iter().any(|task| Some(task.fingerprint) != first);
+                let first = pieces.first().map(|piece| piece.fingerprint);
+                let has_other_requests =
+                    pieces.iter().any(|piece| Some(piece.fingerprint) != first);
                 let is_crash_of_several = has_crashed && has_other_requests;
                 // A crash that another request may have caused doesn't count as a failed call of a piece.
                 let was_sent =
                     !matches!(failure, CallFailure::NotSent(_) | CallFailure::Ineligible(_));
                 let is_counted = was_sent && !is_crash_of_several;
-                for task in tasks.into_iter().filter(|task| !has_copy(task)) {
-                    let is_apart = task.is_isolated || is_crash_of_several;
-                    self.retry(pool, QueuedPiece { is_isolated: is_apart, ..task }, is_counted);
+                for piece in pieces.into_iter().filter(|piece| !has_copy(piece)) {
+                    let is_isolated = piece.is_isolated || is_crash_of_several;
+                    self.retry(pool, QueuedPiece { is_isolated, ..piece }, is_counted);
                 }
                 return;
             }
         };
-        for (task, outcome) in tasks.into_iter().zip(outcomes) {
+        for (piece, outcome) in pieces.into_iter().zip(outcomes) {
             let is_retried = matches!(outcome, PieceOutcome::NoCapacity | PieceOutcome::Failed);
-            if !(is_retried && has_copy(&task)) {
-                self.handle_piece_outcome(pool, target, task, outcome);
+            if !(is_retried && has_copy(&piece)) {
+                self.handle_piece_outcome(pool, target, piece, outcome);
             }
         }
     }
@@ -82,18 +83,18 @@
         &self,
         pool: &WorkerPool,
         target: &Target,
-        task: QueuedPiece,
+        piece: QueuedPiece,
         outcome: PieceOutcome,
     ) {
         match outcome {
-            PieceOutcome::Completed(handle) => self.complete_piece(pool, target, &task, handle),
-            PieceOutcome::Late => self.finish_work(task.work, WorkOutcome::Late),
-            PieceOutcome::InputGone => self.finish_work(task.work, WorkOutcome::InputGone),
+            PieceOutcome::Completed(handle) => self.complete_piece(pool, target, &piece, handle),
+            PieceOutcome::Late => self.finish_work(piece.work, WorkOutcome::Late),
+            PieceOutcome::InputGone => self.finish_work(piece.work, WorkOutcome::InputGone),
             PieceOutcome::NoCapacity => {
-                self.record_full_worker(pool, target, &task);
-                self.requeue(pool, task);
+                self.record_full_worker(pool, target, &piece);
+                self.requeue(pool, piece);
             }
-            PieceOutcome::Failed => self.retry(pool, task, true),
+            PieceOutcome::Failed => self.retry(pool, piece, true),
         }
     }
 
@@ -101,24 +102,24 @@
         &self,
         pool: &WorkerPool,
         target: &Target,
-        task: &QueuedPiece,
+        piece: &QueuedPiece,
         handle: Arc<str>,
     ) {
         if let Some(worker) = self.workers.borrow_mut().get_mut(target.key) {
-            let kept = StoredResult {
-                bytes: task.result_bytes,
-                made_at: self.now(),
-                requester: task.requester,
+            let stored = StoredResult {
+                bytes: piece.result_bytes,
+                produced_at: self.now(),
+                requester: piece.requester,
             };
-            worker.add_result(handle.clone(), kept);
+            worker.add_result(handle.clone(), stored);
         }
         let mut works = self.works.borrow_mut();
-        let Some(work) = works.get_mut(&task.work) else {
+        let Some(work) = works.get_mut(&piece.work) else {
             drop(works);
             self.release(&pool.service, [handle]);
             return;
         };
-        let slot = &mut work.handles[task.piece.number as usize];
+        let slot = &mut work.handles[piece.piece.number as usize];
         if slot.is_some() {
             // A copy of the piece was completed earlier by another worker.
             drop(works);
@@ -127,12 +128,12 @@
         }
         *slot = Some(handle);
         if let Some(queue) = self.queues.borrow_mut().get_mut(pool) {
-            queue.remove_piece(task.work, task.piece.number);
+            queue.remove_piece(piece.work, piece.piece.number);
         }
         if work.handles.iter().any(Option::is_none) {
             return;
         }
-        if let Some(work) = works.remove(&task.work) {
+        if let Some(work) = works.remove(&piece.work) {
             drop(works);
             let handles = work.handles.into_iter().flatten().collect();
             if let Err(WorkOutcome::Completed(handles)) =
@@ -145,7 +146,7 @@
 
     /// Records that a worker has less capacity than this owner knows: it holds results of another owner, or results are larger
     /// than announced.
-    fn record_full_worker(&self, pool: &WorkerPool, target: &Target, task: &QueuedPiece) {
+    fn record_full_worker(&self, pool: &WorkerPool, target: &Target, piece: &QueuedPiece) {
         let Some((_, shape)) = self.service(&pool.service) else {
             return;
         };
@@ -157,34 +158,34 @@
         if worker.record_capacity_refusal(self.now(), &shape) {
             let line = LogLine::event("maker_full").with("upstream", &target.instance);
             let line = line.with("service", &pool.service).with("kept_bytes", kept_bytes);
-            log::info(line.with("result_bytes", task.result_bytes));
+            log::info(line.with("result_bytes", piece.result_bytes));
         }
     }
 
-    /// Queues a piece again whose call failed, or fails its work after [`CALLS_MAX`] calls. `is_counted` says whether the failed
+    /// Queues a piece again whose call failed, or fails its work after [`CALLS_PER_PIECE_MAX`] calls. `is_counted` says whether the failed
     /// call counts as one of these.
-    fn retry(&self, pool: &WorkerPool, mut task: QueuedPiece, is_counted: bool) {
-        if self.is_done(&task) {
+    fn retry(&self, pool: &WorkerPool, mut piece: QueuedPiece, is_counted: bool) {
+        if self.is_done(&piece) {
             return;
         }
-        task.calls += u32::from(is_counted);
-        match task.calls < CALLS_PER_PIECE_MAX {
-            true => self.requeue(pool, task),
-            false => self.finish_work(task.work, WorkOutcome::Failed),
+        piece.calls += u32::from(is_counted);
+        match piece.calls < CALLS_PER_PIECE_MAX {
+            true => self.requeue(pool, piece),
+            false => self.finish_work(piece.work, WorkOutcome::Failed),
         }
     }
 
-    pub(super) fn requeue(&self, pool: &WorkerPool, task: QueuedPiece) {
-        if !self.is_done(&task) {
-            self.queues.borrow_mut().entry(pool.clone()).or_default().push(task);
+    pub(super) fn requeue(&self, pool: &WorkerPool, piece: QueuedPiece) {
+        if !self.is_done(&piece) {
+            self.queues.borrow_mut().entry(pool.clone()).or_default().push(piece);
         }
     }
 
     /// Returns whether a piece is completed or its result isn't needed any more.
-    fn is_done(&self, task: &QueuedPiece) -> bool {
+    fn is_done(&self, piece: &QueuedPiece) -> bool {
         let works = self.works.borrow();
-        let work = works.get(&task.work);
-        work.is_none_or(|work| work.handles[task.piece.number as usize].is_some())
+        let work = works.get(&piece.work);
+        work.is_none_or(|work| work.handles[piece.piece.number as usize].is_some())
     }
 
     pub(super) fn finish_work(&self, work: u64, outcome: WorkOutcome) {
@@ -202,6 +203,6 @@
 }
 
 /// Returns whether a piece may go into a further call.
-pub(super) fn may_call_again(task: &QueuedPiece) -> bool {
-    task.calls + 1 < CALLS_PER_PIECE_MAX
+pub(super) fn may_call_again(piece: &QueuedPiece) -> bool {
+    piece.calls + 1 < CALLS_PER_PIECE_MAX
 }
--- a/crates/fernring-gateway/src/rollout/coordinator.rs
+++ b/crates/fernring-gateway/src/rollout/coordinator.rs
@@ -119,7 +119,7 @@
 impl std::fmt::Debug for TrackedSend {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("TrackedSend")
-            .field("is_ordered", &self.is_destination)
+            .field("is_destination", &self.is_destination)
             .finish_non_exhaustive()
     }
 }
@@ -726,8 +726,8 @@
     }
 
     fn longest_request(&self, service: &str) -> Duration {
-        let held = self.config.borrow().current();
-        let routes = held.iter().flat_map(|held| &held.config.routes);
+        let current = self.config.borrow().current();
+        let routes = current.iter().flat_map(|current| &current.config.routes);
         let to_service =
             routes.filter(|route| route.traffic_split.iter().any(|s| &*s.service == service));
         to_service.map(|route| route.timeout).max().unwrap_or_default()
--- a/crates/fernring-gateway/src/serving/context.rs
+++ b/crates/fernring-gateway/src/serving/context.rs
@@ -47,7 +47,7 @@
 
 impl std::fmt::Debug for ServingContext {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Serving").field("in_flight", &self.in_flight).finish_non_exhaustive()
+        f.debug_struct("ServingContext").field("in_flight", &self.in_flight).finish_non_exhaustive()
     }
 }
 
--- a/crates/fernring-gateway/src/serving/exchange/admitting.rs
+++ b/crates/fernring-gateway/src/serving/exchange/admitting.rs
@@ -22,9 +22,9 @@
         if has_no_pieces || !self.serving.decide_settings.get().admission {
             return Ok(());
         }
-        let need = self.admission_need();
-        let verdict = decide(&need);
-        let (name, forecast) = match verdict {
+        let demand = self.admission_demand();
+        let decision = decide(&demand);
+        let (name, forecast) = match decision {
             AdmissionDecision::InTime(time) => ("in_time", Some(time)),
             AdmissionDecision::Late(time) => ("late", Some(time)),
             AdmissionDecision::Refused(_) => ("refused", None),
@@ -34,17 +34,17 @@
             .with("pipeline", &self.route.name)
             .with("verdict", name)
             .with_some("forecast_ms", forecast.map(|time| time.as_millis()))
-            .with("objective_ms", need.objective_left.as_millis());
+            .with("objective_ms", demand.objective_left.as_millis());
         log::info(line);
         self.forecast_time = forecast;
-        if let AdmissionDecision::Refused(after) = verdict {
+        if let AdmissionDecision::Refused(after) = decision {
             return Err(self.refusal_with_forecast(ResultCode::ExpiredInQueue, "overload", after));
         }
         let backlogs = self.serving.stages.backlogs();
         for stage in (0..stages).filter(|stage| self.plan.piece_count(*stage) > 0) {
             let (pieces, spec) = (self.plan.piece_count(stage), self.plan.spec(stage));
             if let Some(pool) = self.likely_pool(&spec.service) {
-                let reservation = backlogs.reserve(&pool, need.rank, pieces);
+                let reservation = backlogs.reserve(&pool, demand.rank, pieces);
                 self.reservations.insert(stage, reservation);
             }
         }
@@ -56,10 +56,10 @@
         self.serving.stages.pool_for(service, None, &self.request.id, &self.residency)
     }
 
-    fn admission_need(&self) -> RequestDemand {
+    fn admission_demand(&self) -> RequestDemand {
         let current = self.serving.config.borrow().current();
         let now = self.serving.now();
-        let stage_need = |stage: usize| {
+        let stage_demand = |stage: usize| {
             let spec = self.plan.spec(stage);
             let pieces = self.plan.piece_count(stage);
             let backlog = self.likely_pool(&spec.service);
@@ -71,11 +71,11 @@
             let call_time = shape.map_or(Duration::ZERO, |shape| {
                 expected_call_time(&shape, shape.pieces_max.min((pieces + waiting) as usize))
             });
-            StageDemand { after: spec.depends_on.clone(), pieces, backlog, call_time }
+            StageDemand { depends_on: spec.depends_on.clone(), pieces, backlog, call_time }
         };
         RequestDemand {
             rank: rank_index(self.priority()),
-            stages: (0..self.route.stages.len()).map(stage_need).collect(),
+            stages: (0..self.route.stages.len()).map(stage_demand).collect(),
             prefill_time: self.prefill_time(),
             objective_left: self.objective_at.saturating_sub(now),
             time_left: self.patience_ends_at.saturating_sub(now),
--- a/crates/fernring-gateway/src/serving/exchange/mod.rs
+++ b/crates/fernring-gateway/src/serving/exchange/mod.rs
@@ -66,7 +66,7 @@
     load: LoadGuard,
     _attribution_guard: InFlightGuard,
     /// The tracking of this send for the comparison of versions, if its service has a roll-out order.
-    trial: Option<TrackedSend>,
+    tracked: Option<TrackedSend>,
     /// The prefill of a model engine, until the first event has been received.
     prefill: Option<Prefill>,
 }
@@ -251,8 +251,8 @@
         self.request.fingerprint
     }
 
-    /// Returns which repeats the route allows.
-    pub fn repeat(&self) -> RetryPolicy {
+    /// Returns which requests of the route may be sent again.
+    pub fn retry_policy(&self) -> RetryPolicy {
         self.route.retry_policy
     }
 
@@ -371,8 +371,9 @@
             self.serving.crash_attribution.record_answer(self.request.fingerprint);
         }
         let took = self.serving.now().saturating_sub(self.arrived_at);
-        let first_ms =
-            self.stream_times.map(|p| p.first_at.saturating_sub(self.arrived_at).as_millis());
+        let first_ms = self
+            .stream_times
+            .map(|times| times.first_at.saturating_sub(self.arrived_at).as_millis());
         telemetry::record_request(&self.route.name, end.name(), took);
         let line = LogLine::event("request_ended")
             .with("request", &self.request.id)
@@ -387,7 +388,7 @@
             .with_some("forecast_ms", self.forecast_time.map(|time| time.as_millis()))
             .with("left_ms", self.time_left().as_millis())
             .with_some("first_ms", first_ms)
-            .with_some("pause_ms", self.stream_times.map(|p| p.longest_pause.as_millis()))
+            .with_some("pause_ms", self.stream_times.map(|times| times.longest_pause.as_millis()))
             .with_some("detail", end.detail());
         match end {
             ExchangeEnd::Answered { .. } | ExchangeEnd::CallerLeft => log::info(line),
@@ -410,8 +411,8 @@
 
     /// Records for the roll-out that the response is intact so far, unless it is a failure.
     pub fn record_intact(&self) {
-        if let Some(trial) = self.trial.as_ref().filter(|_| !self.is_failure()) {
-            trial.record_success();
+        if let Some(tracked) = self.tracked.as_ref().filter(|_| !self.is_failure()) {
+            tracked.record_success();
         }
     }
 
--- a/crates/fernring-gateway/src/serving/exchange/sending.rs
+++ b/crates/fernring-gateway/src/serving/exchange/sending.rs
@@ -38,13 +38,13 @@
 
 /// A send without a response that can be forwarded.
 struct FailedSend {
-    end: SendOutcome,
+    outcome: SendOutcome,
     loss: ConnectionLoss,
 }
 
 impl FailedSend {
-    fn without_connection_loss(end: SendOutcome, reason: String) -> Self {
-        Self { end, loss: ConnectionLoss { reason, kind: None } }
+    fn without_connection_loss(outcome: SendOutcome, reason: String) -> Self {
+        Self { outcome, loss: ConnectionLoss { reason, kind: None } }
     }
 }
 
@@ -80,10 +80,10 @@
                     telemetry::record_send(&self.service, "answered");
                     return Ok(opened);
                 }
-                Err(FailedSend { end, loss }) => {
-                    self.log_failed_send(&target, end, &loss.reason);
-                    self.attempts.record_failure(end);
-                    self.update_health(&target, end);
+                Err(FailedSend { outcome, loss }) => {
+                    self.log_failed_send(&target, outcome, &loss.reason);
+                    self.attempts.record_failure(outcome);
+                    self.update_health(&target, outcome);
                     self.record_connection_loss(&target, &loss);
                     reason = loss.reason;
                 }
@@ -107,7 +107,7 @@
     /// Records that a response was interrupted after its head.
     pub fn record_broken_send(&mut self, opened: &OpenedResponse, loss: &ConnectionLoss) {
         self.attempts.record_failure(SendOutcome::Unknown);
-        if let Some(tracked) = &opened.trial {
+        if let Some(tracked) = &opened.tracked {
             tracked.record_failure();
         }
         self.serving.upstreams.record_failure(self.serving.now(), opened.key());
@@ -115,10 +115,10 @@
     }
 
     fn record_connection_loss(&self, target: &Target, loss: &ConnectionLoss) {
-        if let Some(how) = loss.kind {
+        if let Some(disconnect) = loss.kind {
             self.serving.crash_attribution.record_broken_send(
                 target,
-                how,
+                disconnect,
                 Some(self.request.fingerprint),
             );
         }
@@ -182,7 +182,7 @@
 
     fn choose_among_candidates(&self) -> Option<(Chosen, Vec<Candidate>)> {
         let upstreams = &self.serving.upstreams;
-        let is_silent = |domain: &str| self.serving.peers.is_domain_unreachable(domain);
+        let is_unreachable = |domain: &str| self.serving.peers.is_domain_unreachable(domain);
         let untried = |candidate: &Candidate| !self.tried.contains(&candidate.key);
         let rank = self.rank();
         let candidates = upstreams.candidates(
@@ -190,13 +190,13 @@
             &self.service,
             rank,
             &self.residency,
-            is_silent,
+            is_unreachable,
         );
         let candidates: Vec<_> = candidates.into_iter().filter(untried).collect();
         let candidates = self.filter_by_version(candidates);
-        let (key, tokens) = match self.prompt_need() {
-            Some(need) => {
-                let choice = choose_model(&candidates, need)?;
+        let (key, tokens) = match self.prompt_demand() {
+            Some(demand) => {
+                let choice = choose_model(&candidates, demand)?;
                 (choice.key, Some(choice.tokens))
             }
             None => (choose(&candidates, rand::random())?, None),
@@ -264,7 +264,7 @@
     }
 
     /// Returns the request's needs for the choice of a model engine; `None` if prefixes don't matter for its service.
-    fn prompt_need(&self) -> Option<PromptDemand> {
+    fn prompt_demand(&self) -> Option<PromptDemand> {
         if !self.route.prefix_affinity || !self.serving.decide_settings.get().prefixes {
             return None;
         }
@@ -289,8 +289,8 @@
     /// Returns the load of the request until its first event: for a model engine the tokens to prefill, with the shared parts of
     /// the prompt assumed to be cached; else 1.
     fn weight(&self) -> f64 {
-        match self.prompt_need() {
-            Some(need) => need.uncached_tokens + GENERATION_LOAD_TOKENS,
+        match self.prompt_demand() {
+            Some(demand) => demand.uncached_tokens + GENERATION_LOAD_TOKENS,
             None => 1.0,
         }
     }
@@ -310,7 +310,7 @@
         let tracked = self.serving.rollouts.track_send(service, target, route, is_first);
         let failed = |failed_send: FailedSend| {
             if let Some(tracked) =
-                tracked.as_ref().filter(|_| failed_send.end == SendOutcome::Unknown)
+                tracked.as_ref().filter(|_| failed_send.outcome == SendOutcome::Unknown)
             {
                 tracked.record_failure();
             }
@@ -326,10 +326,10 @@
         return Err(FailedSend::without_connection_loss(SendOutcome::Unknown, reason));
         }
         };
-        let answer = match sent {
+        let response = match sent {
             None => {
                 let loss = ConnectionLoss::silent("no response before the deadline");
-                return Err(failed(FailedSend { end: SendOutcome::Unknown, loss }));
+                return Err(failed(FailedSend { outcome: SendOutcome::Unknown, loss }));
             }
             Some(Err(SendFailure::NotSent(reason) | SendFailure::ConnectionRefused(reason))) => {
                 return Err(FailedSend::without_connection_loss(SendOutcome::NotSent, reason));
@@ -341,26 +341,26 @@
                 ));
             }
             Some(Err(SendFailure::Broken(loss))) => {
-                return Err(failed(FailedSend { end: SendOutcome::Unknown, loss }));
+                return Err(failed(FailedSend { outcome: SendOutcome::Unknown, loss }));
             }
-            Some(Ok(answer)) => answer,
+            Some(Ok(response)) => response,
         };
         let mut opened = OpenedResponse {
-            head: answer.head,
-            body: answer.body,
+            head: response.head,
+            body: response.body,
             target: target.clone(),
             load,
             _attribution_guard: guard,
-            trial: None,
+            tracked: None,
             prefill: None,
         };
-        if let Some((end, reason)) = self.check_head(&mut opened, sent_at) {
-            return Err(failed(FailedSend::without_connection_loss(end, reason)));
+        if let Some((outcome, reason)) = self.check_head(&mut opened, sent_at) {
+            return Err(failed(FailedSend::without_connection_loss(outcome, reason)));
         }
         if let Some(tracked) = tracked.as_ref().filter(|_| opened.is_failure()) {
             tracked.record_failure();
         }
-        opened.trial = tracked;
+        opened.tracked = tracked;
         Ok(opened)
     }
 
@@ -414,9 +414,9 @@
         request
     }
 
-    fn update_health(&self, target: &Target, end: SendOutcome) {
+    fn update_health(&self, target: &Target, outcome: SendOutcome) {
         let now = self.serving.now();
-        match end {
+        match outcome {
             SendOutcome::Refused => self.serving.upstreams.record_full(now, target.key),
             // The request wasn't sent, so the upstream's health is unchanged.
             SendOutcome::Ineligible => {}
@@ -431,14 +431,14 @@
         }
     }
 
-    fn log_failed_send(&self, target: &Target, end: SendOutcome, reason: &str) {
-        telemetry::record_send(&self.service, end.name());
+    fn log_failed_send(&self, target: &Target, outcome: SendOutcome, reason: &str) {
+        telemetry::record_send(&self.service, outcome.name());
         let line = LogLine::event("send_failed")
             .with("request", &self.request.id)
             .with("content", self.request.fingerprint)
             .with("upstream", &target.instance)
             .with("address", target.address)
-            .with("end", end.name())
+            .with("end", outcome.name())
             .with("reason", reason);
         log::info(line);
     }
--- a/crates/fernring-gateway/src/serving/exchange/staging.rs
+++ b/crates/fernring-gateway/src/serving/exchange/staging.rs
@@ -69,7 +69,7 @@
 
     pub(super) async fn run_admitted_stages(&mut self) -> Result<(), Refusal> {
         if self.serving.decide_settings.get().placing
-            && self.plan.makes_large_results(PLACED_BYTES_MIN)
+            && self.plan.produces_large_results(PLACED_BYTES_MIN)
         {
             self.home = self.choose_home();
         }
@@ -118,11 +118,11 @@
                 let stages = &serving.stages;
                 running.push(async move { (stage, stages.run_stage(work).await) });
             }
-            let Some((stage, end)) = running.next().await else {
+            let Some((stage, outcome)) = running.next().await else {
                 debug_assert!(self.plan.is_done());
                 return WorkOutcome::Completed(Vec::new());
             };
-            match end {
+            match outcome {
                 WorkOutcome::Completed(handles) => self.plan.finish(stage, handles),
                 other => return other,
             }
--- a/crates/fernring-gateway/src/serving/relay.rs
+++ b/crates/fernring-gateway/src/serving/relay.rs
@@ -34,7 +34,8 @@
     /// Creates a relay for a stream whose head has been received.
     pub fn new(exchange: Exchange, opened: OpenedResponse) -> Self {
         let last_event = exchange.resume_after();
-        let is_resumable = exchange.repeat() == RetryPolicy::Resume && opened.status().is_success();
+        let is_resumable =
+            exchange.retry_policy() == RetryPolicy::Resume && opened.status().is_success();
         let splitter = EventSplitter::default();
         Self { exchange, opened, splitter, last_event, is_resumable, is_done: false }
     }
--- a/crates/fernring-gateway/src/serving/serve.rs
+++ b/crates/fernring-gateway/src/serving/serve.rs
@@ -34,7 +34,7 @@
 
 /// Largest response of a non-streaming route, in bytes; it is buffered until it is complete. Larger responses count as failed:
 /// no service has any today.
-const PLAIN_ANSWER_BYTES_MAX: usize = 8 << 20;
+const PLAIN_RESPONSE_BYTES_MAX: usize = 8 << 20;
 /// How long the rest of a body that is too long is read, so that the caller receives the answer.
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(1);
 
@@ -135,7 +135,7 @@
             let status = opened.status();
             let is_failure = opened.is_failure();
             let key = opened.key();
-            match self.collect_answer(&mut exchange, opened).await {
+            match self.collect_response(&mut exchange, opened).await {
                 Ok(answer) if is_failure && exchange.may_send() => {
                     exchange.record_failure_response();
                     if !exchange.may_send() {
@@ -161,12 +161,12 @@
     }
 
     /// Collects a complete response; records a broken send if that fails.
-    async fn collect_answer(
+    async fn collect_response(
         &self,
         exchange: &mut Exchange,
         mut opened: OpenedResponse,
     ) -> Result<Response<CallerBody>, String> {
-        let collecting = Limited::new(&mut opened.body, PLAIN_ANSWER_BYTES_MAX).collect();
+        let collecting = Limited::new(&mut opened.body, PLAIN_RESPONSE_BYTES_MAX).collect();
         let loss = match self.deadline_timer.complete_by(exchange.end_at(), collecting).await {
             Some(Ok(collected)) => {
                 opened.record_intact();
--- a/crates/fernring-gateway/src/stages.rs
+++ b/crates/fernring-gateway/src/stages.rs
@@ -158,13 +158,13 @@
     /// Selects the worker pool for a stage of a request.
     ///
     /// That is all workers of the service, unless the service is sharded or the request is
-    /// restricted to regions. Then it is the workers of one failure domain: of `preferred_domain` if it has
-    /// workers, else of a domain that is drawn by the request's identifier. Returns `None` if there
-    /// are no workers in the regions of the request.
+    /// restricted to regions. Then it is the workers of one failure domain: of `consumer_domain` if
+    /// it has workers, else of a domain that is drawn by the request's identifier. Returns `None` if
+    /// there are no workers in the regions of the request.
     pub fn pool_for(
         &self,
         service: &Arc<str>,
-        preferred_domain: Option<&Arc<str>>,
+        consumer_domain: Option<&Arc<str>>,
         request_id: &str,
         residency: &Residency,
     ) -> Option<WorkerPool> {
@@ -174,10 +174,10 @@
         }
         let mut workers = self.owner.workers_by_domain(service);
         workers.retain(|(domain, _)| self.upstreams.allows_domain(residency, domain));
-        let preferred_domain = preferred_domain
+        let consumer_domain = consumer_domain
             .filter(|preferred| workers.iter().any(|(domain, _)| domain == *preferred))
             .cloned();
-        let failure_domain = preferred_domain.or_else(|| draw_domain(&workers, request_id));
+        let failure_domain = consumer_domain.or_else(|| draw_domain(&workers, request_id));
         if failure_domain.is_none() && residency.is_restricted() {
             return None;
         }
@@ -232,7 +232,7 @@
         for _ in 0..OWNER_ATTEMPTS_MAX {
             let owner = self.resolve_owner(&work.pool);
             let (sender, receiver) = oneshot::channel();
-            let cancel = self.ask(owner, &work, sender);
+            let cancel = self.submit_to(owner, &work, sender);
             let mut guard = CancelGuard { stages: self, cancel: Some(cancel) };
             let outcome = receiver.await.unwrap_or(WorkOutcome::OwnerLost);
             guard.cancel = None;
@@ -385,7 +385,7 @@
         self.owner.release(&release.service, handles);
     }
 
-    fn ask(
+    fn submit_to(
         &self,
         owner: SocketAddr,
         work: &Work,
--- a/crates/fernring-gateway/src/store/freshness.rs
+++ b/crates/fernring-gateway/src/store/freshness.rs
@@ -65,8 +65,8 @@
     }
 
     /// Records that the store answered a read of this node.
-    pub fn record_read(&mut self, now: Duration, part: ReaderRole) {
-        if part == ReaderRole::None && self.confirmed_at.is_some() && self.is_stale(now) {
+    pub fn record_read(&mut self, now: Duration, role: ReaderRole) {
+        if role == ReaderRole::None && self.confirmed_at.is_some() && self.is_stale(now) {
             self.stand_in_until = now + STAND_IN_TIME;
         }
         self.read_at = Some(now);
@@ -98,8 +98,8 @@
     /// Returns how long a read waits for a record, given a wait drawn from [`read_wait`]. The first reader shortens it, so that
     /// its next confirmation comes before the others doubt their state: when a full wait followed a pause to coalesce records,
     /// the state of all nodes was 1.45 s old at its end, and each of them read the store itself for three seconds.
-    pub fn read_wait_of(&self, now: Duration, part: ReaderRole, drawn: Duration) -> Duration {
-        match part {
+    pub fn read_wait_of(&self, now: Duration, role: ReaderRole, drawn: Duration) -> Duration {
+        match role {
             ReaderRole::Primary => drawn.min(self.time_until_doubt(now)),
             ReaderRole::Domain | ReaderRole::Standalone | ReaderRole::None => drawn,
         }
@@ -111,14 +111,14 @@
     }
 
     /// Returns whether this node should read the store now.
-    pub fn should_read(&self, now: Duration, part: ReaderRole) -> bool {
-        part != ReaderRole::None || now < self.stand_in_until || self.is_stale(now)
+    pub fn should_read(&self, now: Duration, role: ReaderRole) -> bool {
+        role != ReaderRole::None || now < self.stand_in_until || self.is_stale(now)
     }
 }
 
 /// Returns the range from which the wait of a read for a record is drawn.
-pub fn read_wait(part: ReaderRole) -> Range<Duration> {
-    match part {
+pub fn read_wait(role: ReaderRole) -> Range<Duration> {
+    match role {
         // A node that stands in for the readers confirms the state of others, as the first reader does.
         ReaderRole::Primary | ReaderRole::None => FIRST_READ_WAIT,
         // No other node depends on the answers that a lone node gets.
--- a/crates/fernring-gateway/src/store/records.rs
+++ b/crates/fernring-gateway/src/store/records.rs
@@ -1,5 +1,5 @@
-//! Encodes and decodes what nodes pass on to each other: changes of upstreams' records, operators' orders for failure domains and
-//! roll-outs, and counts of roll-outs.
+//! Encodes and decodes the records that nodes exchange: changes of upstreams' records, operators'
+//! orders for failure domains and roll-outs, and counts of roll-outs.
 
 use {
     crate::{
@@ -9,13 +9,13 @@
         position::Position,
         rollout::{
             counts::{LATENCY_BUCKETS, ResponseStats, RolloutCounts, RouteStats},
-            orders::{KnownOrder as RolloutState, RolloutOrder, RolloutProgress},
+            orders::{KnownOrder, RolloutOrder, RolloutProgress},
         },
     },
     fernring_core::clock::saturating_ms,
     fernring_protocol::gateway::{
         DirectoryRecord, EvacuationOrderMessage, RolloutOrderMessage, RolloutProgressReport,
-        RolloutReport, RouteReport, VersionAnswers,
+        RolloutReport, RouteReport, VersionResponses,
     },
     std::{sync::Arc, time::Duration},
 };
@@ -87,52 +87,55 @@
 
 /// Encodes an operator's order for a failure domain for a peer.
 pub(crate) fn encode_evacuation(
-    (failure_domain, word): (&Arc<str>, &EvacuationOrder),
+    (failure_domain, order): (&Arc<str>, &EvacuationOrder),
 ) -> EvacuationOrderMessage {
     EvacuationOrderMessage {
         failure_domain: failure_domain.to_string(),
-        is_in_force: word.is_in_force,
-        offset: word.at.offset,
-        era: word.at.era,
+        is_in_force: order.is_in_force,
+        offset: order.at.offset,
+        era: order.at.era,
     }
 }
 
 /// Decodes an operator's order from a peer; returns the failure domain with it.
-pub(crate) fn decode_evacuation(word: &EvacuationOrderMessage) -> (Arc<str>, EvacuationOrder) {
-    let at = Position::new(word.era, word.offset);
-    (word.failure_domain.as_str().into(), EvacuationOrder { at, is_in_force: word.is_in_force })
+pub(crate) fn decode_evacuation(message: &EvacuationOrderMessage) -> (Arc<str>, EvacuationOrder) {
+    let at = Position::new(message.era, message.offset);
+    (
+        message.failure_domain.as_str().into(),
+        EvacuationOrder { at, is_in_force: message.is_in_force },
+    )
 }
 
 /// Encodes the roll-out order of a service and its progress for a peer.
 pub(crate) fn encode_rollout_order(
     now: Duration,
     service: &str,
-    word: &RolloutState,
+    known: &KnownOrder,
     is_withdrawn: bool,
 ) -> RolloutOrderMessage {
     let age_ms = |at: Duration| saturating_ms(now.saturating_sub(at)) as u32;
-    let report = RolloutOrderMessage {
+    let message = RolloutOrderMessage {
         service: service.to_owned(),
-        destination: word.order.destination.to_string(),
-        offset: word.at.offset,
-        era: word.at.era,
-        duration_ms: saturating_ms(word.order.duration),
-        remaining_ms: saturating_ms(word.deadline_at.saturating_sub(now)),
+        destination: known.order.destination.to_string(),
+        offset: known.at.offset,
+        era: known.at.era,
+        duration_ms: saturating_ms(known.order.duration),
+        remaining_ms: saturating_ms(known.deadline_at.saturating_sub(now)),
         is_withdrawn,
         ..RolloutOrderMessage::default()
     };
-    let with = |standing: RolloutProgressReport| RolloutOrderMessage {
-        progress: standing.into(),
-        ..report.clone()
+    let with = |progress: RolloutProgressReport| RolloutOrderMessage {
+        progress: progress.into(),
+        ..message.clone()
     };
-    match word.progress {
+    match known.progress {
         RolloutProgress::Unknown => with(RolloutProgressReport::Unknown),
         RolloutProgress::Completed => with(RolloutProgressReport::Completed),
         RolloutProgress::RolledBack => with(RolloutProgressReport::RolledBack),
-        RolloutProgress::Running { share, serial, announced_at: said_at } => RolloutOrderMessage {
+        RolloutProgress::Running { share, serial, announced_at } => RolloutOrderMessage {
             share,
             serial,
-            decision_age_ms: age_ms(said_at),
+            decision_age_ms: age_ms(announced_at),
             ..with(RolloutProgressReport::Running)
         },
     }
@@ -141,26 +144,26 @@
 /// Decodes the roll-out order of a service and its progress from a peer; returns the service with it.
 pub(crate) fn decode_rollout_order(
     now: Duration,
-    word: &RolloutOrderMessage,
-) -> (Arc<str>, RolloutState) {
+    message: &RolloutOrderMessage,
+) -> (Arc<str>, KnownOrder) {
     let ago = |ms: u32| now.saturating_sub(Duration::from_millis(ms.into()));
-    let standing = match word.progress() {
+    let progress = match message.progress() {
         RolloutProgressReport::Unknown => RolloutProgress::Unknown,
         RolloutProgressReport::Completed => RolloutProgress::Completed,
         RolloutProgressReport::RolledBack => RolloutProgress::RolledBack,
         RolloutProgressReport::Running => RolloutProgress::Running {
-            share: word.share.clamp(0.0, 1.0),
-            serial: word.serial,
-            announced_at: ago(word.decision_age_ms),
+            share: message.share.clamp(0.0, 1.0),
+            serial: message.serial,
+            announced_at: ago(message.decision_age_ms),
         },
     };
     let order = RolloutOrder {
-        destination: word.destination.as_str().into(),
-        duration: Duration::from_millis(word.duration_ms),
+        destination: message.destination.as_str().into(),
+        duration: Duration::from_millis(message.duration_ms),
     };
-    let at = Position::new(word.era, word.offset);
-    let deadline_at = now + Duration::from_millis(word.remaining_ms);
-    (word.service.as_str().into(), RolloutState { order, at, deadline_at, progress: standing })
+    let at = Position::new(message.era, message.offset);
+    let deadline_at = now + Duration::from_millis(message.remaining_ms);
+    (message.service.as_str().into(), KnownOrder { order, at, deadline_at, progress })
 }
 
 /// Encodes a node's counts of a roll-out. The caller sets the node's incarnation.
@@ -170,14 +173,14 @@
     counts: &RolloutCounts,
     is_drained: bool,
 ) -> RolloutReport {
-    let answers = |answers: &ResponseStats| VersionAnswers {
-        failed: answers.failed,
-        latency_counts: answers.latency_counts.to_vec(),
+    let encode = |stats: &ResponseStats| VersionResponses {
+        failed: stats.failed,
+        latency_counts: stats.latency_counts.to_vec(),
     };
-    let routes = counts.routes.iter().map(|(route, of_route)| RouteReport {
+    let routes = counts.routes.iter().map(|(route, stats)| RouteReport {
         route: route.to_string(),
-        ordered: answers(&of_route.destination),
-        others: answers(&of_route.others),
+        destination: encode(&stats.destination),
+        others: encode(&stats.others),
     });
     RolloutReport {
         service: service.to_owned(),
@@ -194,17 +197,17 @@
 
 /// Decodes a node's counts of a roll-out.
 pub(crate) fn decode_rollout_counts(report: RolloutReport) -> RolloutCounts {
-    let answers = |answers: VersionAnswers| {
-        let time = |class: usize| answers.latency_counts.get(class).copied().unwrap_or(0);
+    let decode = |stats: VersionResponses| {
+        let count = |bucket: usize| stats.latency_counts.get(bucket).copied().unwrap_or(0);
         ResponseStats {
-            failed: answers.failed,
-            latency_counts: std::array::from_fn::<_, LATENCY_BUCKETS, _>(time),
+            failed: stats.failed,
+            latency_counts: std::array::from_fn::<_, LATENCY_BUCKETS, _>(count),
         }
     };
     let routes = report.routes.into_iter().map(|route| {
-        let of_route =
-            RouteStats { destination: answers(route.ordered), others: answers(route.others) };
-        (route.route.into(), of_route)
+        let stats =
+            RouteStats { destination: decode(route.destination), others: decode(route.others) };
+        (route.route.into(), stats)
     });
     RolloutCounts {
         requests: report.requests,
--- a/crates/fernring-gateway/src/store/store_loops/mod.rs
+++ b/crates/fernring-gateway/src/store/store_loops/mod.rs
@@ -147,8 +147,8 @@
         let mut has_failed = false;
         let mut has_read = false;
         loop {
-            let part = self.reader_part();
-            if !self.tailing(tailed).borrow().should_read(self.now(), part) {
+            let role = self.reader_role();
+            if !self.tailing(tailed).borrow().should_read(self.now(), role) {
                 (pause, has_failed) = (RETRY_PAUSE_MIN, false);
                 full_read = FullRead::default();
                 sleep(READER_CHECK_INTERVAL).await;
@@ -166,7 +166,7 @@
             from = from.map(|from| self.resume_position(tailed, from)).or(peer_position);
             from = from.filter(|from| from.era == self.store.era());
             if !full_read.has_started() {
-                self.log_stand_in(tailed, part);
+                self.log_stand_in(tailed, role);
             }
             let answer = match from {
                 None => match self.read_page(tailed, &mut full_read).await {
@@ -175,7 +175,7 @@
                     Err(error) => Err(error),
                 },
                 Some(from) => {
-                    let wait = self.read_wait(tailed, part, has_failed);
+                    let wait = self.read_wait(tailed, role, has_failed);
                     tokio::select! {
                     answer = self.store.read(topic, from.offset, wait) => answer,
                     () = self.until_overdue(tailed, wait) => continue,
@@ -200,7 +200,7 @@
                     self.handle_era(page.era);
                     if !has_regressed {
                         apply(page, is_full);
-                        self.tailing(tailed).borrow_mut().record_read(read_at, part);
+                        self.tailing(tailed).borrow_mut().record_read(read_at, role);
                     }
                     if has_records && !coalesce.is_zero() {
                         sleep(coalesce).await;
@@ -213,7 +213,7 @@
                 Err(error) => {
                     self.record_failure(topic, &error);
                     sleep(jitter(pause)).await;
-                    let is_reader = part != ReaderRole::None;
+                    let is_reader = role != ReaderRole::None;
                     let pause_max =
                         if is_reader { RETRY_PAUSE_MAX } else { self.stand_in_retry_pause_max() };
                     pause = (pause * 2).min(pause_max);
@@ -279,14 +279,14 @@
 
     /// Returns how long the next read waits for a record. A read that checks whether the store is back after a failure, or
     /// refreshes an unconfirmed state, doesn't wait.
-    fn read_wait(&self, tailed: TailedTopic, part: ReaderRole, has_failed: bool) -> Duration {
+    fn read_wait(&self, tailed: TailedTopic, role: ReaderRole, has_failed: bool) -> Duration {
         let tailing = self.tailing(tailed).borrow();
         let is_unconfirmed = tailing.freshness().needs_confirmation(self.now());
-        if has_failed || (is_unconfirmed && part != ReaderRole::Standalone) {
+        if has_failed || (is_unconfirmed && role != ReaderRole::Standalone) {
             return Duration::ZERO;
         }
-        let drawn = rand::rng().random_range(read_wait(part));
-        tailing.freshness().read_wait_of(self.now(), part, drawn)
+        let drawn = rand::rng().random_range(read_wait(role));
+        tailing.freshness().read_wait_of(self.now(), role, drawn)
     }
 
     /// Completes when a read that waits for `wait` is overdue: this node's state has been unconfirmed for a while, though peers
@@ -299,7 +299,7 @@
             sleep(confirmed_for.max(OVERDUE_CHECK_MIN)).await;
             let is_unconfirmed =
                 self.tailing(tailed).borrow().freshness().needs_confirmation(self.now());
-            let may_wait = wait.is_zero() || self.reader_part() == ReaderRole::Standalone;
+            let may_wait = wait.is_zero() || self.reader_role() == ReaderRole::Standalone;
             if is_unconfirmed && !may_wait && !self.store.is_receiving(tailed.topic()) {
                 return;
             }
@@ -307,7 +307,7 @@
     }
 
     /// Returns this node's role in reading the store for others.
-    fn reader_part(&self) -> ReaderRole {
+    fn reader_role(&self) -> ReaderRole {
         match self.now() >= self.started_at + PEER_DISCOVERY_TIME {
             true => self.peers.reader_role(),
             false => ReaderRole::None,
@@ -325,8 +325,8 @@
     }
 
     /// Logs that this node reads a topic in place of the readers; does nothing if it is a reader.
-    fn log_stand_in(&self, tailed: TailedTopic, part: ReaderRole) {
-        if part != ReaderRole::None {
+    fn log_stand_in(&self, tailed: TailedTopic, role: ReaderRole) {
+        if role != ReaderRole::None {
             return;
         }
         let lag = self.tailing(tailed).borrow().lag();
@@ -405,7 +405,7 @@
             sleep(EXPIRY_INTERVAL).await;
             self.deadline_timer.check_for_suspension();
             let effects = self.upstreams.expire(self.now());
-            self.upstreams_changed(&effects);
+            self.handle_upstream_changes(&effects);
             self.upstreams.set_node_count(self.peers.node_count());
             self.check_order_confirmation();
         }
--- a/crates/fernring-gateway/src/store/store_loops/operator_records.rs
+++ b/crates/fernring-gateway/src/store/store_loops/operator_records.rs
@@ -88,23 +88,23 @@
         self.owner.dispatch_all();
     }
 
-    /// Applies a configuration from the store or a peer (`source`): its record, the same record packed, and the position after it.
-    fn apply_config(&self, record: &[u8], packed: Bytes, end: Position, source: &str) {
+    /// Applies a configuration from the store or a peer (`source`): its record, the same record compressed, and the position after it.
+    fn apply_config(&self, record: &[u8], compressed: Bytes, end: Position, source: &str) {
         let config = match self.wire.decode_config(record) {
             Ok(config) => config,
             Err(error) => return log_config_refused(source, &error),
         };
         let (from, to) = (self.config.borrow().version(), config.version);
-        let packed_bytes = packed.len();
-        if !self.config.borrow_mut().apply_if_newer(config, packed, end) {
+        let compressed_bytes = compressed.len();
+        if !self.config.borrow_mut().apply_if_newer(config, compressed, end) {
             return;
         }
         let mut tailing = self.tailing(TailedTopic::Config).borrow_mut();
         let lag = tailing.lag();
-        tailing.record_caught_up(packed_bytes);
+        tailing.record_caught_up(compressed_bytes);
         let line = LogLine::event("config_taken").with("from", from).with("to", to);
         let line = line.with("source", source).with("bytes", record.len());
-        let line = line.with("packed_bytes", packed_bytes);
+        let line = line.with("packed_bytes", compressed_bytes);
         let behind_ms = lag.since.map(|since| (self.now() - since).as_millis());
         let line = line.with_some("behind_ms", behind_ms).with("asked", lag.requests);
         log::info(line.with("put_off", lag.deferred));
@@ -130,11 +130,11 @@
         }
     }
 
-    /// Handles a packed configuration from a peer, with the position after it. It doesn't confirm this node's state: if it is
+    /// Handles a compressed configuration from a peer, with the position after it. It doesn't confirm this node's state: if it is
     /// malformed, the configuration in force may be out of date.
-    pub fn handle_peer_config(&self, packed: Bytes, end: Position) {
-        match decompress(&packed) {
-            Ok(record) => self.apply_config(&record, packed, end, "peer"),
+    pub fn handle_peer_config(&self, compressed: Bytes, end: Position) {
+        match decompress(&compressed) {
+            Ok(record) => self.apply_config(&record, compressed, end, "peer"),
             Err(error) => log_config_refused("peer", &error),
         }
     }
--- a/crates/fernring-gateway/src/store/store_loops/upstream_records.rs
+++ b/crates/fernring-gateway/src/store/store_loops/upstream_records.rs
@@ -17,7 +17,7 @@
 /// each node would cause other lines to be dropped.
 const LOGGED_CHANGES_MAX: usize = 50;
 
-/// Assumed size of all records, packed, after the first page of several was read: ten thousand records of some forty bytes. With
+/// Assumed size of all records, compressed, after the first page of several was read: ten thousand records of some forty bytes. With
 /// too low a value a node would ask a second peer before the first one's answer can have arrived, and get the records twice.
 const ALL_RECORDS_BYTES: usize = 400 << 10;
 
@@ -53,7 +53,7 @@
         let decoded = page.records.iter().map(|record| self.decode(record, page.position(record)));
         let effects = self.upstreams.preview(self.now(), decoded.collect());
         self.tailing(tailed).borrow_mut().expect_bytes(ALL_RECORDS_BYTES);
-        self.upstreams_changed(&effects);
+        self.handle_upstream_changes(&effects);
     }
 
     /// Decodes a record. One that is malformed removes the upstream that its key names.
@@ -100,10 +100,10 @@
             // Peers send only changes, so the expected size is small.
             self.tailing(TailedTopic::Upstreams).borrow_mut().record_caught_up(0);
         }
-        self.upstreams_changed(&effects);
+        self.handle_upstream_changes(&effects);
     }
 
-    pub(super) fn upstreams_changed(&self, effects: &[Effect]) {
+    pub(super) fn handle_upstream_changes(&self, effects: &[Effect]) {
         self.log_changes(effects);
         self.crash_attribution.handle_upstream_changes(effects);
         self.owner.handle_upstream_changes(effects);
--- a/crates/fernring-gateway/src/store/tailing.rs
+++ b/crates/fernring-gateway/src/store/tailing.rs
@@ -120,10 +120,10 @@
     }
 
     /// Returns whether this node should read the store now.
-    pub fn should_read(&self, now: Duration, part: ReaderRole) -> bool {
-        let peers_deliver = now < self.peers_deliver_until && part == ReaderRole::None;
+    pub fn should_read(&self, now: Duration, role: ReaderRole) -> bool {
+        let peers_deliver = now < self.peers_deliver_until && role == ReaderRole::None;
         let is_starting = self.freshness.age(now).is_none();
-        (is_starting || !peers_deliver) && self.freshness.should_read(now, part)
+        (is_starting || !peers_deliver) && self.freshness.should_read(now, role)
     }
 
     /// Returns the node's lag behind its peers.
@@ -132,8 +132,8 @@
     }
 
     /// Records that the store answered a read of this node.
-    pub fn record_read(&mut self, now: Duration, part: ReaderRole) {
-        self.freshness.record_read(now, part);
+    pub fn record_read(&mut self, now: Duration, role: ReaderRole) {
+        self.freshness.record_read(now, role);
     }
 
     /// Records that, according to a peer, this node's state of the topic was the newest at `at`.
--- a/crates/fernring-gateway/src/telemetry.rs
+++ b/crates/fernring-gateway/src/telemetry.rs
@@ -51,8 +51,8 @@
 }
 
 /// Counts a send to an upstream, by its outcome.
-pub(crate) fn record_send(service: &Arc<str>, end: &'static str) {
-    let labels = [("service", bounded_label(service).to_string()), ("end", end.to_owned())];
+pub(crate) fn record_send(service: &Arc<str>, outcome: &'static str) {
+    let labels = [("service", bounded_label(service).to_string()), ("end", outcome.to_owned())];
     counter!("fernring_gateway_sends_total", &labels).increment(1);
 }
 
--- a/crates/fernring-gateway/src/upstreams/access.rs
+++ b/crates/fernring-gateway/src/upstreams/access.rs
@@ -49,8 +49,8 @@
         self.cold.borrow_mut().peak_nodes.record(self.clock.now().monotonic, nodes);
     }
 
-    /// Sets the bounds on sends to cold upstreams that apply in addition to the configuration.
-    pub fn set_cold_bounds(&self, settings: ColdSettings) {
+    /// Sets the limits on sends to cold upstreams that apply in addition to the configuration.
+    pub fn set_cold_settings(&self, settings: ColdSettings) {
         self.cold.borrow_mut().settings = settings;
     }
 
@@ -107,7 +107,7 @@
     }
 
     /// Returns whether new work may be sent to an upstream now. The reasons against it are listed
-    /// in the module `eligibility`.
+    /// in [`crate::eligibility`].
     ///
     /// # Errors
     /// Returns the reason if nothing may be sent.
@@ -136,7 +136,7 @@
     }
 
     /// Checks whether an upstream may be sent new work, its announced limit aside. Returns the
-    /// bounds that apply if it is cold.
+    /// rate limit that applies if it is cold.
     pub(super) fn check_upstream(
         &self,
         key: UpstreamKey,
@@ -152,20 +152,20 @@
         if !self.admits_version(&upstream.record.service, &upstream.record.version) {
             return Err(Ineligible::Version);
         }
-        let bounds = cold_start.and_then(|start| self.cold_bounds(key, upstream, start));
-        let Some(bounds) = bounds else {
+        let limit = cold_start.and_then(|start| self.cold_rate_limit(key, upstream, start));
+        let Some(limit) = limit else {
             return Ok(None);
         };
         let cold = self.cold.borrow();
         let permits = cold.permits.get(key).copied().unwrap_or_default();
         let now = self.clock.now().monotonic;
         let has_permit = now >= cold.started_at + STARTUP_TIME
-            && permits.has_permit(now, &bounds, cold.permit_scope(upstream));
-        if has_permit { Ok(Some(bounds)) } else { Err(Ineligible::Cold) }
+            && permits.has_permit(now, &limit, cold.permit_scope(upstream));
+        if has_permit { Ok(Some(limit)) } else { Err(Ineligible::Cold) }
     }
 
-    /// Returns the bounds on sends to an upstream if it is cold.
-    pub(super) fn cold_bounds(
+    /// Returns the rate limit on sends to an upstream if it is cold.
+    pub(super) fn cold_rate_limit(
         &self,
         key: UpstreamKey,
         upstream: &Upstream,
@@ -178,13 +178,13 @@
         let is_suspected = no_listener
             .is_some_and(|refused| refused.is_cold(now, record_position, start.duration));
         let ColdSettings { overage, slack } = cold.settings;
-        let bounds = ColdRateLimit { per_s: start.per_s, overage, slack };
-        (is_suspected || upstream.is_cold(now)).then_some(bounds)
+        let limit = ColdRateLimit { per_s: start.per_s, overage, slack };
+        (is_suspected || upstream.is_cold(now)).then_some(limit)
     }
 
     /// Acquires one of this node's permits for an upstream if it is cold.
     pub(super) fn acquire_permit(&self, key: UpstreamKey) -> Result<(), Ineligible> {
-        let Some(bounds) = self.check_eligibility(key)? else {
+        let Some(limit) = self.check_eligibility(key)? else {
             return Ok(());
         };
         let directory = self.directory.borrow();
@@ -193,7 +193,7 @@
         let permit_scope = cold.permit_scope(upstream);
         let entry = cold.permits.entry(key).ok_or(Ineligible::Gone)?;
         let now = self.clock.now().monotonic;
-        if entry.or_default().try_acquire(now, &bounds, permit_scope) {
+        if entry.or_default().try_acquire(now, &limit, permit_scope) {
             Ok(())
         } else {
             Err(Ineligible::Cold)
--- a/crates/fernring-gateway/src/upstreams/announced_limits.rs
+++ b/crates/fernring-gateway/src/upstreams/announced_limits.rs
@@ -1,7 +1,7 @@
 //! Limits that upstreams announce for the requests of all nodes together, and the permit for each
 //! send to such an upstream.
 //!
-//! The module `limits` keeps the newest announced limits, the module `permit_issuer` decides on
+//! [`crate::limits`] keeps the newest announced limits, [`crate::permit_issuer`] decides on
 //! permits. All nodes request the permits of an upstream from the same node, as far as they see the
 //! same members. Limits are passed on in heartbeats, in permit requests and in their responses.
 
@@ -94,7 +94,7 @@
 
 impl std::fmt::Debug for LimitedUpstreams {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Limited").field("limits", &self.limits).finish_non_exhaustive()
+        f.debug_struct("LimitedUpstreams").field("limits", &self.limits).finish_non_exhaustive()
     }
 }
 
--- a/crates/fernring-gateway/src/upstreams/mod.rs
+++ b/crates/fernring-gateway/src/upstreams/mod.rs
@@ -310,7 +310,7 @@
                     || upstream.has_lapsed()
                     || is_unreachable(&record.failure_domain),
                 is_cold: cold.is_some(),
-                is_rollout_target: self.is_ordered(service, &record.version),
+                is_rollout_target: self.is_destination_version(service, &record.version),
             })
         };
         directory.of_service(service).filter_map(candidate).collect()
--- a/crates/fernring-gateway/src/upstreams/versions.rs
+++ b/crates/fernring-gateway/src/upstreams/versions.rs
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 struct ServiceRule {
     rule: VersionRule,
-    /// Whether there are upstreams of other versions than the ordered one.
+    /// Whether there are upstreams of versions other than the destination.
     has_other_versions: bool,
 }
 
@@ -52,7 +52,7 @@
     }
 
     /// Returns whether a version of a service is the one that is being rolled out.
-    pub(super) fn is_ordered(&self, service: &str, version: &str) -> bool {
+    pub(super) fn is_destination_version(&self, service: &str, version: &str) -> bool {
         let rules = self.versions.borrow();
         rules
             .by_service
--- a/crates/fernring-gateway/tests/testsuite/admission.rs
+++ b/crates/fernring-gateway/tests/testsuite/admission.rs
@@ -26,7 +26,12 @@
 }
 
 fn stage(after: &[usize], backlog: Backlog) -> StageDemand {
-    StageDemand { after: after.to_vec(), pieces: 2, backlog: Some(backlog), call_time: MS(300) }
+    StageDemand {
+        depends_on: after.to_vec(),
+        pieces: 2,
+        backlog: Some(backlog),
+        call_time: MS(300),
+    }
 }
 
 fn demand(stages: Vec<StageDemand>) -> RequestDemand {
--- a/crates/fernring-gateway/tests/testsuite/workers.rs
+++ b/crates/fernring-gateway/tests/testsuite/workers.rs
@@ -29,7 +29,7 @@
 }
 
 fn result(bytes: u64, port: u16) -> StoredResult {
-    StoredResult { bytes, made_at: NOW, requester: ([10, 0, 0, 1], port).into() }
+    StoredResult { bytes, produced_at: NOW, requester: ([10, 0, 0, 1], port).into() }
 }
 
 #[test]
--- a/crates/fernring-protocol/src/gateway.rs
+++ b/crates/fernring-protocol/src/gateway.rs
@@ -240,15 +240,15 @@
     pub route: String,
     /// Responses of the destination version.
     #[prost(message, required, tag = "2")]
-    pub ordered: VersionAnswers,
+    pub destination: VersionResponses,
     /// Responses of all other versions.
     #[prost(message, required, tag = "3")]
-    pub others: VersionAnswers,
+    pub others: VersionResponses,
 }
 
 /// Counts of a version's responses.
 #[derive(Clone, PartialEq, Message)]
-pub struct VersionAnswers {
+pub struct VersionResponses {
     /// Number of failed requests.
     #[prost(uint64, tag = "1")]
     pub failed: u64,
