--- a/crates/fernring-gateway/src/crash_attribution/mod.rs
+++ b/crates/fernring-gateway/src/crash_attribution/mod.rs
@@ -109,9 +109,7 @@
 
 impl std::fmt::Debug for CrashAttribution {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("CrashAttribution")
-            .field("quarantine", &self.quarantine)
-            .finish_non_exhaustive()
+        f.debug_struct("Blame").field("suspects", &self.quarantine).finish_non_exhaustive()
     }
 }
 
@@ -415,7 +413,7 @@
         let mut covering_answers = Vec::new();
         for report in received.cleared {
             let clearance = fingerprint_of(&report.fingerprint)
-                .map(|fingerprint| ClearanceRecord { fingerprint, at: at(report.age_ms) });
+                .map(|c| ClearanceRecord { fingerprint: c, at: at(report.age_ms) });
             if clearance.is_some_and(|clearance| {
                 self.quarantine.borrow_mut().record_clearance(now, clearance)
             }) {
--- a/crates/fernring-gateway/src/decide/batching.rs
+++ b/crates/fernring-gateway/src/decide/batching.rs
@@ -84,10 +84,10 @@
 
 impl DomainWorkers {
     /// Estimates when the last of `pieces` is completed if the workers process them in order.
-    fn done_at(&self, now: Duration, pieces: usize, shape: &BatchConfig) -> Duration {
-        let full_call = expected_call_time(shape, shape.pieces_max);
-        let usual_call = expected_call_time(shape, shape.pieces_max / 2);
-        let calls_before = pieces.saturating_sub(1) / (shape.pieces_max * self.count.max(1));
+    fn done_at(&self, now: Duration, pieces: usize, batch_config: &BatchConfig) -> Duration {
+        let full_call = expected_call_time(batch_config, batch_config.pieces_max);
+        let usual_call = expected_call_time(batch_config, batch_config.pieces_max / 2);
+        let calls_before = pieces.saturating_sub(1) / (batch_config.pieces_max * self.count.max(1));
         self.free_at.max(now) + full_call * calls_before as u32 + usual_call
     }
 }
@@ -172,11 +172,11 @@
     }
 
     /// Counts the queued pieces: those that can be in time, by rank, and the late ones.
-    pub fn count_waiting(&self, now: Duration, shape: &BatchConfig) -> (PiecesByRank, u32) {
+    pub fn count_waiting(&self, now: Duration, batch_config: &BatchConfig) -> (PiecesByRank, u32) {
         let mut in_time = [0; RANKS];
         let mut late = 0;
         for piece in &self.pieces {
-            match is_late(piece, now, shape) {
+            match is_late(piece, now, batch_config) {
                 true => late += 1,
                 false => in_time[rank_index(piece.priority)] += 1,
             }
@@ -202,7 +202,7 @@
     pub fn take_expired(
         &mut self,
         now: Duration,
-        shape: &BatchConfig,
+        batch_config: &BatchConfig,
         backlog: &Backlog,
         decide_settings: &DecideSettings,
     ) -> Vec<QueuedPiece> {
@@ -211,19 +211,20 @@
         let mut late = 0;
         if decide_settings.give_up && backlog.late > 0 {
             // Late pieces are counted in their order.
-            self.pieces
-                .sort_by_cached_key(|piece| (urgency(piece, shape, decide_settings), piece.work));
+            self.pieces.sort_by_cached_key(|piece| {
+                (urgency(piece, batch_config, decide_settings), piece.work)
+            });
         }
         let expired = |piece: &mut QueuedPiece| {
             if !decide_settings.give_up
                 || started.contains(&piece.work)
-                || !is_late(piece, now, shape)
+                || !is_late(piece, now, batch_config)
             {
-                return piece.deadline_at <= now + shape.call_time;
+                return piece.deadline_at <= now + batch_config.call_time;
             }
             late += 1;
             let wait = backlog.time_to_process(in_time + late);
-            wait.is_none_or(|wait| piece.deadline_at <= now + wait + shape.call_time)
+            wait.is_none_or(|wait| piece.deadline_at <= now + wait + batch_config.call_time)
         };
         self.pieces.extract_if(.., expired).collect()
     }
@@ -236,13 +237,13 @@
     pub fn take_batch(
         &mut self,
         now: Duration,
-        shape: &BatchConfig,
+        batch_config: &BatchConfig,
         worker: TargetWorker<'_>,
         decide_settings: &DecideSettings,
         workers_in: impl Fn(&str) -> Option<DomainWorkers>,
     ) -> Batch {
         let TargetWorker { failure_domain, mut free_bytes, workers } = worker;
-        let full_call = expected_call_time(shape, shape.pieces_max);
+        let full_call = expected_call_time(batch_config, batch_config.pieces_max);
         let started = &self.started;
         let is_remote = |piece: &QueuedPiece| {
             piece
@@ -256,12 +257,18 @@
             } else {
                 Duration::ZERO
             };
-            let priority = urgency(piece, shape, decide_settings) + delay;
-            (!started.contains(&piece.work), is_late(piece, now, shape), priority, piece.work)
+            let priority = urgency(piece, batch_config, decide_settings) + delay;
+            (
+                !started.contains(&piece.work),
+                is_late(piece, now, batch_config),
+                priority,
+                piece.work,
+            )
         };
         self.pieces.sort_by_cached_key(order);
         let overload_calls = OVERLOAD_CALLS.max(OVERLOAD_CALLS_PER_WORKER * workers as f64);
-        let is_overloaded = self.pieces.len() as f64 > overload_calls * shape.pieces_max as f64;
+        let is_overloaded =
+            self.pieces.len() as f64 > overload_calls * batch_config.pieces_max as f64;
         // Pieces whose results are read in each domain, among those examined so far.
         let mut ahead: HashMap<Arc<str>, usize> = HashMap::new();
         let mut sizes: HashMap<u64, usize> = HashMap::new();
@@ -282,13 +289,14 @@
                 !is_overloaded
                     && **consumer_domain != *failure_domain
                     && !started.contains(&piece.work)
-                    && workers_in(consumer_domain)
-                        .is_some_and(|workers| workers.done_at(now, *ahead, shape) <= piece.due_at)
+                    && workers_in(consumer_domain).is_some_and(|workers| {
+                        workers.done_at(now, *ahead, batch_config) <= piece.due_at
+                    })
             });
             if examined != Some(piece.work) {
                 let pieces = sizes[&piece.work];
                 let by_bytes = (free_bytes / piece.result_bytes.max(1)) as usize;
-                let slots = by_bytes.min(shape.pieces_max - count);
+                let slots = by_bytes.min(batch_config.pieces_max - count);
                 examined = Some(piece.work);
                 is_left_together = decide_settings.whole_works
                     && pieces > slots
@@ -300,7 +308,7 @@
             });
             let exclusion = match () {
                 () if is_isolated => BatchLimit::Isolation,
-                () if count == shape.pieces_max => BatchLimit::Slots,
+                () if count == batch_config.pieces_max => BatchLimit::Slots,
                 () if left_to_others => BatchLimit::ConsumerDomain,
                 () if piece.result_bytes > free_bytes => BatchLimit::FreeBytes,
                 () if is_left_together => BatchLimit::Slots,
@@ -325,14 +333,19 @@
 }
 
 /// Returns whether a piece can no longer be in time.
-fn is_late(piece: &QueuedPiece, now: Duration, shape: &BatchConfig) -> bool {
-    piece.due_at < now + expected_call_time(shape, shape.pieces_max)
+fn is_late(piece: &QueuedPiece, now: Duration, batch_config: &BatchConfig) -> bool {
+    piece.due_at < now + expected_call_time(batch_config, batch_config.pieces_max)
 }
 
 /// Sort key among the pieces that are in time, or among the late ones: by due time, with a head
 /// start for requests of higher rank.
-fn urgency(piece: &QueuedPiece, shape: &BatchConfig, decide_settings: &DecideSettings) -> Duration {
-    let step = expected_call_time(shape, shape.pieces_max).mul_f64(RANK_HEAD_START_CALLS);
+fn urgency(
+    piece: &QueuedPiece,
+    batch_config: &BatchConfig,
+    decide_settings: &DecideSettings,
+) -> Duration {
+    let step =
+        expected_call_time(batch_config, batch_config.pieces_max).mul_f64(RANK_HEAD_START_CALLS);
     piece.due_at
         + if decide_settings.ranks {
             step * rank_index(piece.priority) as u32
--- a/crates/fernring-gateway/src/decide/crash_detection.rs
+++ b/crates/fernring-gateway/src/decide/crash_detection.rs
@@ -162,8 +162,8 @@
 }
 
 impl CrashDetector {
-    /// Records that the connection of a send broke; returns a crash if one is known now. `fingerprint`
-    /// is that of the request to attribute a crash to, if any.
+    /// Records that the connection of a send broke; returns a crash if one is known now.
+    /// `fingerprint` is that of the request to attribute a crash to, if any.
     pub fn record_disconnect(
         &mut self,
         now: Duration,
--- a/crates/fernring-gateway/src/decide/permit_issuer.rs
+++ b/crates/fernring-gateway/src/decide/permit_issuer.rs
@@ -25,9 +25,9 @@
 /// limit still holds.
 const PROBE_PERMITS_PER_S: f64 = 0.1;
 /// Longest time after a denial until the next permit request.
-const ASK_AGAIN_MAX: Duration = Duration::from_secs(1);
+const RETRY_AFTER_MAX: Duration = Duration::from_secs(1);
 /// Shortest time after a denial until the next permit request.
-const ASK_AGAIN_MIN: Duration = Duration::from_millis(10);
+const RETRY_AFTER_MIN: Duration = Duration::from_millis(10);
 /// Shortest time in which an upstream can process its demand.
 const DRAINED_MIN: Duration = Duration::from_millis(10);
 /// Longest time that is reported until the present demand can be processed.
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PermitDenied {
     /// Time after which the same node may ask again for a request of this rank.
-    pub ask_again_after: Duration,
+    pub retry_after: Duration,
     /// Time after which as many requests should be done as are asked for per second at present.
     pub drained_after: Duration,
 }
@@ -102,7 +102,7 @@
         let wait = missing / rate_per_s;
         let drained = (self.demand.per_s(now) / rate_per_s).max(wait);
         Err(PermitDenied {
-            ask_again_after: seconds(wait * (1.0 + draw)).clamp(ASK_AGAIN_MIN, ASK_AGAIN_MAX),
+            retry_after: seconds(wait * (1.0 + draw)).clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX),
             drained_after: seconds(drained).min(DRAINED_MAX),
         })
     }
--- a/crates/fernring-gateway/src/decide/throughput.rs
+++ b/crates/fernring-gateway/src/decide/throughput.rs
@@ -36,8 +36,13 @@
     }
 
     /// Records a call that left pieces queued for lack of slots or free bytes.
-    pub fn record_saturated_call(&mut self, shape: &BatchConfig, pieces: usize, took: Duration) {
-        self.throughput.record_saturated_call(pieces, took, configured_throughput(shape));
+    pub fn record_saturated_call(
+        &mut self,
+        batch_config: &BatchConfig,
+        pieces: usize,
+        took: Duration,
+    ) {
+        self.throughput.record_saturated_call(pieces, took, configured_throughput(batch_config));
     }
 
     /// Returns the backlog of the service, for `workers` that accept work; the number may be
@@ -45,14 +50,14 @@
     pub fn backlog(
         &self,
         now: Duration,
-        shape: &BatchConfig,
+        batch_config: &BatchConfig,
         workers: f64,
         queue: Option<&BatchQueue>,
     ) -> Backlog {
         let (waiting, late) =
-            queue.map(|queue| queue.count_waiting(now, shape)).unwrap_or_default();
+            queue.map(|queue| queue.count_waiting(now, batch_config)).unwrap_or_default();
         Backlog {
-            rate_per_s: self.throughput.per_s(configured_throughput(shape)) * workers,
+            rate_per_s: self.throughput.per_s(configured_throughput(batch_config)) * workers,
             arrivals_per_s: self.arrivals.each_ref().map(|arrivals| arrivals.per_s(now)),
             waiting,
             late,
@@ -61,8 +66,9 @@
 }
 
 /// Returns the configured throughput of one worker in full calls, in pieces per second.
-fn configured_throughput(shape: &BatchConfig) -> f64 {
-    shape.pieces_max as f64 / expected_call_time(shape, shape.pieces_max).as_secs_f64()
+fn configured_throughput(batch_config: &BatchConfig) -> f64 {
+    batch_config.pieces_max as f64
+        / expected_call_time(batch_config, batch_config.pieces_max).as_secs_f64()
 }
 
 /// Arrival rate over an exponentially decaying window.
--- a/crates/fernring-gateway/src/decide/workers.rs
+++ b/crates/fernring-gateway/src/decide/workers.rs
@@ -113,19 +113,19 @@
 
     /// Records that the worker refused a piece for lack of space though some should be free;
     /// returns whether that is new.
-    pub fn record_capacity_refusal(&mut self, now: Duration, shape: &BatchConfig) -> bool {
+    pub fn record_capacity_refusal(&mut self, now: Duration, batch_config: &BatchConfig) -> bool {
         let before = self.unknown_bytes.map_or(0, |(bytes, _)| bytes);
-        let found = shape.result_capacity_bytes.saturating_sub(self.used_bytes());
-        self.unknown_bytes = Some((before + found, now + unknown_half_life(shape)));
+        let found = batch_config.result_capacity_bytes.saturating_sub(self.used_bytes());
+        self.unknown_bytes = Some((before + found, now + unknown_half_life(batch_config)));
         found > 0
     }
 
-    fn expire(&mut self, now: Duration, shape: &BatchConfig) {
-        self.results.retain(|_, result| now < result.produced_at + shape.result_lifetime);
+    fn expire(&mut self, now: Duration, batch_config: &BatchConfig) {
+        self.results.retain(|_, result| now < result.produced_at + batch_config.result_lifetime);
         self.unknown_bytes = match self.unknown_bytes {
             Some((bytes, until)) if now >= until => {
-                let is_significant = bytes > shape.result_capacity_bytes / UNKNOWN_DIVISOR;
-                is_significant.then_some((bytes / 2, now + unknown_half_life(shape)))
+                let is_significant = bytes > batch_config.result_capacity_bytes / UNKNOWN_DIVISOR;
+                is_significant.then_some((bytes / 2, now + unknown_half_life(batch_config)))
             }
             other => other,
         };
@@ -133,18 +133,18 @@
 }
 
 /// Returns how long bytes of unknown results are assumed to be in use before half are assumed free.
-fn unknown_half_life(shape: &BatchConfig) -> Duration {
-    shape.call_time.mul_f64(UNKNOWN_HALF_LIFE_CALLS)
+fn unknown_half_life(batch_config: &BatchConfig) -> Duration {
+    batch_config.call_time.mul_f64(UNKNOWN_HALF_LIFE_CALLS)
 }
 
 /// Returns the expected time of a call, by its configuration.
-pub fn expected_call_time(shape: &BatchConfig, pieces: usize) -> Duration {
-    shape.call_time + shape.piece_time * pieces as u32
+pub fn expected_call_time(batch_config: &BatchConfig, pieces: usize) -> Duration {
+    batch_config.call_time + batch_config.piece_time * pieces as u32
 }
 
 /// Returns the time after which a call is overdue.
-pub fn overdue_after(shape: &BatchConfig, pieces: usize) -> Duration {
-    expected_call_time(shape, pieces).mul_f64(OVERDUE_FACTOR) + OVERDUE_GRACE
+pub fn overdue_after(batch_config: &BatchConfig, pieces: usize) -> Duration {
+    expected_call_time(batch_config, pieces).mul_f64(OVERDUE_FACTOR) + OVERDUE_GRACE
 }
 
 /// All workers that were given work.
@@ -180,11 +180,11 @@
         &mut self,
         now: Duration,
         keys: &[UpstreamKey],
-        shape: &BatchConfig,
+        batch_config: &BatchConfig,
     ) -> Vec<(UpstreamKey, u64)> {
         for key in keys {
             if let Some(worker) = self.workers.get_mut(*key) {
-                worker.expire(now, shape);
+                worker.expire(now, batch_config);
             }
         }
         let is_slow =
@@ -196,7 +196,7 @@
         };
         let free_bytes = |key: &UpstreamKey| {
             let used_bytes = self.workers.get(*key).map_or(0, Worker::used_bytes);
-            (*key, shape.result_capacity_bytes.saturating_sub(used_bytes))
+            (*key, batch_config.result_capacity_bytes.saturating_sub(used_bytes))
         };
         keys.iter().filter(is_free).map(free_bytes).collect()
     }
--- a/crates/fernring-gateway/src/lib.rs
+++ b/crates/fernring-gateway/src/lib.rs
@@ -1,8 +1,8 @@
 //! The serving path of fernring between callers and upstreams.
 //!
 //! A caller's request arrives at [`ingress`] and is checked and routed by [`serve`]. The results
-//! that its stages produce come from the stages' owners ([`stages`], [`owner`]). The request is then
-//! sent to an upstream by [`exchange`]; streams of events are forwarded by [`relay`].
+//! that its stages produce come from the stages' owners ([`stages`], [`owner`]). The request is
+//! then sent to an upstream by [`exchange`]; streams of events are forwarded by [`relay`].
 //!
 //! [`decide`] contains the node's decisions, without I/O. [`members`] tracks the other nodes,
 //! [`store`] reads and writes the platform's store, and [`serving`] handles single requests.
--- a/crates/fernring-gateway/src/owner/calls.rs
+++ b/crates/fernring-gateway/src/owner/calls.rs
@@ -24,12 +24,15 @@
     tokio::{task::spawn_local, time::timeout},
 };
 
-/// Timeout of a call as a multiple of its expected time. Upstreams differ in speed, and some turn slow; beyond three times the
-/// expected time, another worker is likely to complete the pieces earlier.
+/// Timeout of a call as a multiple of its expected time. Upstreams differ in speed, and some turn
+/// slow; beyond three times the expected time, another worker is likely to complete the pieces
+/// earlier.
 const CALL_TIMEOUT_FACTOR: u32 = 3;
-/// Time that is added to the timeout of a call: for connecting, fetching inputs, and waiting behind the call of another node.
+/// Time that is added to the timeout of a call: for connecting, fetching inputs, and waiting behind
+/// the call of another node.
 const CALL_TIMEOUT_EXTRA: Duration = Duration::from_millis(400);
-/// Longest response of a call that is read, in bytes: enough for a handle or a reason for each piece.
+/// Longest response of a call that is read, in bytes: enough for a handle or a reason for each
+/// piece.
 const RESPONSE_BYTES_MAX: usize = 1 << 20;
 
 impl Owner {
@@ -37,14 +40,14 @@
         self: &Rc<Self>,
         pool: &WorkerPool,
         service: &Service,
-        shape: BatchConfig,
+        batch_config: BatchConfig,
         target: Target,
         batch: Batch,
     ) {
         let Batch { pieces, limit } = batch;
         let bytes: u64 = pieces.iter().map(|piece| piece.result_bytes).sum();
         let started = self.now();
-        let expected = expected_call_time(&shape, pieces.len());
+        let expected = expected_call_time(&batch_config, pieces.len());
         if let Some(worker) = self.workers.borrow_mut().get_or_create(target.key) {
             worker.record_call_start(started + expected, bytes);
         }
@@ -53,9 +56,9 @@
         let pool = pool.clone();
         let waiting = self.queues.borrow().get(&pool).map_or(0, BatchQueue::len);
         spawn_local(async move {
-            let call = owner.call(&pool, &target, connections_max, &shape, &pieces);
+            let call = owner.call(&pool, &target, connections_max, &batch_config, &pieces);
             let (result, was_overdue) =
-                owner.await_call(call, &pool, &target, &shape, &pieces).await;
+                owner.await_call(call, &pool, &target, &batch_config, &pieces).await;
             owner.log_call(&pool, &target, &pieces, started, waiting, limit);
             let now = owner.now();
             if let Some(worker) = owner.workers.borrow_mut().get_mut(target.key) {
@@ -68,7 +71,7 @@
                 let elapsed = now.saturating_sub(started);
                 let mut throughputs = owner.throughputs.borrow_mut();
                 throughputs.entry(pool.clone()).or_default().record_saturated_call(
-                    &shape,
+                    &batch_config,
                     pieces.len(),
                     elapsed,
                 );
@@ -103,21 +106,21 @@
             && self.crash_attribution.has_upstream_crashed(target.key).await
     }
 
-    /// Waits until a call ends. Once the call is overdue, copies of its pieces are queued for other workers. Returns the call's
-    /// result and whether it was overdue.
+    /// Waits until a call ends. Once the call is overdue, copies of its pieces are queued for other
+    /// workers. Returns the call's result and whether it was overdue.
     async fn await_call<T>(
         self: &Rc<Self>,
         call: impl Future<Output = T>,
         pool: &WorkerPool,
         target: &Target,
-        shape: &BatchConfig,
+        batch_config: &BatchConfig,
         pieces: &[QueuedPiece],
     ) -> (T, bool) {
         if !self.decide_settings.get().copies {
             return (call.await, false);
         }
         let mut call = pin!(call);
-        let overdue_time = overdue_after(shape, pieces.len());
+        let overdue_time = overdue_after(batch_config, pieces.len());
         if let Ok(result) = timeout(overdue_time, &mut call).await {
             return (result, false);
         }
@@ -164,7 +167,7 @@
         pool: &WorkerPool,
         target: &Target,
         connections_max: u32,
-        shape: &BatchConfig,
+        batch_config: &BatchConfig,
         queued: &[QueuedPiece],
     ) -> Result<Vec<PieceOutcome>, CallFailure> {
         let now = self.now();
@@ -184,7 +187,7 @@
                 .fold(Residency::default(), |all, piece| all.intersect(&piece.residency)),
             connections_max,
         };
-        let expected = expected_call_time(shape, queued.len());
+        let expected = expected_call_time(batch_config, queued.len());
         let tracked = self.rollouts.track_call(&pool.service, target);
         let exchange = async {
             let response = self.upstreams.send(target, send).await?;
--- a/crates/fernring-gateway/src/owner/mod.rs
+++ b/crates/fernring-gateway/src/owner/mod.rs
@@ -1,4 +1,5 @@
-//! The owner of a stage service: collects the pieces of all nodes for the service and fills them into batches.
+//! The owner of a stage service: collects the pieces of all nodes for the service and fills them
+//! into batches.
 //!
 //! [`calls`] sends the batches to the workers, [`outcomes`] handles the outcomes of the pieces.
 //!
@@ -219,7 +220,8 @@
             let throughput = throughputs.entry(work.pool.clone()).or_default();
             throughput.record_arrivals(now, rank_index(work.priority), work.pieces);
         }
-        // A suspect goes into calls of its own, so that no other request shares the attribution of a crash.
+        // A suspect goes into calls of its own, so that no other request shares the attribution of
+        // a crash.
         let is_isolated = self.crash_attribution.is_suspect(work.fingerprint);
         for number in 0..work.pieces {
             queue.push(queued_piece(id, &work, number, is_isolated));
@@ -231,24 +233,25 @@
 
     /// Returns the backlog of a pool; `None` if its service isn't a stage service.
     pub fn backlog(&self, pool: &WorkerPool) -> Option<Backlog> {
-        let (_, shape) = self.service(&pool.service)?;
-        Some(self.backlog_of(pool, &shape, &self.usable_workers(pool)))
+        let (_, batch_config) = self.service(&pool.service)?;
+        Some(self.backlog_of(pool, &batch_config, &self.usable_workers(pool)))
     }
 
     fn backlog_of(
         &self,
         pool: &WorkerPool,
-        shape: &BatchConfig,
+        batch_config: &BatchConfig,
         workers: &[UpstreamKey],
     ) -> Backlog {
-        let workers = self.effective_workers(pool, shape, workers);
+        let workers = self.effective_workers(pool, batch_config, workers);
         let queues = self.queues.borrow();
         let mut throughputs = self.throughputs.borrow_mut();
         let throughput = throughputs.entry(pool.clone()).or_default();
-        throughput.backlog(self.now(), shape, workers, queues.get(pool))
+        throughput.backlog(self.now(), batch_config, workers, queues.get(pool))
     }
 
-    /// Returns the backlogs of all pools for which this node had work, or whose backlog was requested.
+    /// Returns the backlogs of all pools for which this node had work, or whose backlog was
+    /// requested.
     pub fn backlogs(&self) -> Vec<(WorkerPool, Backlog)> {
         let pools: Vec<_> = self.throughputs.borrow().keys().cloned().collect();
         let with_backlog = |pool: WorkerPool| {
@@ -258,7 +261,8 @@
         pools.into_iter().filter_map(with_backlog).collect()
     }
 
-    /// Cancels a work that nobody waits for any more. Calls in flight go on; their results are released when they end.
+    /// Cancels a work that nobody waits for any more. Calls in flight go on; their results are
+    /// released when they end.
     pub fn cancel(&self, work: u64) {
         let Some(pending) = self.works.borrow_mut().remove(&work) else {
             return;
@@ -319,7 +323,8 @@
         }
     }
 
-    /// Takes out the results that can be released now. Those at upstreams that accept no more releases wait.
+    /// Takes out the results that can be released now. Those at upstreams that accept no more
+    /// releases wait.
     fn due_releases(&self) -> Vec<(UpstreamKey, Vec<Arc<str>>)> {
         let refuses_release = |key: &UpstreamKey| self.upstreams.refuses_release(*key);
         let due = |key: &UpstreamKey, _: &mut Vec<Arc<str>>| !refuses_release(key);
@@ -352,7 +357,7 @@
 
     /// Starts calls for a pool while pieces wait and workers are free.
     fn dispatch(self: &Rc<Self>, pool: &WorkerPool) {
-        let Some((service, shape)) = self.service(&pool.service) else {
+        let Some((service, batch_config)) = self.service(&pool.service) else {
             self.fail_all(pool);
             return;
         };
@@ -365,17 +370,18 @@
                 self.finish_all_waiting(pool, &WorkOutcome::Failed);
                 return;
             }
-            // The pieces would wait here until they expire, while workers of other domains may be idle.
+            // The pieces would wait here until they expire, while workers of other domains may be
+            // idle.
             if pool.failure_domain.is_some() && !self.workers_by_domain(&pool.service).is_empty() {
                 self.finish_all_waiting(pool, &WorkOutcome::NoWorkers);
                 return;
             }
         }
         self.finish_quarantined();
-        self.finish_expired(pool, &shape, &workers);
+        self.finish_expired(pool, &batch_config, &workers);
         let mut domain_workers = WorkersByDomain::default();
         let mut unserved = UnservedCapacity::default();
-        for (key, free_bytes) in self.free_workers(&workers, &shape) {
+        for (key, free_bytes) in self.free_workers(&workers, &batch_config) {
             let Some(target) = self.upstreams.target(key) else {
                 continue;
             };
@@ -398,7 +404,13 @@
                         free_bytes,
                         workers: workers.len(),
                     };
-                    queue.take_batch(now, &shape, worker, &self.decide_settings.get(), workers_in)
+                    queue.take_batch(
+                        now,
+                        &batch_config,
+                        worker,
+                        &self.decide_settings.get(),
+                        workers_in,
+                    )
                 }
                 None => return,
             };
@@ -409,7 +421,7 @@
             // One more worker of the domain is busy now, so its workers must be counted again.
             domain_workers.invalidate(&domain);
             self.rollouts.count_call(&pool.service, &target);
-            self.start_call(pool, &service, shape, target, batch);
+            self.start_call(pool, &service, batch_config, target, batch);
         }
     }
 
@@ -436,7 +448,8 @@
         }
     }
 
-    /// Finishes all works with waiting pieces, since no worker may complete them here, and replies to their requesters at once.
+    /// Finishes all works with waiting pieces, since no worker may complete them here, and replies
+    /// to their requesters at once.
     fn finish_all_waiting(&self, pool: &WorkerPool, outcome: &WorkOutcome) {
         let waiting = self.queues.borrow().get(pool).map(BatchQueue::works).unwrap_or_default();
         for work in waiting {
@@ -459,11 +472,18 @@
         }
     }
 
-    fn finish_expired(&self, pool: &WorkerPool, shape: &BatchConfig, workers: &[UpstreamKey]) {
+    fn finish_expired(
+        &self,
+        pool: &WorkerPool,
+        batch_config: &BatchConfig,
+        workers: &[UpstreamKey],
+    ) {
         let now = self.now();
-        let backlog = self.backlog_of(pool, shape, workers);
+        let backlog = self.backlog_of(pool, batch_config, workers);
         let expired = match self.queues.borrow_mut().get_mut(pool) {
-            Some(queue) => queue.take_expired(now, shape, &backlog, &self.decide_settings.get()),
+            Some(queue) => {
+                queue.take_expired(now, batch_config, &backlog, &self.decide_settings.get())
+            }
             None => return,
         };
         let works: HashSet<_> = expired.into_iter().map(|piece| piece.work).collect();
@@ -472,19 +492,20 @@
         }
     }
 
-    /// Lists the workers among `workers` that could start a call, each with its free bytes for results.
+    /// Lists the workers among `workers` that could start a call, each with its free bytes for
+    /// results.
     fn free_workers(
         &self,
         workers: &[UpstreamKey],
-        shape: &BatchConfig,
+        batch_config: &BatchConfig,
     ) -> Vec<(UpstreamKey, u64)> {
-        let mut free = self.workers.borrow_mut().free_workers(self.now(), workers, shape);
+        let mut free = self.workers.borrow_mut().free_workers(self.now(), workers, batch_config);
         free.shuffle(&mut rand::rng());
         free
     }
 
-    /// Lists the workers that may get work. A worker that is avoided or cold gets none while there are others, even if these are
-    /// busy: they become free soon.
+    /// Lists the workers that may get work. A worker that is avoided or cold gets none while there
+    /// are others, even if these are busy: they become free soon.
     fn usable_workers(&self, pool: &WorkerPool) -> Vec<UpstreamKey> {
         let is_unreachable = |domain: &str| self.peers.is_domain_unreachable(domain);
         let anywhere = Residency::default();
@@ -503,16 +524,16 @@
         usable.map(|candidate| candidate.key).collect()
     }
 
-    /// Returns how many workers without a limit would complete as much as the usable ones together with those whose limit is
-    /// used up now. If a worker with a limit counted as a full worker, capacity would be reserved for requests that then wait
-    /// for its permits until they are late.
+    /// Returns how many workers without a limit would complete as much as the usable ones together
+    /// with those whose limit is used up now. If a worker with a limit counted as a full worker,
+    /// capacity would be reserved for requests that then wait for its permits until they are late.
     fn effective_workers(
         &self,
         pool: &WorkerPool,
-        shape: &BatchConfig,
+        batch_config: &BatchConfig,
         usable: &[UpstreamKey],
     ) -> f64 {
-        let full_call_s = expected_call_time(shape, shape.pieces_max).as_secs_f64();
+        let full_call_s = expected_call_time(batch_config, batch_config.pieces_max).as_secs_f64();
         let directory = self.upstreams.directory();
         let share = |key: UpstreamKey| {
             let upstream = directory.get(key)?;
@@ -550,9 +571,9 @@
         Some(directory.get(key)?.record.failure_domain.clone())
     }
 
-    /// Lists the short hashes of the services that should be sharded by failure domain: those whose calls are too much for this
-    /// node's link, and those that should stay sharded. `is_own` says whether this node owns a pool, `link_bytes_per_s` is the
-    /// bandwidth of its link.
+    /// Lists the short hashes of the services that should be sharded by failure domain: those whose
+    /// calls are too much for this node's link, and those that should stay sharded. `is_own` says
+    /// whether this node owns a pool, `link_bytes_per_s` is the bandwidth of its link.
     pub fn services_to_shard(
         &self,
         is_own: impl Fn(&WorkerPool) -> bool,
--- a/crates/fernring-gateway/src/owner/outcomes.rs
+++ b/crates/fernring-gateway/src/owner/outcomes.rs
@@ -49,8 +49,8 @@
                     .with("error", &failure);
                 log::warn(line);
                 if matches!(failure, CallFailure::Ineligible(Ineligible::OutsideRegions)) {
-                    // The region of this failure domain has changed since the pieces were submitted: their requester must
-                    // choose another one.
+                    // The region of this failure domain has changed since the pieces were
+                    // submitted: their requester must choose another one.
                     pieces
                         .iter()
                         .for_each(|piece| self.finish_work(piece.work, WorkOutcome::NoWorkers));
@@ -60,7 +60,8 @@
                 let has_other_requests =
                     pieces.iter().any(|piece| Some(piece.fingerprint) != first);
                 let is_crash_of_several = has_crashed && has_other_requests;
-                // A crash that another request may have caused doesn't count as a failed call of a piece.
+                // A crash that another request may have caused doesn't count as a failed call of a
+                // piece.
                 let was_sent =
                     !matches!(failure, CallFailure::NotSent(_) | CallFailure::Ineligible(_));
                 let is_counted = was_sent && !is_crash_of_several;
@@ -144,10 +145,10 @@
         }
     }
 
-    /// Records that a worker has less capacity than this owner knows: it holds results of another owner, or results are larger
-    /// than announced.
+    /// Records that a worker has less capacity than this owner knows: it holds results of another
+    /// owner, or results are larger than announced.
     fn record_full_worker(&self, pool: &WorkerPool, target: &Target, piece: &QueuedPiece) {
-        let Some((_, shape)) = self.service(&pool.service) else {
+        let Some((_, batch_config)) = self.service(&pool.service) else {
             return;
         };
         let mut workers = self.workers.borrow_mut();
@@ -155,15 +156,15 @@
             return;
         };
         let kept_bytes = worker.used_bytes();
-        if worker.record_capacity_refusal(self.now(), &shape) {
+        if worker.record_capacity_refusal(self.now(), &batch_config) {
             let line = LogLine::event("maker_full").with("upstream", &target.instance);
             let line = line.with("service", &pool.service).with("kept_bytes", kept_bytes);
             log::info(line.with("result_bytes", piece.result_bytes));
         }
     }
 
-    /// Queues a piece again whose call failed, or fails its work after [`CALLS_PER_PIECE_MAX`] calls. `is_counted` says whether the failed
-    /// call counts as one of these.
+    /// Queues a piece again whose call failed, or fails its work after [`CALLS_PER_PIECE_MAX`]
+    /// calls. `is_counted` says whether the failed call counts as one of these.
     fn retry(&self, pool: &WorkerPool, mut piece: QueuedPiece, is_counted: bool) {
         if self.is_done(&piece) {
             return;
--- a/crates/fernring-gateway/src/rollout/comparison.rs
+++ b/crates/fernring-gateway/src/rollout/comparison.rs
@@ -1,13 +1,15 @@
 //! Compares a version with the others by a sequential test, under the same conditions. No I/O.
 //!
-//! A response is bad if it is a failure, or if it takes several times the median latency of the other versions on its route. A
-//! fault of the network or of the callers makes responses of all versions bad at the same time, so responses are compared
-//! interval by interval: the bad part of the others' responses in an interval is what is expected of the destination
-//! version in it. The test is Wald's sequential probability ratio test: it compares the likelihood of the observed
-//! responses if [`WORSE_FRACTION`] of those that the others would answer well were bad, with their likelihood if the
-//! version is like the others. By Wald's bounds a good version is called worse with a probability of at most about
-//! [`FALSE_ALARM_PROBABILITY`], and a version with that part of bad responses is called not worse with
-//! [`MISS_PROBABILITY`]. One test covers the latencies and failures of all routes together, and one those of each route.
+//! A response is bad if it is a failure, or if it takes several times the median latency of the
+//! other versions on its route. A fault of the network or of the callers makes responses of all
+//! versions bad at the same time, so responses are compared interval by interval: the bad part of
+//! the others' responses in an interval is what is expected of the destination version in it. The
+//! test is Wald's sequential probability ratio test: it compares the likelihood of the observed
+//! responses if [`WORSE_FRACTION`] of those that the others would answer well were bad, with their
+//! likelihood if the version is like the others. By Wald's bounds a good version is called worse
+//! with a probability of at most about [`FALSE_ALARM_PROBABILITY`], and a version with that part of
+//! bad responses is called not worse with [`MISS_PROBABILITY`]. One test covers the latencies and
+//! failures of all routes together, and one those of each route.
 
 use {
     super::counts::{ResponseStats, RolloutCounts, latency_bucket},
@@ -22,13 +24,16 @@
 pub const MISS_PROBABILITY: f64 = 0.02;
 /// Latency buckets above the others' median from which on a response is slow: 2.8 times the median.
 const SLOW_BUCKETS: usize = 6;
-/// Latency up to which no response is slow: what the network and a busy node can add to a quick one.
+/// Latency up to which no response is slow: what the network and a busy node can add to a quick
+/// one.
 const SLOW_MIN: Duration = Duration::from_millis(25);
 /// Number of the others' responses from which on their median is used.
 const MEDIAN_RESPONSES_MIN: u64 = 8;
-/// Weight of the others' bad part so far beside their responses of an interval, as a number of responses.
+/// Weight of the others' bad part so far beside their responses of an interval, as a number of
+/// responses.
 const HISTORY_WEIGHT: f64 = 10.0;
-/// Bad part that is assumed of the others in an interval without any of their responses, unless more of them were bad so far.
+/// Bad part that is assumed of the others in an interval without any of their responses, unless
+/// more of them were bad so far.
 const UNCOMPARED_BAD_PART: f64 = 0.05;
 
 /// Result of a comparison.
@@ -146,14 +151,15 @@
         self.previous = counts.clone();
     }
 
-    /// Restarts the tests but keeps what is known of the others: good responses at a small share say little about a larger
-    /// share.
+    /// Restarts the tests but keeps what is known of the others: good responses at a small share
+    /// say little about a larger share.
     pub fn restart(&mut self) {
         let tests = self.by_route.values_mut().chain(std::iter::once(&mut self.overall));
         tests.for_each(|test| test.log_ratio = 0.0);
     }
 
-    /// Returns the verdict of all tests: worse if any says so, else that of the test over all routes.
+    /// Returns the verdict of all tests: worse if any says so, else that of the test over all
+    /// routes.
     pub fn verdict(&self) -> Verdict {
         let is_worse = |test: &SequentialTest| test.verdict() == Verdict::Worse;
         match self.by_route.values().any(is_worse) {
--- a/crates/fernring-gateway/src/rollout/controller.rs
+++ b/crates/fernring-gateway/src/rollout/controller.rs
@@ -1,13 +1,15 @@
-//! State machine of a roll-out: which share the destination version gets, and when the roll-out ends. No I/O.
+//! State machine of a roll-out: which share the destination version gets, and when the roll-out
+//! ends. No I/O.
 //!
-//! Handles versions that fail a part of their requests: from the first request on, only under load, on one route only, or
-//! only after a while, in a fleet of hundreds of nodes. A bad version may get a bounded part of all requests until the
-//! deadline, the exposure budget. The trial may use only a part of that budget, so that the rest is left for faults that show
-//! only when the version serves more. The later the version serves all requests, the less of the budget is spent if it turns
-//! bad then. So it is advanced as late as the time for requests in flight at the other versions allows.
+//! Handles versions that fail a part of their requests: from the first request on, only under load,
+//! on one route only, or only after a while, in a fleet of hundreds of nodes. A bad version may get
+//! a bounded part of all requests until the deadline, the exposure budget. The trial may use only a
+//! part of that budget, so that the rest is left for faults that show only when the version serves
+//! more. The later the version serves all requests, the less of the budget is spent if it turns bad
+//! then. So it is advanced as late as the time for requests in flight at the other versions allows.
 //!
-//! Inputs: what nodes counted until their last reports, which are one fifth or two fifths of a second old, and the upstreams that
-//! the controller knows.
+//! Inputs: what nodes counted until their last reports, which are one fifth or two fifths of a
+//! second old, and the upstreams that the controller knows.
 
 use {
     super::{
@@ -19,14 +21,14 @@
 
 /// Part of the exposure budget that the trial may use.
 const TRIAL_BUDGET_PART: f64 = 0.7;
-/// Safety factor on the requests that are expected until the deadline: with it, they must fit into [`ADVANCE_BUDGET_PART`] of the
-/// budget for a version to be advanced without a verdict.
+/// Safety factor on the requests that are expected until the deadline: with it, they must fit into
+/// [`ADVANCE_BUDGET_PART`] of the budget for a version to be advanced without a verdict.
 const FORECAST_MARGIN: f64 = 1.3;
 const ADVANCE_BUDGET_PART: f64 = 0.85;
 /// Number of responses of the destination version that a trial aims at.
 const TRIAL_RESPONSES: f64 = 30.0;
-/// Range of the share in a trial: at least what is sent even under a burst of requests, so that a late change shows; at most what
-/// leaves the comparison responses of both sides.
+/// Range of the share in a trial: at least what is sent even under a burst of requests, so that a
+/// late change shows; at most what leaves the comparison responses of both sides.
 const TRIAL_SHARES: (f64, f64) = (0.01, 0.8);
 /// Time for which a share is computed; counts arrive with a shorter delay.
 const SHARE_HORIZON: Duration = Duration::from_secs(2);
@@ -73,7 +75,8 @@
     pub upstreams: UpstreamCounts,
     /// Whether all live nodes have reported.
     pub is_complete: bool,
-    /// Whether all live nodes know that the destination version serves alone and have nothing in flight at others.
+    /// Whether all live nodes know that the destination version serves alone and have nothing in
+    /// flight at others.
     pub is_drained: bool,
     /// The longest time that a request to the service may take.
     pub longest_request: Duration,
@@ -142,7 +145,8 @@
     }
 }
 
-/// Exposure of the destination version so far. A controller that takes over reads it from the store.
+/// Exposure of the destination version so far. A controller that takes over reads it from the
+/// store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ExposureSpent {
     /// Requests to the service.
@@ -168,8 +172,9 @@
 }
 
 impl RolloutController {
-    /// Creates the controller of an order that must be completed by `deadline_at` and was given `duration` before that.
-    /// `spent_before` is the exposure that a previous controller has written to the store.
+    /// Creates the controller of an order that must be completed by `deadline_at` and was given
+    /// `duration` before that. `spent_before` is the exposure that a previous controller has
+    /// written to the store.
     pub fn new(
         budget: ExposureBudget,
         deadline_at: Duration,
@@ -203,7 +208,8 @@
         }
     }
 
-    /// Moves to the phase that an observation calls for, and returns the share of the destination version from now on.
+    /// Moves to the phase that an observation calls for, and returns the share of the destination
+    /// version from now on.
     pub fn step(&mut self, now: Duration, observed: Observation<'_>) -> f64 {
         self.record(now, &observed);
         let next = self.next_phase(now, &observed);
@@ -222,7 +228,8 @@
     fn record(&mut self, now: Duration, observed: &Observation<'_>) {
         if !self.has_all_reports && observed.is_complete {
             self.has_all_reports = true;
-            // The nodes report again what they reported to the previous controller, which wrote it to the store.
+            // The nodes report again what they reported to the previous controller, which wrote it
+            // to the store.
             self.spent_before.requests =
                 self.spent_before.requests.saturating_sub(observed.counts.requests);
             self.spent_before.exposed =
@@ -282,8 +289,8 @@
         self.duration.mul_f64(STEP_DURATION_PART).clamp(least, most)
     }
 
-    /// Returns when a drained roll-out may be completed at the earliest: a fault that shows only under all requests must show
-    /// while the upstreams of the other versions are still there.
+    /// Returns when a drained roll-out may be completed at the earliest: a fault that shows only
+    /// under all requests must show while the upstreams of the other versions are still there.
     fn earliest_completion(&self, draining_since: Duration) -> Duration {
         let latest = self.deadline_at.saturating_sub(self.duration.mul_f64(FINAL_WRITE_PART));
         (draining_since + self.step_duration() * HOLD_STEPS).min(latest)
--- a/crates/fernring-gateway/src/rollout/coordinator.rs
+++ b/crates/fernring-gateway/src/rollout/coordinator.rs
@@ -1,5 +1,5 @@
-//! Coordinates the roll-outs of a node: counts its sends to each version, reports them to the controllers, and runs the
-//! controllers of the orders for which this node is responsible.
+//! Coordinates the roll-outs of a node: counts its sends to each version, reports them to the
+//! controllers, and runs the controllers of the orders for which this node is responsible.
 
 use {
     super::{
@@ -42,8 +42,8 @@
 
 /// Pause between two rounds. In a round a node reports, and controllers decide.
 const ROUND_INTERVAL: Duration = Duration::from_millis(200);
-/// Time for which a node that is no longer live still counts as having requests in flight, since it may be partitioned only for a
-/// moment.
+/// Time for which a node that is no longer live still counts as having requests in flight, since it
+/// may be partitioned only for a moment.
 const SILENT_NODE_GRACE: Duration = Duration::from_secs(5);
 /// Latency that is recorded for a call on pieces that takes exactly as long as expected.
 const NOMINAL_CALL_LATENCY: Duration = Duration::from_millis(100);
@@ -119,7 +119,7 @@
 impl std::fmt::Debug for TrackedSend {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("TrackedSend")
-            .field("is_destination", &self.is_destination)
+            .field("is_ordered", &self.is_destination)
             .finish_non_exhaustive()
     }
 }
@@ -140,7 +140,8 @@
         );
     }
 
-    /// Records that the send failed. A failure may follow a recorded success, but not the other way round.
+    /// Records that the send failed. A failure may follow a recorded success, but not the other way
+    /// round.
     pub fn record_failure(&self) {
         self.record(RecordedOutcome::Failed, None);
     }
@@ -207,7 +208,8 @@
         self.orders.borrow().newest(service).map(|known| known.progress)
     }
 
-    /// Applies the operators' orders of a page of records. `is_full_read` says whether there are no others up to `end`.
+    /// Applies the operators' orders of a page of records. `is_full_read` says whether there are no
+    /// others up to `end`.
     pub fn apply_records(
         &self,
         records: Vec<(Position, RolloutRecord)>,
@@ -374,8 +376,8 @@
         orders.newest(service).is_some_and(|known| known.order.destination == target.version)
     }
 
-    /// Counts a send to a service; `None` if the service has no order under way. `is_first` says whether this is the first send
-    /// of its request.
+    /// Counts a send to a service; `None` if the service has no order under way. `is_first` says
+    /// whether this is the first send of its request.
     pub fn track_send(
         self: &Rc<Self>,
         service: &Arc<str>,
@@ -412,7 +414,8 @@
         self.track_send(service, target, &CALLS_ROUTE.into(), true)
     }
 
-    /// Changes what this node counts for the order at a position, unless a newer order has replaced it.
+    /// Changes what this node counts for the order at a position, unless a newer order has replaced
+    /// it.
     fn with_own_counts(
         &self,
         service: &Arc<str>,
@@ -573,7 +576,8 @@
             self.write_state(service, known, controlled, spent);
         }
         drop(all);
-        // The end counts only once the store holds it: another controller may have written the opposite end.
+        // The end counts only once the store holds it: another controller may have written the
+        // opposite end.
         let progress =
             RolloutProgress::Running { share, serial: next_serial(known), announced_at: now };
         self.orders.borrow_mut().update(service, KnownOrder { progress, ..known.clone() });
@@ -624,8 +628,8 @@
                     controlled.next_offset = Some(next_offset + 1);
                     controlled.written = Some((state, spent));
                 }
-                // The state is read again before anything else is written: another controller may have ended the roll-out, and a
-                // write that got no answer may have taken effect.
+                // The state is read again before anything else is written: another controller may
+                // have ended the roll-out, and a write that got no answer may have taken effect.
                 Err(_) => controlled.next_offset = None,
             }
         }
@@ -758,7 +762,8 @@
         }
     }
 
-    /// Returns whether the exposure has grown so much since the last record that it must be written for the next controller.
+    /// Returns whether the exposure has grown so much since the last record that it must be written
+    /// for the next controller.
     fn has_progress(&self, spent: ExposureSpent) -> bool {
         self.written.is_none_or(|(_, written)| spent.exposed >= written.exposed.max(8) * 2)
     }
--- a/crates/fernring-gateway/src/rollout/counts.rs
+++ b/crates/fernring-gateway/src/rollout/counts.rs
@@ -7,7 +7,8 @@
     time::Duration,
 };
 
-/// Number of latency buckets. Each spans a quarter of an octave; the first begins at a millisecond, the last at a minute.
+/// Number of latency buckets. Each spans a quarter of an octave; the first begins at a millisecond,
+/// the last at a minute.
 pub const LATENCY_BUCKETS: usize = 64;
 /// Latency buckets per octave, that is, per doubling of the latency.
 const BUCKETS_PER_OCTAVE: f64 = 4.0;
@@ -52,12 +53,14 @@
         self.latency_counts.iter().map(|count| u64::from(*count)).sum()
     }
 
-    /// Returns the number of successful responses whose latency lies in the given bucket or a higher one.
+    /// Returns the number of successful responses whose latency lies in the given bucket or a
+    /// higher one.
     pub fn count_from_bucket(&self, bucket: usize) -> u64 {
         self.latency_counts.iter().skip(bucket).map(|count| u64::from(*count)).sum()
     }
 
-    /// Returns the bucket of the median latency; `None` if fewer than `responses_min` responses succeeded.
+    /// Returns the bucket of the median latency; `None` if fewer than `responses_min` responses
+    /// succeeded.
     pub fn median_bucket(&self, responses_min: u64) -> Option<usize> {
         let succeeded = self.succeeded();
         if succeeded < responses_min.max(1) {
--- a/crates/fernring-gateway/src/rollout/mod.rs
+++ b/crates/fernring-gateway/src/rollout/mod.rs
@@ -1,14 +1,18 @@
-//! Roll-outs: an operator orders that the requests to a service move to another version of its upstreams, the destination.
+//! Roll-outs: an operator orders that the requests to a service move to another version of its
+//! upstreams, the destination.
 //!
-//! Nodes coordinate without an election. Each node counts its sends to the destination version and to the others, and reports
-//! these counts to the service's controller, the node that rendezvous hashing names. The controller announces the share of
-//! the requests that the destination gets. A share that isn't announced again in time expires, so a node that is cut off from
-//! the others sends nothing to a version that may have been rolled back. The state of a roll-out lies in the store: it is
-//! written on the condition that nobody else has written since it was read, and a controller that takes over continues from it.
+//! Nodes coordinate without an election. Each node counts its sends to the destination version and
+//! to the others, and reports these counts to the service's controller, the node that rendezvous
+//! hashing names. The controller announces the share of the requests that the destination gets. A
+//! share that isn't announced again in time expires, so a node that is cut off from the others
+//! sends nothing to a version that may have been rolled back. The state of a roll-out lies in the
+//! store: it is written on the condition that nobody else has written since it was read, and a
+//! controller that takes over continues from it.
 //!
-//! [`orders`] holds what this node knows of the orders, [`sampler`] chooses the requests for the destination version,
-//! [`counts`] counts requests and responses, [`comparison`] compares the two sides, and [`controller`] is the state machine;
-//! none of these does I/O. [`coordinator`] connects them with the store and the peers.
+//! [`orders`] holds what this node knows of the orders, [`sampler`] chooses the requests for the
+//! destination version, [`counts`] counts requests and responses, [`comparison`] compares the two
+//! sides, and [`controller`] is the state machine; none of these does I/O. [`coordinator`] connects
+//! them with the store and the peers.
 //!
 //! ```
 //! use fernring_gateway::rollout::sampler::ShareSampler;
--- a/crates/fernring-gateway/src/rollout/orders.rs
+++ b/crates/fernring-gateway/src/rollout/orders.rs
@@ -1,4 +1,5 @@
-//! Roll-out orders that a node knows, and which versions of a service get requests because of them. No I/O.
+//! Roll-out orders that a node knows, and which versions of a service get requests because of them.
+//! No I/O.
 
 use {
     crate::position::Position,
@@ -9,8 +10,8 @@
     },
 };
 
-/// Time after which a share expires unless it is announced again: several heartbeats, but well below the time for which a
-/// version that is rolled back may still get requests.
+/// Time after which a share expires unless it is announced again: several heartbeats, but well
+/// below the time for which a version that is rolled back may still get requests.
 pub const SHARE_LIFETIME: Duration = Duration::from_secs(2);
 /// Largest number of services whose orders are kept.
 const SERVICES_MAX: usize = 256;
@@ -82,7 +83,8 @@
 pub enum AdmittedVersions {
     /// All but the destination.
     Others,
-    /// All but the destination, or the destination if the service has upstreams of no other version.
+    /// All but the destination, or the destination if the service has upstreams of no other
+    /// version.
     OthersFirst,
     /// All; the destination gets this share of the requests.
     Share(f64),
@@ -104,8 +106,8 @@
 }
 
 impl VersionRule {
-    /// Returns whether upstreams of a version may get requests. `has_others` says whether the service has upstreams of
-    /// versions other than the destination.
+    /// Returns whether upstreams of a version may get requests. `has_others` says whether the
+    /// service has upstreams of versions other than the destination.
     pub fn admits(&self, version: &str, has_others: bool) -> bool {
         let is_destination = *self.destination == *version;
         if !is_destination && self.ineligible.contains(version) {
@@ -122,7 +124,7 @@
 
 #[derive(Debug, Clone)]
 struct ServiceEntry {
-    newest: KnownOrder,
+    known: KnownOrder,
     /// Destinations of earlier orders that weren't completed.
     ineligible: BTreeSet<Arc<str>>,
     is_withdrawn: bool,
@@ -136,57 +138,58 @@
 }
 
 impl RolloutOrders {
-    /// Merges an order and its progress, from the store, a peer or this node's controller. Returns whether anything that
-    /// is known about the service has changed.
-    pub fn update(&mut self, service: &Arc<str>, update: KnownOrder) -> bool {
+    /// Merges an order and its progress, from the store, a peer or this node's controller. Returns
+    /// whether anything that is known about the service has changed.
+    pub fn update(&mut self, service: &Arc<str>, known: KnownOrder) -> bool {
         let Some(entry) = self.by_service.get_mut(service) else {
             if self.by_service.len() >= SERVICES_MAX {
                 return false;
             }
-            let entry =
-                ServiceEntry { newest: update, ineligible: BTreeSet::new(), is_withdrawn: false };
+            let entry = ServiceEntry { known, ineligible: BTreeSet::new(), is_withdrawn: false };
             self.by_service.insert(service.clone(), entry);
             return true;
         };
-        if update.at < entry.newest.at {
+        if known.at < entry.known.at {
             return false;
         }
-        if update.at > entry.newest.at {
-            let previous = std::mem::replace(&mut entry.newest, update);
+        if known.at > entry.known.at {
+            let previous = std::mem::replace(&mut entry.known, known);
             entry.is_withdrawn = false;
             if previous.progress != RolloutProgress::Completed {
                 entry.ineligible.insert(previous.order.destination);
             }
-            entry.ineligible.remove(&entry.newest.order.destination);
+            entry.ineligible.remove(&entry.known.order.destination);
             return true;
         }
         // The node that received the order first knows best when it was given.
-        entry.newest.deadline_at = entry.newest.deadline_at.min(update.deadline_at);
-        let is_newer = update.progress.is_newer_than(&entry.newest.progress);
+        entry.known.deadline_at = entry.known.deadline_at.min(known.deadline_at);
+        let is_newer = known.progress.is_newer_than(&entry.known.progress);
         if is_newer {
-            entry.newest.progress = update.progress;
+            entry.known.progress = known.progress;
         }
         is_newer
     }
 
-    /// Records that an order was withdrawn at a position of the store. Returns whether its roll-out was under way.
+    /// Records that an order was withdrawn at a position of the store. Returns whether its roll-out
+    /// was under way.
     pub fn withdraw(&mut self, service: &str, at: Position) -> bool {
         let Some(entry) = self.by_service.get_mut(service) else {
             return false;
         };
-        let is_over = entry.newest.progress.is_final() || entry.is_withdrawn;
-        if is_over || at <= entry.newest.at {
+        let is_over = entry.known.progress.is_final() || entry.is_withdrawn;
+        if is_over || at <= entry.known.at {
             return false;
         }
         entry.is_withdrawn = true;
         true
     }
 
-    /// Records that up to `end` the store holds orders for the services `present` and for no others: older orders for other
-    /// services were withdrawn. Returns the services whose roll-out was under way.
+    /// Records that up to `end` the store holds orders for the services `present` and for no
+    /// others: older orders for other services were withdrawn. Returns the services whose roll-out
+    /// was under way.
     pub fn retain(&mut self, present: &[Arc<str>], end: Position) -> Vec<Arc<str>> {
         let is_gone = |(service, entry): &(&Arc<str>, &ServiceEntry)| {
-            let is_of_era = entry.newest.at.era == end.era && entry.newest.at < end;
+            let is_of_era = entry.known.at.era == end.era && entry.known.at < end;
             is_of_era && !present.contains(service)
         };
         let gone: Vec<_> =
@@ -196,7 +199,7 @@
 
     /// Returns the newest order of a service.
     pub fn newest(&self, service: &str) -> Option<&KnownOrder> {
-        self.by_service.get(service).map(|entry| &entry.newest)
+        self.by_service.get(service).map(|entry| &entry.known)
     }
 
     /// Returns whether a service's newest order was withdrawn while its roll-out was under way.
@@ -206,7 +209,7 @@
 
     /// Lists the newest orders of all services.
     pub fn iter(&self) -> impl Iterator<Item = (&Arc<str>, &KnownOrder)> {
-        self.by_service.iter().map(|(service, entry)| (service, &entry.newest))
+        self.by_service.iter().map(|(service, entry)| (service, &entry.known))
     }
 
     /// Returns whether no service has an order.
@@ -214,10 +217,11 @@
         self.by_service.is_empty()
     }
 
-    /// Returns the rule that follows now from a service's order; `None` if the service has no order.
+    /// Returns the rule that follows now from a service's order; `None` if the service has no
+    /// order.
     pub fn rule(&self, now: Duration, service: &str) -> Option<VersionRule> {
         let entry = self.by_service.get(service)?;
-        let admitted = match entry.newest.progress {
+        let admitted = match entry.known.progress {
             RolloutProgress::Completed => AdmittedVersions::Destination,
             RolloutProgress::RolledBack => AdmittedVersions::Others,
             RolloutProgress::Unknown => AdmittedVersions::OthersFirst,
@@ -233,7 +237,7 @@
                 }
             }
         };
-        let destination = entry.newest.order.destination.clone();
+        let destination = entry.known.order.destination.clone();
         Some(VersionRule { destination, admitted, ineligible: entry.ineligible.clone() })
     }
 }
--- a/crates/fernring-gateway/src/rollout/sampler.rs
+++ b/crates/fernring-gateway/src/rollout/sampler.rs
@@ -1,13 +1,15 @@
 //! Chooses which of a node's requests go to the destination version of a roll-out. No I/O.
 //!
-//! Hundreds of nodes that sampled independently of each other could exceed the share together, and nodes with few requests
-//! each must not all send their first one to the destination version. So each node adds up the share per request from a
-//! random starting point: over all nodes, the sampled part matches the share from the first request on.
+//! Hundreds of nodes that sampled independently of each other could exceed the share together, and
+//! nodes with few requests each must not all send their first one to the destination version. So
+//! each node adds up the share per request from a random starting point: over all nodes, the
+//! sampled part matches the share from the first request on.
 
 /// Adds up the share until the next request for the destination version is due.
 #[derive(Debug, Clone, Copy)]
 pub struct ShareSampler {
-    /// Credit for the next request to the destination version. Invariant: between two requests it lies from 0 to 1.
+    /// Credit for the next request to the destination version. Invariant: between two requests it
+    /// lies from 0 to 1.
     credit: f64,
 }
 
@@ -17,7 +19,8 @@
         Self { credit: initial_credit.clamp(0.0, 0.999) }
     }
 
-    /// Counts a request and returns whether it goes to the destination version, which gets `share` of all requests.
+    /// Counts a request and returns whether it goes to the destination version, which gets `share`
+    /// of all requests.
     pub fn sample(&mut self, share: f64) -> bool {
         self.add_credit(share);
         self.has_credit() && self.spend()
@@ -25,7 +28,8 @@
 
     /// Adds the credit of one request, whichever version gets it.
     pub fn add_credit(&mut self, share: f64) {
-        // Credit that can't be spent, for want of an upstream, is capped: it must not pile up to a burst.
+        // Credit that can't be spent, for want of an upstream, is capped: it must not pile up to a
+        // burst.
         self.credit = (self.credit + share.clamp(0.0, 1.0)).min(1.0);
     }
 
--- a/crates/fernring-gateway/src/serving/deadline_timer.rs
+++ b/crates/fernring-gateway/src/serving/deadline_timer.rs
@@ -1,8 +1,9 @@
 //! Waits until a deadline on the clock that includes the time for which the VM was suspended.
 //!
-//! The runtime's timers run on the steady clock, which stops during a suspension: a wait of ten seconds that starts before a
-//! suspension of eight seconds ends eight seconds late. Therefore each wait for a deadline is restarted when the clock has jumped.
-//! Waits of at most two seconds that are repeated anyway (pauses of loops, of a connection or of a call to the store) use the
+//! The runtime's timers run on the steady clock, which stops during a suspension: a wait of ten
+//! seconds that starts before a suspension of eight seconds ends eight seconds late. Therefore each
+//! wait for a deadline is restarted when the clock has jumped. Waits of at most two seconds that
+//! are repeated anyway (pauses of loops, of a connection or of a call to the store) use the
 //! runtime's timers: after a suspension they last no longer than intended.
 
 use {
@@ -15,8 +16,8 @@
     },
 };
 
-/// Smallest lead of the clock over the timers between two checks that counts as a suspension; larger than the difference between
-/// their readings.
+/// Smallest lead of the clock over the timers between two checks that counts as a suspension;
+/// larger than the difference between their readings.
 const SUSPENSION_MIN: Duration = Duration::from_millis(50);
 
 /// Wakes tasks at their deadlines, also after a suspension of the VM.
--- a/crates/fernring-gateway/src/serving/events.rs
+++ b/crates/fernring-gateway/src/serving/events.rs
@@ -1,4 +1,5 @@
-//! Splits a stream into complete events, so that an interrupted stream can resume after the last of them.
+//! Splits a stream into complete events, so that an interrupted stream can resume after the last of
+//! them.
 
 use bytes::{Bytes, BytesMut};
 
--- a/crates/fernring-gateway/src/serving/exchange/admitting.rs
+++ b/crates/fernring-gateway/src/serving/exchange/admitting.rs
@@ -1,4 +1,5 @@
-//! Admits requests: collects the inputs of the decision in [`crate::admission`] and carries the decision out.
+//! Admits requests: collects the inputs of the decision in [`crate::admission`] and carries the
+//! decision out.
 
 use {
     super::Exchange,
@@ -66,10 +67,13 @@
             let backlog = backlog.and_then(|pool| self.serving.stages.backlog(&pool));
             let service =
                 current.as_ref().and_then(|current| current.config.services.get(&spec.service));
-            let shape = service.and_then(|service| service.batch);
+            let batch_config = service.and_then(|service| service.batch);
             let waiting = backlog.map_or(0, |backlog| backlog.waiting.iter().sum());
-            let call_time = shape.map_or(Duration::ZERO, |shape| {
-                expected_call_time(&shape, shape.pieces_max.min((pieces + waiting) as usize))
+            let call_time = batch_config.map_or(Duration::ZERO, |batch_config| {
+                expected_call_time(
+                    &batch_config,
+                    batch_config.pieces_max.min((pieces + waiting) as usize),
+                )
             });
             StageDemand { depends_on: spec.depends_on.clone(), pieces, backlog, call_time }
         };
--- a/crates/fernring-gateway/src/serving/exchange/mod.rs
+++ b/crates/fernring-gateway/src/serving/exchange/mod.rs
@@ -1,5 +1,5 @@
-//! The state of one request from its admission to its end. [`admitting`] decides whether it is admitted, [`staging`] runs its
-//! stages, [`sending`] sends it to an upstream.
+//! The state of one request from its admission to its end. [`admitting`] decides whether it is
+//! admitted, [`staging`] runs its stages, [`sending`] sends it to an upstream.
 
 mod admitting;
 mod sending;
@@ -65,7 +65,8 @@
     target: Target,
     load: LoadGuard,
     _attribution_guard: InFlightGuard,
-    /// The tracking of this send for the comparison of versions, if its service has a roll-out order.
+    /// The tracking of this send for the comparison of versions, if its service has a roll-out
+    /// order.
     tracked: Option<TrackedSend>,
     /// The prefill of a model engine, until the first event has been received.
     prefill: Option<Prefill>,
@@ -96,7 +97,8 @@
     }
 }
 
-/// Why a stream was interrupted. Its connection is closed, so that the caller doesn't take it for complete.
+/// Why a stream was interrupted. Its connection is closed, so that the caller doesn't take it for
+/// complete.
 #[derive(Debug, Error)]
 pub enum StreamFailure {
     /// The upstream's response was interrupted, and no other upstream could resume it.
@@ -167,7 +169,8 @@
     end_at: Duration,
     attempts: Attempts,
     tried: Vec<UpstreamKey>,
-    /// Whether the first send goes to the version that is being rolled out; `None` until that is drawn.
+    /// Whether the first send goes to the version that is being rolled out; `None` until that is
+    /// drawn.
     is_drawn_for_rollout: Cell<Option<bool>>,
     plan: StagePlan,
     /// Forecast time from the arrival to the first event; `None` if there is no forecast.
@@ -178,7 +181,8 @@
     /// The model engine for which the results are produced.
     home: Option<Target>,
     resume_after: Option<u64>,
-    /// When bytes of the response were received first and last, and the longest pause between; `None` before the first bytes.
+    /// When bytes of the response were received first and last, and the longest pause between;
+    /// `None` before the first bytes.
     stream_times: Option<StreamTimes>,
     is_ended: bool,
     _in_flight: InFlight,
@@ -266,7 +270,8 @@
         self.end_at
     }
 
-    /// Runs `work` for at most `patience` and the time left; returns `None` if it isn't done by then.
+    /// Runs `work` for at most `patience` and the time left; returns `None` if it isn't done by
+    /// then.
     pub async fn wait_at_most<T>(
         &self,
         patience: Option<Duration>,
@@ -287,8 +292,8 @@
         self.serving.wire.event_number(line)
     }
 
-    /// Records that bytes of the response were received: the prefill is done, and the upstream has fetched the results of the
-    /// stages, so they are released.
+    /// Records that bytes of the response were received: the prefill is done, and the upstream has
+    /// fetched the results of the stages, so they are released.
     pub fn record_bytes(&mut self, opened: &mut OpenedResponse) {
         if self.route.prefix_affinity {
             opened.load.reduce_to(GENERATION_LOAD_TOKENS);
@@ -310,8 +315,8 @@
         times.last_at = now;
     }
 
-    /// Sends the request again after its stream was interrupted. The stages run again if their results were released, which
-    /// happened at the first event.
+    /// Sends the request again after its stream was interrupted. The stages run again if their
+    /// results were released, which happened at the first event.
     ///
     /// # Errors
     /// If no upstream resumes the stream.
@@ -328,12 +333,14 @@
         self.open().await
     }
 
-    /// Returns the final answer for an abandoned request. It guarantees that the request has not run if that is certain.
+    /// Returns the final answer for an abandoned request. It guarantees that the request has not
+    /// run if that is certain.
     pub fn refusal_for(&self, code: ResultCode, detail: &str) -> Refusal {
         self.refusal_with_forecast(code, detail, None)
     }
 
-    /// Returns the same as [`Exchange::refusal_for`], with a forecast of when the work that waits now is done.
+    /// Returns the same as [`Exchange::refusal_for`], with a forecast of when the work that waits
+    /// now is done.
     fn refusal_with_forecast(
         &self,
         code: ResultCode,
--- a/crates/fernring-gateway/src/serving/exchange/sending.rs
+++ b/crates/fernring-gateway/src/serving/exchange/sending.rs
@@ -20,11 +20,11 @@
     std::time::Duration,
 };
 
-/// Most upstreams that one request is offered to, including those that refuse the connection. A refused connection costs a
-/// millisecond, and a third of a pool may be gone at once.
+/// Most upstreams that one request is offered to, including those that refuse the connection. A
+/// refused connection costs a millisecond, and a third of a pool may be gone at once.
 const OFFERS_MAX: u32 = 12;
-/// Share of the time left until the objective that prefill may take. The rest is for load unknown to this node: requests of other
-/// nodes since their last heartbeat.
+/// Share of the time left until the objective that prefill may take. The rest is for load unknown
+/// to this node: requests of other nodes since their last heartbeat.
 const PREFILL_SHARE: f64 = 0.7;
 /// The unit of time of the prefill speed in log lines.
 const ONE_MS: Duration = Duration::from_millis(1);
@@ -49,7 +49,8 @@
 }
 
 impl Exchange {
-    /// Sends the request, to several upstreams if need be, until the head of an acceptable response is received.
+    /// Sends the request, to several upstreams if need be, until the head of an acceptable response
+    /// is received.
     ///
     /// # Errors
     /// If there is none and the request may not be sent again.
@@ -95,9 +96,9 @@
         Err(self.refusal_without_upstream(&reason))
     }
 
-    /// Waits until it is decided whether the request is quarantined, if that is pending. Without the wait, harmless requests were
-    /// refused that had been in flight at the same three crashes as a crashing request in a fleet's first second: 4 in 12 s at 60
-    /// requests per second.
+    /// Waits until it is decided whether the request is quarantined, if that is pending. Without
+    /// the wait, harmless requests were refused that had been in flight at the same three crashes
+    /// as a crashing request in a fleet's first second: 4 in 12 s at 60 requests per second.
     pub(super) async fn wait_for_quarantine_decision(&self) {
         let decision = self.serving.crash_attribution.wait_until_settled(self.request.fingerprint);
         // The caller checks again, whether the decision was made or the time is over.
@@ -173,7 +174,8 @@
         Some(chosen)
     }
 
-    /// Chooses the upstream whose failure domain is to store the results. Nothing is sent to it yet.
+    /// Chooses the upstream whose failure domain is to store the results. Nothing is sent to it
+    /// yet.
     pub(super) fn choose_home(&self) -> Option<Target> {
         let (chosen, candidates) = self.choose_among_candidates()?;
         self.log_choice("home_chosen", &chosen.target, &candidates);
@@ -205,8 +207,8 @@
         Some((Chosen { target, tokens }, candidates))
     }
 
-    /// Keeps the candidates of the version that was drawn for the request while a version is being rolled out. Repeated sends go to
-    /// the other versions.
+    /// Keeps the candidates of the version that was drawn for the request while a version is being
+    /// rolled out. Repeated sends go to the other versions.
     fn filter_by_version(&self, candidates: Vec<Candidate>) -> Vec<Candidate> {
         let Some(admitted) = self.serving.upstreams.admits(&self.service) else {
             return candidates;
@@ -226,7 +228,8 @@
         }
     }
 
-    /// Returns whether the request was drawn for the version that is being rolled out; draws on the first call.
+    /// Returns whether the request was drawn for the version that is being rolled out; draws on the
+    /// first call.
     fn draw_for_rollout(&self) -> bool {
         self.is_drawn_for_rollout.get().unwrap_or_else(|| {
             let is_drawn = self.serving.rollouts.sample_destination(&self.service);
@@ -263,7 +266,8 @@
         log::info(line);
     }
 
-    /// Returns the request's needs for the choice of a model engine; `None` if prefixes don't matter for its service.
+    /// Returns the request's needs for the choice of a model engine; `None` if prefixes don't
+    /// matter for its service.
     fn prompt_demand(&self) -> Option<PromptDemand> {
         if !self.route.prefix_affinity || !self.serving.decide_settings.get().prefixes {
             return None;
@@ -286,8 +290,8 @@
         f64::from(self.request.fields.prompt.iter().map(|part| part.tokens).sum::<u32>())
     }
 
-    /// Returns the load of the request until its first event: for a model engine the tokens to prefill, with the shared parts of
-    /// the prompt assumed to be cached; else 1.
+    /// Returns the load of the request until its first event: for a model engine the tokens to
+    /// prefill, with the shared parts of the prompt assumed to be cached; else 1.
     fn weight(&self) -> f64 {
         match self.prompt_demand() {
             Some(demand) => demand.uncached_tokens + GENERATION_LOAD_TOKENS,
@@ -364,7 +368,8 @@
         Ok(opened)
     }
 
-    /// Checks the head of a response to a request that was sent at `sent_at`; returns the fault if there is one.
+    /// Checks the head of a response to a request that was sent at `sent_at`; returns the fault if
+    /// there is one.
     fn check_head(
         &self,
         opened: &mut OpenedResponse,
--- a/crates/fernring-gateway/src/serving/exchange/staging.rs
+++ b/crates/fernring-gateway/src/serving/exchange/staging.rs
@@ -1,4 +1,5 @@
-//! Runs the stages of a request: determines the input, the failure domain and the deadline of each stage.
+//! Runs the stages of a request: determines the input, the failure domain and the deadline of each
+//! stage.
 
 use {
     super::Exchange,
@@ -16,8 +17,9 @@
 
 /// Expected queueing time of a stage, as a share of the time of a call without pieces.
 const QUEUE_WAIT_SHARE: f64 = 0.5;
-/// Bytes that one piece reads or produces from which on it is placed by failure domain. The transfer of less data between domains
-/// costs less than the wait for a worker in a particular domain.
+/// Bytes that one piece reads or produces from which on it is placed by failure domain. The
+/// transfer of less data between domains costs less than the wait for a worker in a particular
+/// domain.
 const PLACED_BYTES_MIN: u64 = 200_000;
 /// Most runs of the stages of a request; they are run again when results were lost.
 const STAGE_RUNS_MAX: u32 = 2;
@@ -26,7 +28,8 @@
     /// Admits the request and runs all of its stages.
     ///
     /// # Errors
-    /// If the request is refused or its stages were not completed in time; the request itself has not run.
+    /// If the request is refused or its stages were not completed in time; the request itself has
+    /// not run.
     pub async fn admit_and_run_stages(&mut self) -> Result<(), Refusal> {
         self.wait_for_quarantine_decision().await;
         if self.serving.crash_attribution.is_quarantined(self.request.fingerprint) {
@@ -47,12 +50,14 @@
         self.run_admitted_stages().await
     }
 
-    /// Returns the first service needed by the request whose upstreams are all evacuated, so that the caller is answered at once.
+    /// Returns the first service needed by the request whose upstreams are all evacuated, so that
+    /// the caller is answered at once.
     fn evacuated_service(&self) -> Option<Arc<str>> {
         self.services().find(|service| self.serving.upstreams.is_evacuated(service)).cloned()
     }
 
-    /// Returns the first service needed by the request that has no upstreams in the regions where the request may be served.
+    /// Returns the first service needed by the request that has no upstreams in the regions where
+    /// the request may be served.
     fn service_outside_regions(&self) -> Option<Arc<str>> {
         let upstreams = &self.serving.upstreams;
         self.services()
@@ -132,9 +137,10 @@
         }
     }
 
-    /// Returns by how many stages a chain may be shorter than the longest one and still start with it: one, so that the request
-    /// doesn't wait for the shorter chain in the end. Zero for requests of the lowest rank, which leaves the capacity for results to
-    /// other requests meanwhile. If stages aren't delayed at all, the number of stages.
+    /// Returns by how many stages a chain may be shorter than the longest one and still start with
+    /// it: one, so that the request doesn't wait for the shorter chain in the end. Zero for
+    /// requests of the lowest rank, which leaves the capacity for results to other requests
+    /// meanwhile. If stages aren't delayed at all, the number of stages.
     fn chain_lead(&self) -> usize {
         if !self.serving.decide_settings.get().made_late {
             return self.route.stages.len();
@@ -190,11 +196,12 @@
         let time_of = |spec: &StageSpec, pieces: u32| {
             let service =
                 current.as_ref().and_then(|current| current.config.services.get(&spec.service));
-            let Some(shape) = service.and_then(|service| service.batch) else {
+            let Some(batch_config) = service.and_then(|service| service.batch) else {
                 return Duration::ZERO;
             };
-            let pieces = pieces.min(shape.pieces_max as u32);
-            shape.call_time.mul_f64(1.0 + QUEUE_WAIT_SHARE) + shape.piece_time * pieces
+            let pieces = pieces.min(batch_config.pieces_max as u32);
+            batch_config.call_time.mul_f64(1.0 + QUEUE_WAIT_SHARE)
+                + batch_config.piece_time * pieces
         };
         self.plan.time_after(stage, &time_of)
     }
@@ -204,8 +211,8 @@
         self.serving.prefill_speeds.for_service(&self.service).time_for(self.prompt_tokens())
     }
 
-    /// Returns the preferred failure domain for the pieces of a stage: the domain where the results are read if they are large, or
-    /// else the domain that stores the inputs if these are large.
+    /// Returns the preferred failure domain for the pieces of a stage: the domain where the results
+    /// are read if they are large, or else the domain that stores the inputs if these are large.
     fn consumer_domain(&self, stage: usize) -> Option<Arc<str>> {
         if !self.serving.decide_settings.get().placing {
             return None;
--- a/crates/fernring-gateway/src/serving/fingerprint.rs
+++ b/crates/fernring-gateway/src/serving/fingerprint.rs
@@ -1,4 +1,5 @@
-//! Fingerprints of requests: equal for requests with the same caller, path and body, regardless of their ids.
+//! Fingerprints of requests: equal for requests with the same caller, path and body, regardless of
+//! their ids.
 //!
 //! ```
 //! use fernring_gateway::fingerprint::Fingerprint;
@@ -11,13 +12,16 @@
 
 use std::fmt;
 
-/// Context string of the key derivation, which separates this digest from other uses of the same function.
+/// Context string of the key derivation, which separates this digest from other uses of the same
+/// function.
 const CONTEXT: &str = "fernring: what a request asks";
-/// Length of a fingerprint in bytes: two requests with the same fingerprint take some 2^64 attempts to find.
+/// Length of a fingerprint in bytes: two requests with the same fingerprint take some 2^64 attempts
+/// to find.
 const FINGERPRINT_BYTES: usize = 16;
 
-/// Digest of a request's caller, path with query, and body. It needs no secret shared between nodes: the hash function is
-/// collision resistant, so a caller can't forge a request with the fingerprint of another caller's request.
+/// Digest of a request's caller, path with query, and body. It needs no secret shared between
+/// nodes: the hash function is collision resistant, so a caller can't forge a request with the
+/// fingerprint of another caller's request.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Fingerprint([u8; FINGERPRINT_BYTES]);
 
--- a/crates/fernring-gateway/src/serving/ingress.rs
+++ b/crates/fernring-gateway/src/serving/ingress.rs
@@ -29,8 +29,9 @@
 
 /// Smallest buffer that the HTTP library accepts, in bytes.
 const BUFFER_BYTES_MIN: usize = 8_192;
-/// How long a caller may keep reading an answer after the deadline of its request. Without this limit, a caller that stops reading
-/// would occupy its connection, and one to an upstream, indefinitely.
+/// How long a caller may keep reading an answer after the deadline of its request. Without this
+/// limit, a caller that stops reading would occupy its connection, and one to an upstream,
+/// indefinitely.
 const OVERTIME_MAX: Duration = Duration::from_secs(5);
 /// Pause after a failed accept, which mostly means that file descriptors have run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
@@ -40,7 +41,8 @@
 pub enum Phase {
     /// The node accepts connections.
     Serving,
-    /// The node is no longer ready; answers close their connections, so that callers connect to another node.
+    /// The node is no longer ready; answers close their connections, so that callers connect to
+    /// another node.
     Leaving,
     /// Connections are closed as soon as they have no request in flight.
     Closing,
--- a/crates/fernring-gateway/src/serving/refusal.rs
+++ b/crates/fernring-gateway/src/serving/refusal.rs
@@ -1,6 +1,7 @@
 //! Answers that the gateway generates itself.
 //!
-//! A status that guarantees that the request has not run is built only from [`NotRun`], or before anything was sent.
+//! A status that guarantees that the request has not run is built only from [`NotRun`], or before
+//! anything was sent.
 
 use {
     crate::{attempts::NotRun, wire::Wire},
@@ -34,7 +35,8 @@
         Self { code, detail: detail.into(), status, retry_after: None, closes_connection }
     }
 
-    /// Refuses a request whose body was not received in time. It has not run, since it was incomplete.
+    /// Refuses a request whose body was not received in time. It has not run, since it was
+    /// incomplete.
     pub fn slow_body() -> Self {
         Self {
             code: ResultCode::BodyTooSlow,
@@ -62,8 +64,8 @@
         }
     }
 
-    /// Refuses a quarantined request, which crashes upstreams and has not run. There is no retry-after, since the request would be
-    /// refused again.
+    /// Refuses a quarantined request, which crashes upstreams and has not run. There is no
+    /// retry-after, since the request would be refused again.
     pub fn quarantined(_: NotRun, detail: impl Into<String>) -> Self {
         let code = ResultCode::EndsUpstreams;
         let status = StatusCode::TOO_MANY_REQUESTS;
--- a/crates/fernring-gateway/src/serving/relay.rs
+++ b/crates/fernring-gateway/src/serving/relay.rs
@@ -1,4 +1,5 @@
-//! Forwards a stream as it arrives, and resumes it at another upstream if it is interrupted and may be resumed.
+//! Forwards a stream as it arrives, and resumes it at another upstream if it is interrupted and may
+//! be resumed.
 
 use {
     crate::{
@@ -14,8 +15,8 @@
     std::time::Duration,
 };
 
-/// Silence after which a resumable stream is resumed at another upstream. Objectives for pauses are around a fifth of a second,
-/// and callers give up after two seconds.
+/// Silence after which a resumable stream is resumed at another upstream. Objectives for pauses are
+/// around a fifth of a second, and callers give up after two seconds.
 const SILENCE_MAX: Duration = Duration::from_millis(900);
 
 /// A stream that is forwarded to a caller.
@@ -25,7 +26,8 @@
     splitter: EventSplitter,
     /// Number of the last complete event that was forwarded.
     last_event: Option<u64>,
-    /// Whether the stream may be resumed at another upstream. A failure response may not, since its head has been forwarded.
+    /// Whether the stream may be resumed at another upstream. A failure response may not, since its
+    /// head has been forwarded.
     is_resumable: bool,
     is_done: bool,
 }
@@ -101,7 +103,8 @@
         let line = line.with("upstream", self.opened.instance()).with("reason", &loss.reason);
         log::warn(line.with_some("last_event", self.last_event));
         self.splitter.discard();
-        // The connection is closed before another upstream is asked, so that two upstreams never work on the stream at once.
+        // The connection is closed before another upstream is asked, so that two upstreams never
+        // work on the stream at once.
         self.opened.body.close();
         self.exchange.record_broken_send(&self.opened, &loss);
         if !self.is_resumable {
--- a/crates/fernring-gateway/src/serving/serve.rs
+++ b/crates/fernring-gateway/src/serving/serve.rs
@@ -32,8 +32,8 @@
     tokio::time::timeout,
 };
 
-/// Largest response of a non-streaming route, in bytes; it is buffered until it is complete. Larger responses count as failed:
-/// no service has any today.
+/// Largest response of a non-streaming route, in bytes; it is buffered until it is complete. Larger
+/// responses count as failed: no service has any today.
 const PLAIN_RESPONSE_BYTES_MAX: usize = 8 << 20;
 /// How long the rest of a body that is too long is read, so that the caller receives the answer.
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(1);
@@ -271,8 +271,8 @@
     )
 }
 
-/// Reads and discards the rest of a body for up to [`DISCARD_TIMEOUT`]: closing a connection with unread bytes would reset it, and
-/// the answer would be lost.
+/// Reads and discards the rest of a body for up to [`DISCARD_TIMEOUT`]: closing a connection with
+/// unread bytes would reset it, and the answer would be lost.
 async fn drain_body(mut body: Incoming) {
     let discarding = async { while let Some(Ok(_)) = body.frame().await {} };
     // The answer is the same whether the body ended or not.
--- a/crates/fernring-gateway/src/stages.rs
+++ b/crates/fernring-gateway/src/stages.rs
@@ -159,8 +159,8 @@
     ///
     /// That is all workers of the service, unless the service is sharded or the request is
     /// restricted to regions. Then it is the workers of one failure domain: of `consumer_domain` if
-    /// it has workers, else of a domain that is drawn by the request's identifier. Returns `None` if
-    /// there are no workers in the regions of the request.
+    /// it has workers, else of a domain that is drawn by the request's identifier. Returns `None`
+    /// if there are no workers in the regions of the request.
     pub fn pool_for(
         &self,
         service: &Arc<str>,
--- a/crates/fernring-gateway/src/store/directory.rs
+++ b/crates/fernring-gateway/src/store/directory.rs
@@ -1,14 +1,16 @@
 //! The upstreams, as described by their own records in the platform's store.
 //!
-//! The store assigns an offset to each record. Of two records of one upstream, the one at the later position applies, no matter
-//! whether it came from the store or a peer. A store that was restored from a backup holds the state of some seconds ago: across
-//! eras the start time and the upstream's own sequence number decide which record is newer, and an upstream that was draining or
-//! had been removed stays so. A removal that may be a lapse, because the upstream couldn't renew its record during an outage of
-//! the store, takes effect only after [`RETURN_GRACE`].
+//! The store assigns an offset to each record. Of two records of one upstream, the one at the later
+//! position applies, no matter whether it came from the store or a peer. A store that was restored
+//! from a backup holds the state of some seconds ago: across eras the start time and the upstream's
+//! own sequence number decide which record is newer, and an upstream that was draining or had been
+//! removed stays so. A removal that may be a lapse, because the upstream couldn't renew its record
+//! during an outage of the store, takes effect only after [`RETURN_GRACE`].
 //!
-//! A process may restart under the same instance name. The latest start time takes precedence over any position: it ends the
-//! previous incarnation and adds a new upstream with a new key, so that no state kept by key outlives an incarnation. A record
-//! that can't be decoded removes the upstream that its key names at once, since it is no lapse.
+//! A process may restart under the same instance name. The latest start time takes precedence over
+//! any position: it ends the previous incarnation and adds a new upstream with a new key, so that
+//! no state kept by key outlives an incarnation. A record that can't be decoded removes the
+//! upstream that its key names at once, since it is no lapse.
 
 use {
     super::index::Index,
@@ -25,11 +27,12 @@
     },
 };
 
-/// Time after the end of a store outage in which a removed record may be written again. The platform promises about two seconds;
-/// the rest is a margin for reading it.
+/// Time after the end of a store outage in which a removed record may be written again. The
+/// platform promises about two seconds; the rest is a margin for reading it.
 pub const RETURN_GRACE: Duration = Duration::from_millis(2_300);
 
-/// Most removals that are remembered for peers: about one day's removals at the long-run size, some 300 KB.
+/// Most removals that are remembered for peers: about one day's removals at the long-run size, some
+/// 300 KB.
 const REMOVALS_MAX: usize = 4_096;
 
 /// What the store holds under an instance.
@@ -61,14 +64,15 @@
     Appeared(UpstreamKey),
     /// The upstream is draining.
     Draining(UpstreamKey),
-    /// The upstream's record was removed, possibly by a lapse: it gets no new work until its record is back or the removal takes
-    /// effect.
+    /// The upstream's record was removed, possibly by a lapse: it gets no new work until its record
+    /// is back or the removal takes effect.
     Lapsed(UpstreamKey),
     /// The record of a lapsed upstream is back.
     Returned(UpstreamKey),
     /// The upstream was removed, and its key is invalid.
     Gone(UpstreamKey),
-    /// The upstream's process has restarted: the state of the previous incarnation is obsolete, and its requests in flight are lost.
+    /// The upstream's process has restarted: the state of the previous incarnation is obsolete, and
+    /// its requests in flight are lost.
     Restarted {
         /// Key of the previous incarnation, now invalid.
         old: UpstreamKey,
@@ -115,8 +119,9 @@
         now < self.cold_until
     }
 
-    /// Returns whether a record of the same incarnation, at a position, is newer than the known one. Positions of different eras
-    /// of the store can't be compared for this, since a backup holds old records; the upstream's sequence number decides then.
+    /// Returns whether a record of the same incarnation, at a position, is newer than the known
+    /// one. Positions of different eras of the store can't be compared for this, since a backup
+    /// holds old records; the upstream's sequence number decides then.
     fn is_older_than(&self, at: Position, record: &UpstreamRecord) -> bool {
         if self.at.era == at.era {
             return self.at <= at;
@@ -125,8 +130,8 @@
         known < (record.sequence, record.state == UpstreamState::Draining, at)
     }
 
-    /// Ignores a record that isn't newer, except that an upstream that drains in a later era of the store drains regardless of its
-    /// sequence number.
+    /// Ignores a record that isn't newer, except that an upstream that drains in a later era of the
+    /// store drains regardless of its sequence number.
     fn apply_late_drain(
         &mut self,
         key: UpstreamKey,
@@ -141,7 +146,8 @@
         Effect::Draining(key)
     }
 
-    /// Returns whether the upstream's record may have lapsed, so that other upstreams are preferred.
+    /// Returns whether the upstream's record may have lapsed, so that other upstreams are
+    /// preferred.
     pub fn has_lapsed(&self) -> bool {
         self.removal_due.is_some()
     }
@@ -154,20 +160,23 @@
     at: Position,
     /// Latest known start time of the instance, so that an earlier incarnation doesn't reappear.
     started_ms: Option<u64>,
-    /// Last known sequence number of that incarnation's record, so that a restored backup doesn't bring it back.
+    /// Last known sequence number of that incarnation's record, so that a restored backup doesn't
+    /// bring it back.
     sequence: Option<u64>,
     /// Whether the store holds a record there that can't be decoded.
     is_unusable: bool,
 }
 
 impl Removal {
-    /// Returns whether a record is one that was already known when it was removed in an earlier era of the store: it comes from
-    /// the backup that the store was restored from, and the upstream stays removed.
+    /// Returns whether a record is one that was already known when it was removed in an earlier era
+    /// of the store: it comes from the backup that the store was restored from, and the upstream
+    /// stays removed.
     fn is_from_backup(&mut self, at: Position, record: &UpstreamRecord) -> bool {
         if self.at.era == at.era || is_earlier(self.started_ms, record.started_ms) {
             return false;
         }
-        // Without a known sequence number, the one of this record is the bound that later records have to exceed.
+        // Without a known sequence number, the one of this record is the bound that later records
+        // have to exceed.
         let known = *self.sequence.get_or_insert(record.sequence);
         record.sequence <= known
     }
@@ -183,8 +192,8 @@
     index: Index,
     /// Holds each upstream whose removal may be a lapse; may also hold keys whose lapse is over.
     lapsed: HashSet<UpstreamKey>,
-    /// The newest removal of each instance that was ever removed, also if it is back, so that an older record from a peer doesn't
-    /// restore the state before the removal.
+    /// The newest removal of each instance that was ever removed, also if it is back, so that an
+    /// older record from a peer doesn't restore the state before the removal.
     removed: HashMap<Arc<str>, Removal>,
     /// Until when removals may be lapses.
     lapses_until: Duration,
@@ -249,7 +258,8 @@
         at_address.find(|(_, upstream)| &*upstream.record.service == service).map(|(key, _)| key)
     }
 
-    /// Records that the store has just come back from an outage: removals may be lapses for [`RETURN_GRACE`].
+    /// Records that the store has just come back from an outage: removals may be lapses for
+    /// [`RETURN_GRACE`].
     pub fn record_store_outage(&mut self, now: Duration) {
         self.lapses_until = now + RETURN_GRACE;
     }
@@ -290,8 +300,8 @@
         Some(present.chain(removed).collect())
     }
 
-    /// Lists all upstreams as changes, except those whose records may have lapsed: a peer that doesn't know these receives them
-    /// when their records are back.
+    /// Lists all upstreams as changes, except those whose records may have lapsed: a peer that
+    /// doesn't know these receives them when their records are back.
     pub fn all_changes(&self, now: Duration) -> Vec<Change> {
         let present = self.upstreams.values().filter(|upstream| !upstream.has_lapsed());
         present.map(|upstream| upstream.change(now)).collect()
@@ -313,8 +323,8 @@
         removal.is_some_and(|removal| removal.is_unusable && removal.at == at)
     }
 
-    /// Applies some of the store's records before the full read is complete: upstreams that are missing among them are kept, and
-    /// the position to read on from doesn't change.
+    /// Applies some of the store's records before the full read is complete: upstreams that are
+    /// missing among them are kept, and the position to read on from doesn't change.
     pub fn preview(&mut self, now: Duration, records: Vec<Change>) -> Vec<Effect> {
         let end = self.end;
         let effects = records.into_iter().map(|change| self.apply(now, change)).collect();
@@ -322,9 +332,9 @@
         effects
     }
 
-    /// Applies a full read of the store's records; upstreams that are missing among them were removed. In a later era of the store
-    /// than the known one, they may only be missing from the backup that the store was restored from; these write their records
-    /// again if they are alive.
+    /// Applies a full read of the store's records; upstreams that are missing among them were
+    /// removed. In a later era of the store than the known one, they may only be missing from the
+    /// backup that the store was restored from; these write their records again if they are alive.
     pub fn replace(&mut self, now: Duration, records: Vec<Change>, end: Position) -> Vec<Effect> {
         if end.era > self.end.era {
             self.record_store_outage(now);
@@ -400,7 +410,8 @@
         }
     }
 
-    /// Removes the upstream of an instance if it started earlier than another incarnation that has already ended.
+    /// Removes the upstream of an instance if it started earlier than another incarnation that has
+    /// already ended.
     fn remove_earlier_incarnation(&mut self, ended: &UpstreamRecord) -> Effect {
         let key = self.by_instance.get(&ended.instance).copied();
         let earlier =
@@ -437,7 +448,8 @@
         }
     }
 
-    /// Remembers a removal unless a newer one is known; returns the upstream that it removes, if there is one.
+    /// Remembers a removal unless a newer one is known; returns the upstream that it removes, if
+    /// there is one.
     fn record_removal(
         &mut self,
         instance: &Arc<str>,
@@ -461,7 +473,8 @@
         key.filter(|_| is_removed)
     }
 
-    /// Forgets the older half of the removals when there are too many. A peer that asks for earlier changes then gets all records.
+    /// Forgets the older half of the removals when there are too many. A peer that asks for earlier
+    /// changes then gets all records.
     fn prune_removals(&mut self) {
         if self.removed.len() <= REMOVALS_MAX {
             return;
@@ -495,7 +508,8 @@
     }
 }
 
-/// Returns whether one start time is earlier than another. An unknown start time is neither earlier nor later.
+/// Returns whether one start time is earlier than another. An unknown start time is neither earlier
+/// nor later.
 fn is_earlier(one_ms: Option<u64>, other_ms: Option<u64>) -> bool {
     one_ms.zip(other_ms).is_some_and(|(one_ms, other_ms)| one_ms < other_ms)
 }
--- a/crates/fernring-gateway/src/store/evacuations.rs
+++ b/crates/fernring-gateway/src/store/evacuations.rs
@@ -1,9 +1,11 @@
-//! Tracks which failure domains operators have evacuated: nothing new is sent to the upstreams there. No I/O.
+//! Tracks which failure domains operators have evacuated: nothing new is sent to the upstreams
+//! there. No I/O.
 //!
-//! Handles the evacuation of a failure domain with a third of the upstreams while hundreds of nodes send to it. An operator's
-//! order is a record in the topic of the configuration and spreads in the same two ways: nodes that read the store read it, and
-//! each heartbeat carries all orders that its sender knows, a few dozen bytes per domain, ahead of the age that confirms them.
-//! Of two orders for a domain, the one at the later position applies, regardless of the way it came.
+//! Handles the evacuation of a failure domain with a third of the upstreams while hundreds of nodes
+//! send to it. An operator's order is a record in the topic of the configuration and spreads in the
+//! same two ways: nodes that read the store read it, and each heartbeat carries all orders that its
+//! sender knows, a few dozen bytes per domain, ahead of the age that confirms them. Of two orders
+//! for a domain, the one at the later position applies, regardless of the way it came.
 //!
 //! ```
 //! use fernring_gateway::{evacuations::{EvacuationOrder, Evacuations}, position::Position};
@@ -19,8 +21,9 @@
     std::{collections::BTreeMap, sync::Arc},
 };
 
-/// Most domains with a known order, far more than a deployment has. An order for one more domain replaces the oldest withdrawn
-/// order, so that a faulty operator tool can't fill memory and heartbeats.
+/// Most domains with a known order, far more than a deployment has. An order for one more domain
+/// replaces the oldest withdrawn order, so that a faulty operator tool can't fill memory and
+/// heartbeats.
 const DOMAINS_MAX: usize = 256;
 
 /// An operator's newest order for one failure domain.
@@ -51,9 +54,10 @@
         before.is_some_and(|before| before.is_in_force) != order.is_in_force
     }
 
-    /// Applies a full read: the store held the orders `present` and no others up to `end`. A known order of the same era that is
-    /// missing was withdrawn. One of an earlier era may only be missing from the backup that the store was restored from, and
-    /// applies until the operator gives a new order. Returns the domains that were evacuated or released by this.
+    /// Applies a full read: the store held the orders `present` and no others up to `end`. A known
+    /// order of the same era that is missing was withdrawn. One of an earlier era may only be
+    /// missing from the backup that the store was restored from, and applies until the operator
+    /// gives a new order. Returns the domains that were evacuated or released by this.
     pub fn replace_all(
         &mut self,
         present: Vec<(Arc<str>, Position)>,
--- a/crates/fernring-gateway/src/store/freshness.rs
+++ b/crates/fernring-gateway/src/store/freshness.rs
@@ -1,10 +1,12 @@
-//! Decides how fresh a node's copy of a topic of the store is, and whether the node has to read the store itself.
+//! Decides how fresh a node's copy of a topic of the store is, and whether the node has to read the
+//! store itself.
 //!
-//! One node of each failure domain reads the store; the others rely on its heartbeats. The first of these readers reads often,
-//! and its answers confirm the state of all nodes. The others read seldom; they are there so that a domain behind a network
-//! partition has a reader. Only a node that has read the store itself reports how long ago that was. A node whose state hasn't
-//! been confirmed for a while reads too, so a reader that is lost or has no connection to the store causes a short delay and
-//! never exceeds the bound on the age of the configuration.
+//! One node of each failure domain reads the store; the others rely on its heartbeats. The first of
+//! these readers reads often, and its answers confirm the state of all nodes. The others read
+//! seldom; they are there so that a domain behind a network partition has a reader. Only a node
+//! that has read the store itself reports how long ago that was. A node whose state hasn't been
+//! confirmed for a while reads too, so a reader that is lost or has no connection to the store
+//! causes a short delay and never exceeds the bound on the age of the configuration.
 //!
 //! ```
 //! use {
@@ -25,18 +27,20 @@
     std::{ops::Range, time::Duration},
 };
 
-/// How long one read of the first reader waits for a record. Each answer confirms the state of all nodes.
+/// How long one read of the first reader waits for a record. Each answer confirms the state of all
+/// nodes.
 const FIRST_READ_WAIT: Range<Duration> = Duration::from_millis(600)..Duration::from_millis(850);
 /// How long one read of another reader waits for a record: longer, to save calls to the store.
 const READ_WAIT: Range<Duration> = Duration::from_millis(3_000)..Duration::from_millis(4_000);
-/// Age from which on a reader no longer relies on the first one: the longest wait of the first reader, two heartbeats, and a
-/// margin.
+/// Age from which on a reader no longer relies on the first one: the longest wait of the first
+/// reader, two heartbeats, and a margin.
 pub const DOUBT_AFTER: Duration = Duration::from_millis(1_150);
-/// Age from which on any node reads the store. Together with the read it stays within the two seconds in which users want a
-/// configuration in force, and it leaves a reader time to read and to send its heartbeat.
+/// Age from which on any node reads the store. Together with the read it stays within the two
+/// seconds in which users want a configuration in force, and it leaves a reader time to read and to
+/// send its heartbeat.
 pub const STALE_AFTER: Duration = Duration::from_millis(1_450);
-/// Period over which nodes that become stale together spread their reads; the first one that gets an answer confirms the state
-/// of the others.
+/// Period over which nodes that become stale together spread their reads; the first one that gets
+/// an answer confirms the state of the others.
 const STALE_SPREAD: Duration = Duration::from_millis(250);
 /// How long a node keeps reading after it had to stand in for its reader.
 const STAND_IN_TIME: Duration = Duration::from_secs(3);
@@ -52,8 +56,8 @@
 }
 
 impl Freshness {
-    /// Creates the state of a topic that was never read. `draw` is a random number from 0 to 1 that spreads the reads of many
-    /// nodes over time.
+    /// Creates the state of a topic that was never read. `draw` is a random number from 0 to 1 that
+    /// spreads the reads of many nodes over time.
     pub fn new(draw: f64) -> Self {
         let stale_after = STALE_AFTER + STALE_SPREAD.mul_f64(draw.clamp(0.0, 1.0));
         Self { confirmed_at: None, read_at: None, stand_in_until: Duration::ZERO, stale_after }
@@ -73,9 +77,10 @@
         self.record_confirmation(now);
     }
 
-    /// Returns the age that heartbeats report: the time since this node itself last read the store. Ages received from peers
-    /// aren't passed on: each hop leaves out its transit time, so among many nodes ages would hardly grow (with 78 nodes and 1 to
-    /// 8 ms of transit, nodes began to doubt their state after 6.6 s instead of 1.7 s).
+    /// Returns the age that heartbeats report: the time since this node itself last read the store.
+    /// Ages received from peers aren't passed on: each hop leaves out its transit time, so among
+    /// many nodes ages would hardly grow (with 78 nodes and 1 to 8 ms of transit, nodes began to
+    /// doubt their state after 6.6 s instead of 1.7 s).
     pub fn reported_age(&self, now: Duration) -> Option<Duration> {
         self.read_at.map(|at| now.saturating_sub(at))
     }
@@ -85,7 +90,8 @@
         self.confirmed_at.map(|at| now.saturating_sub(at))
     }
 
-    /// Returns whether this node's state may be out of date, so that the node has to read the store.
+    /// Returns whether this node's state may be out of date, so that the node has to read the
+    /// store.
     pub fn is_stale(&self, now: Duration) -> bool {
         self.age(now).is_none_or(|age| age >= self.stale_after)
     }
@@ -95,9 +101,10 @@
         self.age(now).map_or(Duration::ZERO, |age| DOUBT_AFTER.saturating_sub(age))
     }
 
-    /// Returns how long a read waits for a record, given a wait drawn from [`read_wait`]. The first reader shortens it, so that
-    /// its next confirmation comes before the others doubt their state: when a full wait followed a pause to coalesce records,
-    /// the state of all nodes was 1.45 s old at its end, and each of them read the store itself for three seconds.
+    /// Returns how long a read waits for a record, given a wait drawn from [`read_wait`]. The first
+    /// reader shortens it, so that its next confirmation comes before the others doubt their state:
+    /// when a full wait followed a pause to coalesce records, the state of all nodes was 1.45 s old
+    /// at its end, and each of them read the store itself for three seconds.
     pub fn read_wait_of(&self, now: Duration, role: ReaderRole, drawn: Duration) -> Duration {
         match role {
             ReaderRole::Primary => drawn.min(self.time_until_doubt(now)),
@@ -119,7 +126,8 @@
 /// Returns the range from which the wait of a read for a record is drawn.
 pub fn read_wait(role: ReaderRole) -> Range<Duration> {
     match role {
-        // A node that stands in for the readers confirms the state of others, as the first reader does.
+        // A node that stands in for the readers confirms the state of others, as the first reader
+        // does.
         ReaderRole::Primary | ReaderRole::None => FIRST_READ_WAIT,
         // No other node depends on the answers that a lone node gets.
         ReaderRole::Domain | ReaderRole::Standalone => READ_WAIT,
--- a/crates/fernring-gateway/src/store/full_read.rs
+++ b/crates/fernring-gateway/src/store/full_read.rs
@@ -1,7 +1,7 @@
 //! Reads the newest records of a topic page by page. No I/O.
 //!
-//! Only the page that failed is requested again. Starting over at each failure would rarely finish: a store that answers nine
-//! calls in ten would hardly ever return twenty pages in a row.
+//! Only the page that failed is requested again. Starting over at each failure would rarely finish:
+//! a store that answers nine calls in ten would hardly ever return twenty pages in a row.
 
 use {
     crate::wire::{NewestPage, Page, StoreError},
@@ -45,7 +45,8 @@
             }
             Some(mut before) => {
                 before.records.extend(page.records);
-                // The pages are no snapshot: records written after the first page was requested are read again later.
+                // The pages are no snapshot: records written after the first page was requested are
+                // read again later.
                 before.end = before.end.min(page.end);
                 before.took += page.took;
                 before
--- a/crates/fernring-gateway/src/store/mod.rs
+++ b/crates/fernring-gateway/src/store/mod.rs
@@ -1,7 +1,8 @@
 //! What a node knows of the platform's store, from its own reads or from peers that have read it.
 //!
-//! [`store_loops`] reads and writes the store. [`freshness`], [`tailing`], [`bootstrap`] and [`full_read`] decide when a node reads
-//! and when it asks its peers. [`directory`] and [`evacuations`] hold the records, ordered by [`position`].
+//! [`store_loops`] reads and writes the store. [`freshness`], [`tailing`], [`bootstrap`] and
+//! [`full_read`] decide when a node reads and when it asks its peers. [`directory`] and
+//! [`evacuations`] hold the records, ordered by [`position`].
 
 pub mod bootstrap;
 pub mod directory;
--- a/crates/fernring-gateway/src/store/position.rs
+++ b/crates/fernring-gateway/src/store/position.rs
@@ -1,8 +1,8 @@
 //! The position of a record in the platform's store: the era of the store and an offset.
 //!
-//! A store that was restored from a backup assigns offsets again that it had assigned to other records before, and those records
-//! are lost. Therefore each offset belongs to an era, and of two positions the one of the later era is the later one, regardless of
-//! their offsets.
+//! A store that was restored from a backup assigns offsets again that it had assigned to other
+//! records before, and those records are lost. Therefore each offset belongs to an era, and of two
+//! positions the one of the later era is the later one, regardless of their offsets.
 
 /// The position of a record in a topic of the store, or the position that the next record gets.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/fernring-gateway/src/store/records.rs
+++ b/crates/fernring-gateway/src/store/records.rs
@@ -141,7 +141,8 @@
     }
 }
 
-/// Decodes the roll-out order of a service and its progress from a peer; returns the service with it.
+/// Decodes the roll-out order of a service and its progress from a peer; returns the service with
+/// it.
 pub(crate) fn decode_rollout_order(
     now: Duration,
     message: &RolloutOrderMessage,
--- a/crates/fernring-gateway/src/store/store_loops/mod.rs
+++ b/crates/fernring-gateway/src/store/store_loops/mod.rs
@@ -1,8 +1,9 @@
 //! Keeps up with the topics of the platform's store: the configuration, the upstreams, the nodes.
 //!
-//! Each topic is read in full once. After that, one node of each failure domain reads the changes, with one call at a time that
-//! waits for the next record, and its peers rely on that node (see [`crate::freshness`]). `operator_records` and
-//! `upstream_records` apply what is read or passed on by peers; `node_records` maintains this node's own record.
+//! Each topic is read in full once. After that, one node of each failure domain reads the changes,
+//! with one call at a time that waits for the next record, and its peers rely on that node (see
+//! [`crate::freshness`]). `operator_records` and `upstream_records` apply what is read or passed on
+//! by peers; `node_records` maintains this node's own record.
 
 mod node_records;
 mod operator_records;
@@ -41,7 +42,8 @@
 
 /// First pause after a failed call; doubled up to [`RETRY_PAUSE_MAX`].
 const RETRY_PAUSE_MIN: Duration = Duration::from_millis(250);
-/// Longest pause of a reader after a failed call: the end of a store outage is noticed within a second.
+/// Longest pause of a reader after a failed call: the end of a store outage is noticed within a
+/// second.
 const RETRY_PAUSE_MAX: Duration = Duration::from_millis(700);
 /// Longest pause of any other node, which reads only because its state isn't confirmed.
 const STAND_IN_RETRY_PAUSE_MAX: Duration = Duration::from_secs(2);
@@ -53,10 +55,11 @@
 const READER_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Shortest pause between two checks whether a read is overdue.
 const OVERDUE_CHECK_MIN: Duration = Duration::from_millis(20);
-/// Time after the start in which a node doesn't know its peers yet, so that it doesn't act as a reader for others.
+/// Time after the start in which a node doesn't know its peers yet, so that it doesn't act as a
+/// reader for others.
 const PEER_DISCOVERY_TIME: Duration = Duration::from_secs(1);
-/// Pause between two reads of the upstreams' records, so that the heartbeats of many upstreams are read with one call. Well below
-/// the time after which a draining upstream may get no new work.
+/// Pause between two reads of the upstreams' records, so that the heartbeats of many upstreams are
+/// read with one call. Well below the time after which a draining upstream may get no new work.
 const COALESCE_PAUSE: Duration = Duration::from_millis(600);
 /// How often lapsed upstreams are checked for expiry.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(200);
@@ -83,7 +86,8 @@
     pub rollouts: Rc<Rollouts>,
     /// The other nodes.
     pub peers: Rc<Peers>,
-    /// The state of the configuration's topic and of the upstreams' topic, in the order of [`TailedTopic`].
+    /// The state of the configuration's topic and of the upstreams' topic, in the order of
+    /// [`TailedTopic`].
     pub tailing: [RefCell<Tailing>; 2],
     /// When the node started.
     pub started_at: Duration,
@@ -93,7 +97,8 @@
     pub evacuation_bound: Cell<Duration>,
     /// Whether that bound was exceeded at the last check.
     pub has_unconfirmed_orders: Cell<bool>,
-    /// Era of the store in which this node's own record was last written; `None` before the first write.
+    /// Era of the store in which this node's own record was last written; `None` before the first
+    /// write.
     pub registered_era: Cell<Option<u64>>,
 }
 
@@ -154,7 +159,8 @@
                 sleep(READER_CHECK_INTERVAL).await;
                 continue;
             }
-            // Records from peers are known up to a position, too. Once the store has answered, its answers determine the position.
+            // Records from peers are known up to a position, too. Once the store has answered, its
+            // answers determine the position.
             let peer_position = self.position_from_peers(tailed).filter(|_| !has_read);
             if (full_read.has_started() || peer_position.is_some())
                 && !self.should_read_on(tailed, &mut bootstrap)
@@ -162,7 +168,8 @@
                 sleep(BOOTSTRAP_CHECK_INTERVAL).await;
                 continue;
             }
-            // Positions of an earlier era of the store are invalid in this one: the topic is read in full again.
+            // Positions of an earlier era of the store are invalid in this one: the topic is read
+            // in full again.
             from = from.map(|from| self.resume_position(tailed, from)).or(peer_position);
             from = from.filter(|from| from.era == self.store.era());
             if !full_read.has_started() {
@@ -189,8 +196,8 @@
                     pause = RETRY_PAUSE_MIN;
                     let is_full = from.is_none();
                     let has_records = !page.records.is_empty();
-                    // An end before the position that was read up to means that the store has lost its history. In a later era
-                    // other records follow that offset.
+                    // An end before the position that was read up to means that the store has lost
+                    // its history. In a later era other records follow that offset.
                     let end = page.end_position();
                     let has_regressed = from.is_some_and(|from| end < from || end.era != from.era);
                     from = (!has_regressed).then_some(end);
@@ -240,7 +247,8 @@
         Ok(all_records)
     }
 
-    /// Returns whether this node reads the rest of a partly known topic itself; otherwise it waits for peers that know all of it.
+    /// Returns whether this node reads the rest of a partly known topic itself; otherwise it waits
+    /// for peers that know all of it.
     fn should_read_on(&self, tailed: TailedTopic, bootstrap: &mut Option<Bootstrap>) -> bool {
         if self.age(tailed).is_some() {
             return true;
@@ -252,14 +260,15 @@
         bootstrap.should_read_on(now, tailing.lag().peer_ahead_at())
     }
 
-    /// Returns the position up to which peers have sent records; used while this node hasn't read the store itself.
+    /// Returns the position up to which peers have sent records; used while this node hasn't read
+    /// the store itself.
     fn position_from_peers(&self, tailed: TailedTopic) -> Option<Position> {
         let end = self.upstreams.directory().end();
         (tailed == TailedTopic::Upstreams && end > Position::default()).then_some(end)
     }
 
-    /// Returns the longest pause of a node that reads the store only because its state isn't confirmed. Together, such nodes read
-    /// as often in a large fleet as in a small one.
+    /// Returns the longest pause of a node that reads the store only because its state isn't
+    /// confirmed. Together, such nodes read as often in a large fleet as in a small one.
     fn stand_in_retry_pause_max(&self) -> Duration {
         STAND_IN_RETRY_PAUSE_MAX.max(STAND_IN_RETRY_PAUSE_PER_NODE * self.peers.node_count() as u32)
     }
@@ -267,8 +276,9 @@
     /// Returns the position to read on from: peers may have sent more than this node has read.
     fn resume_position(&self, tailed: TailedTopic, from: Position) -> Position {
         match tailed {
-            // Without this, a node that has long relied on peers would read all versions written since its last read.
-            // In another era it has to read all operators' orders for failure domains, too.
+            // Without this, a node that has long relied on peers would read all versions written
+            // since its last read. In another era it has to read all operators' orders for failure
+            // domains, too.
             TailedTopic::Config if self.config.borrow().end().era == from.era => {
                 self.config.borrow().end().max(from)
             }
@@ -277,8 +287,8 @@
         }
     }
 
-    /// Returns how long the next read waits for a record. A read that checks whether the store is back after a failure, or
-    /// refreshes an unconfirmed state, doesn't wait.
+    /// Returns how long the next read waits for a record. A read that checks whether the store is
+    /// back after a failure, or refreshes an unconfirmed state, doesn't wait.
     fn read_wait(&self, tailed: TailedTopic, role: ReaderRole, has_failed: bool) -> Duration {
         let tailing = self.tailing(tailed).borrow();
         let is_unconfirmed = tailing.freshness().needs_confirmation(self.now());
@@ -289,9 +299,10 @@
         tailing.freshness().read_wait_of(self.now(), role, drawn)
     }
 
-    /// Completes when a read that waits for `wait` is overdue: this node's state has been unconfirmed for a while, though peers
-    /// could confirm it. Never completes for the read of a lone node or while an answer is being received, since a large answer
-    /// may take longer; these reads end by themselves.
+    /// Completes when a read that waits for `wait` is overdue: this node's state has been
+    /// unconfirmed for a while, though peers could confirm it. Never completes for the read of a
+    /// lone node or while an answer is being received, since a large answer may take longer; these
+    /// reads end by themselves.
     async fn until_overdue(&self, tailed: TailedTopic, wait: Duration) {
         loop {
             let confirmed_for =
@@ -344,7 +355,8 @@
         }
     }
 
-    /// Handles the mark and age that a peer reports for a topic; returns whether to request newer records from it.
+    /// Handles the mark and age that a peer reports for a topic; returns whether to request newer
+    /// records from it.
     pub fn handle_peer_mark(
         &self,
         tailed: TailedTopic,
@@ -369,7 +381,8 @@
         self.record_peer_read(tailed, at);
     }
 
-    /// Records that the store answered a peer at `at`. The peer itself reports whether records may have lapsed.
+    /// Records that the store answered a peer at `at`. The peer itself reports whether records may
+    /// have lapsed.
     fn record_peer_read(&self, tailed: TailedTopic, at: Duration) {
         let is_stale = self.tailing(tailed).borrow().freshness().is_stale(self.now());
         if tailed == TailedTopic::Upstreams && !is_stale {
@@ -411,8 +424,8 @@
         }
     }
 
-    /// Logs when operators' orders have been unconfirmed for longer than an evacuation may take, and when that is over: meanwhile
-    /// this node may send to a domain that was evacuated.
+    /// Logs when operators' orders have been unconfirmed for longer than an evacuation may take,
+    /// and when that is over: meanwhile this node may send to a domain that was evacuated.
     fn check_order_confirmation(&self) {
         let Some(age) = self.age(TailedTopic::Config) else {
             return;
@@ -436,7 +449,8 @@
     pause.mul_f64(rand::rng().random_range(0.5..1.5))
 }
 
-/// Logs that a page held records without a readable key. Only a read of changes returns them, so each is logged once.
+/// Logs that a page held records without a readable key. Only a read of changes returns them, so
+/// each is logged once.
 fn report_unreadable(topic: Topic, page: &Page) {
     if page.unreadable > 0 {
         telemetry::record_rejected_record(topic.name());
--- a/crates/fernring-gateway/src/store/store_loops/node_records.rs
+++ b/crates/fernring-gateway/src/store/store_loops/node_records.rs
@@ -1,5 +1,5 @@
-//! This node's own record in the store: written at the start, written again after the store was restored from a backup, and
-//! removed at shutdown.
+//! This node's own record in the store: written at the start, written again after the store was
+//! restored from a backup, and removed at shutdown.
 
 use {
     super::{PEER_DISCOVERY_TIME, RETRY_PAUSE_MAX, RETRY_PAUSE_MIN, StoreLoops, jitter},
@@ -14,10 +14,11 @@
     tokio::{task::spawn_local, time::sleep},
 };
 
-/// Period over which nodes spread the rewrite of their records after the store was restored from a backup: hundreds of nodes
-/// notice it within a second.
+/// Period over which nodes spread the rewrite of their records after the store was restored from a
+/// backup: hundreds of nodes notice it within a second.
 const REWRITE_SPREAD: Duration = Duration::from_secs(1);
-/// Time that the store needs for one record, with capacity left for other writers. It refuses writes that come faster.
+/// Time that the store needs for one record, with capacity left for other writers. It refuses
+/// writes that come faster.
 const WRITE_TIME: Duration = Duration::from_millis(8);
 /// Most nodes that may write at the same moment.
 const WRITERS_MAX: usize = 50;
@@ -64,8 +65,8 @@
         node_count
     }
 
-    /// Reads the records after the first page, if this node is a reader or has no reachable peer. All other nodes receive them
-    /// from peers.
+    /// Reads the records after the first page, if this node is a reader or has no reachable peer.
+    /// All other nodes receive them from peers.
     async fn read_other_nodes(&self, mut after: Arc<str>) {
         sleep(PEER_DISCOVERY_TIME).await;
         while self.peers.reader_role() != ReaderRole::None {
@@ -102,8 +103,8 @@
         }
     }
 
-    /// Handles the era of the store named by an answer of the store or by a peer. In a later era than the known one, this node's
-    /// record may be lost, so it is written again.
+    /// Handles the era of the store named by an answer of the store or by a peer. In a later era
+    /// than the known one, this node's record may be lost, so it is written again.
     pub fn handle_era(self: &Rc<Self>, era: u64) {
         self.store.record_era(era);
         let Some(before) = self.registered_era.get().filter(|before| *before < self.store.era())
--- a/crates/fernring-gateway/src/store/store_loops/operator_records.rs
+++ b/crates/fernring-gateway/src/store/store_loops/operator_records.rs
@@ -1,4 +1,5 @@
-//! Applies the records that operators write: configurations, orders for failure domains, and versions to roll out.
+//! Applies the records that operators write: configurations, orders for failure domains, and
+//! versions to roll out.
 
 use {
     super::{StoreLoops, TailedTopic},
@@ -17,7 +18,8 @@
 };
 
 impl StoreLoops {
-    /// Applies a page of operators' records. Orders for failure domains come first, since a configuration takes time to decode.
+    /// Applies a page of operators' records. Orders for failure domains come first, since a
+    /// configuration takes time to decode.
     pub(super) fn apply_operator_page(&self, page: Page, is_full: bool) {
         let mut configs = Vec::new();
         let mut orders = Vec::new();
@@ -88,7 +90,8 @@
         self.owner.dispatch_all();
     }
 
-    /// Applies a configuration from the store or a peer (`source`): its record, the same record compressed, and the position after it.
+    /// Applies a configuration from the store or a peer (`source`): its record, the same record
+    /// compressed, and the position after it.
     fn apply_config(&self, record: &[u8], compressed: Bytes, end: Position, source: &str) {
         let config = match self.wire.decode_config(record) {
             Ok(config) => config,
@@ -111,8 +114,8 @@
         self.log_unknown_regions();
     }
 
-    /// Logs the regions that the configuration in force names but no failure domain belongs to: requests that are restricted to
-    /// only these are refused.
+    /// Logs the regions that the configuration in force names but no failure domain belongs to:
+    /// requests that are restricted to only these are refused.
     fn log_unknown_regions(&self) {
         let Some(current) = self.config.borrow().current() else {
             return;
@@ -130,8 +133,9 @@
         }
     }
 
-    /// Handles a compressed configuration from a peer, with the position after it. It doesn't confirm this node's state: if it is
-    /// malformed, the configuration in force may be out of date.
+    /// Handles a compressed configuration from a peer, with the position after it. It doesn't
+    /// confirm this node's state: if it is malformed, the configuration in force may be out of
+    /// date.
     pub fn handle_peer_config(&self, compressed: Bytes, end: Position) {
         match decompress(&compressed) {
             Ok(record) => self.apply_config(&record, compressed, end, "peer"),
--- a/crates/fernring-gateway/src/store/store_loops/upstream_records.rs
+++ b/crates/fernring-gateway/src/store/store_loops/upstream_records.rs
@@ -13,12 +13,13 @@
     std::time::Duration,
 };
 
-/// Most simultaneous changes that are logged with a line each; more are summed up in one line. Ten thousand lines at the start of
-/// each node would cause other lines to be dropped.
+/// Most simultaneous changes that are logged with a line each; more are summed up in one line. Ten
+/// thousand lines at the start of each node would cause other lines to be dropped.
 const LOGGED_CHANGES_MAX: usize = 50;
 
-/// Assumed size of all records, compressed, after the first page of several was read: ten thousand records of some forty bytes. With
-/// too low a value a node would ask a second peer before the first one's answer can have arrived, and get the records twice.
+/// Assumed size of all records, compressed, after the first page of several was read: ten thousand
+/// records of some forty bytes. With too low a value a node would ask a second peer before the
+/// first one's answer can have arrived, and get the records twice.
 const ALL_RECORDS_BYTES: usize = 400 << 10;
 
 /// Records of upstreams that a peer passes on.
@@ -43,7 +44,8 @@
         self.apply_upstreams(changes, page.end_position(), is_full);
     }
 
-    /// Applies the first page of a full read, so that requests are served before the other pages have come.
+    /// Applies the first page of a full read, so that requests are served before the other pages
+    /// have come.
     pub(super) fn apply_preview(&self, tailed: TailedTopic, page: &Page) {
         if tailed != TailedTopic::Upstreams
             || self.upstreams.directory().end() > Position::default()
--- a/crates/fernring-gateway/src/store/tailing.rs
+++ b/crates/fernring-gateway/src/store/tailing.rs
@@ -1,8 +1,9 @@
-//! Decides how a node keeps up with a topic of the store through its peers: when it requests newer records from a peer, whether
-//! it answers such requests, and which age its heartbeats report.
+//! Decides how a node keeps up with a topic of the store through its peers: when it requests newer
+//! records from a peer, whether it answers such requests, and which age its heartbeats report.
 //!
-//! Handles a new configuration of hundreds of kilobytes that a few readers have and scores of nodes need at once. Inputs: the
-//! marks and ages in heartbeats, a fifth of a second old; requests of peers; the node's own reads.
+//! Handles a new configuration of hundreds of kilobytes that a few readers have and scores of nodes
+//! need at once. Inputs: the marks and ages in heartbeats, a fifth of a second old; requests of
+//! peers; the node's own reads.
 //!
 //! ```
 //! use {
@@ -22,22 +23,24 @@
     std::time::Duration,
 };
 
-/// Speed of the slowest link in use, in bytes per second: 10 Mbit/s. Assumed for a node's own link if it isn't configured, and
-/// for the unknown link of a peer that sends a record.
+/// Speed of the slowest link in use, in bytes per second: 10 Mbit/s. Assumed for a node's own link
+/// if it isn't configured, and for the unknown link of a peer that sends a record.
 pub const MIN_LINK_BYTES_PER_S: f64 = 10e6 / 8.0;
 /// Share of a node's link that records for peers may use; the rest is for requests.
 const LINK_SHARE: f64 = 0.5;
-/// Longest queue of records to send, as time on the link. Small records are sent many at a time, large ones one by one.
+/// Longest queue of records to send, as time on the link. Small records are sent many at a time,
+/// large ones one by one.
 const SEND_QUEUE_TIME_MAX: Duration = Duration::from_millis(100);
-/// Wait for an answer before another peer is asked, for the round trip to a busy node. The time that a record of the last size
-/// takes over the slowest link at [`LINK_SHARE`] is added.
+/// Wait for an answer before another peer is asked, for the round trip to a busy node. The time
+/// that a record of the last size takes over the slowest link at [`LINK_SHARE`] is added.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
-/// Longest pause after a peer deferred a request. It is random, so that nodes don't ask the same peers at the same moments
-/// again, and short compared with the transfer of a record.
+/// Longest pause after a peer deferred a request. It is random, so that nodes don't ask the same
+/// peers at the same moments again, and short compared with the transfer of a record.
 const DEFERRED_PAUSE_MAX: Duration = Duration::from_millis(60);
 
-/// Time in which a node that knows that a peer is ahead doesn't read the store itself: at its end 90 in 100 of 86 nodes have
-/// 530 KB from their peers and the confirmation that this is the newest record. Without it 42 of them read the store needlessly.
+/// Time in which a node that knows that a peer is ahead doesn't read the store itself: at its end
+/// 90 in 100 of 86 nodes have 530 KB from their peers and the confirmation that this is the newest
+/// record. Without it 42 of them read the store needlessly.
 const PEER_DELIVERY_TIME: Duration = Duration::from_millis(600);
 
 /// Answer to a peer that requests a record.
@@ -63,7 +66,8 @@
 }
 
 impl Lag {
-    /// Returns when a peer was last known to be ahead: when it first reported a newer mark, or when it deferred a request.
+    /// Returns when a peer was last known to be ahead: when it first reported a newer mark, or when
+    /// it deferred a request.
     pub fn peer_ahead_at(&self) -> Option<Duration> {
         self.deferred_at.max(self.since)
     }
@@ -85,8 +89,8 @@
 }
 
 impl Tailing {
-    /// Creates the state of a topic of which nothing is known. `draw` is a random number from 0 to 1 that spreads the reads of
-    /// many nodes over time.
+    /// Creates the state of a topic of which nothing is known. `draw` is a random number from 0 to
+    /// 1 that spreads the reads of many nodes over time.
     pub fn new(draw: f64) -> Self {
         Self {
             freshness: Freshness::new(draw),
@@ -153,8 +157,8 @@
         self.freshness.reported_age(now)
     }
 
-    /// Handles the mark up to which a peer knows the topic and the age that it reports; `own` is this node's mark. Returns
-    /// whether to request the newer records from the peer.
+    /// Handles the mark up to which a peer knows the topic and the age that it reports; `own` is
+    /// this node's mark. Returns whether to request the newer records from the peer.
     pub fn handle_peer_mark<M: Copy + Ord>(
         &mut self,
         now: Duration,
@@ -183,17 +187,17 @@
         true
     }
 
-    /// Handles a peer's deferral of a request: the next peer that is ahead is asked. `draw` is a random number from 0 to 1 that
-    /// spreads the requests of many nodes.
+    /// Handles a peer's deferral of a request: the next peer that is ahead is asked. `draw` is a
+    /// random number from 0 to 1 that spreads the requests of many nodes.
     pub fn handle_deferral(&mut self, now: Duration, draw: f64) {
         self.lag.deferred += 1;
         self.lag.deferred_at = Some(now);
         self.next_request_at = now + DEFERRED_PAUSE_MAX.mul_f64(draw.clamp(0.0, 1.0));
     }
 
-    /// Handles a peer's request for a record of this size and returns the answer. A deferral is answered at once, so that the
-    /// peer asks another node: when requests were dropped silently, all nodes waited for one holder, and 271 KB took 4.3 s to
-    /// reach 78 nodes.
+    /// Handles a peer's request for a record of this size and returns the answer. A deferral is
+    /// answered at once, so that the peer asks another node: when requests were dropped silently,
+    /// all nodes waited for one holder, and 271 KB took 4.3 s to reach 78 nodes.
     pub fn handle_request(&mut self, now: Duration, bytes: usize) -> Reply {
         if self.link_busy_until > now + SEND_QUEUE_TIME_MAX {
             return Reply::Deferred;
--- a/crates/fernring-gateway/src/upstreams/announced_limits.rs
+++ b/crates/fernring-gateway/src/upstreams/announced_limits.rs
@@ -109,7 +109,7 @@
         let exhausted = self.exhausted.entry(incarnation_id).or_default();
         exhausted.drained_at = now + denied.drained_after;
         for retry_at in exhausted.retry_at.iter_mut().skip(rank) {
-            *retry_at = (*retry_at).max(now + denied.ask_again_after);
+            *retry_at = (*retry_at).max(now + denied.retry_after);
         }
     }
 
@@ -344,7 +344,7 @@
         let Ok(Ok(response)) = timeout(RESPONSE_TIMEOUT, receiver).await else {
             log::info(LogLine::event("turn_unanswered").with("counter", issuer));
             return Err(PermitDenied {
-                ask_again_after: UNANSWERED_RETRY_DELAY,
+                retry_after: UNANSWERED_RETRY_DELAY,
                 drained_after: UNANSWERED_RETRY_DELAY,
             });
         };
@@ -352,8 +352,8 @@
         match response.is_granted {
             true => Ok(()),
             false => Err(PermitDenied {
-                ask_again_after: Duration::from_millis(response.retry_after_ms.into()),
-                drained_after: Duration::from_millis(response.queue_drain_ms.into()),
+                retry_after: Duration::from_millis(response.retry_after_ms.into()),
+                drained_after: Duration::from_millis(response.drained_after_ms.into()),
             }),
         }
     }
@@ -371,7 +371,7 @@
         };
         if now < started_at + STARTUP_TIME {
             let remaining = started_at + STARTUP_TIME - now;
-            return Err(PermitDenied { ask_again_after: remaining, drained_after: remaining });
+            return Err(PermitDenied { retry_after: remaining, drained_after: remaining });
         }
         let node_count = limited_upstreams
             .permit_transport
@@ -397,8 +397,8 @@
             ticket: request.ticket,
             limit: limited_upstreams.limit_report(self.clock.now().monotonic, incarnation_id),
             is_granted: denied.is_none(),
-            retry_after_ms: denied.map_or(0, |denied| ms(denied.ask_again_after)),
-            queue_drain_ms: denied.map_or(0, |denied| ms(denied.drained_after)),
+            retry_after_ms: denied.map_or(0, |denied| ms(denied.retry_after)),
+            drained_after_ms: denied.map_or(0, |denied| ms(denied.drained_after)),
         };
         if let Some(permit_transport) = &limited_upstreams.permit_transport {
             permit_transport.send_response(requester, response);
--- a/crates/fernring-gateway/tests/testsuite/batching.rs
+++ b/crates/fernring-gateway/tests/testsuite/batching.rs
@@ -27,7 +27,7 @@
     ranks
 }
 
-fn shape() -> BatchConfig {
+fn batch_config() -> BatchConfig {
     BatchConfig {
         pieces_max: 4,
         call_time: Duration::from_millis(150),
@@ -76,8 +76,13 @@
 }
 
 fn take(queue: &mut BatchQueue, free_bytes: u64) -> Vec<u64> {
-    let taken =
-        queue.take_batch(NOW, &shape(), worker_in("a", free_bytes), &DECIDE_SETTINGS, no_workers);
+    let taken = queue.take_batch(
+        NOW,
+        &batch_config(),
+        worker_in("a", free_bytes),
+        &DECIDE_SETTINGS,
+        no_workers,
+    );
     taken.pieces.iter().map(|piece| piece.work).collect()
 }
 
@@ -96,7 +101,7 @@
     let mut queue = queue([piece(1, 50), piece(2, 900)]);
     let taken = queue.take_batch(
         NOW,
-        &BatchConfig { pieces_max: 1, ..shape() },
+        &BatchConfig { pieces_max: 1, ..batch_config() },
         worker_in("a", 10_000),
         &DECIDE_SETTINGS,
         no_workers,
@@ -110,7 +115,7 @@
     let mut queue = queue([low, piece(2, 900)]);
     let taken = queue.take_batch(
         NOW,
-        &BatchConfig { pieces_max: 1, ..shape() },
+        &BatchConfig { pieces_max: 1, ..batch_config() },
         worker_in("a", 10_000),
         &DECIDE_SETTINGS,
         no_workers,
@@ -146,13 +151,13 @@
     let mut patient = queue([remote(900)]);
     assert!(
         patient
-            .take_batch(NOW, &shape(), worker_in("a", 10_000), &DECIDE_SETTINGS, workers)
+            .take_batch(NOW, &batch_config(), worker_in("a", 10_000), &DECIDE_SETTINGS, workers)
             .pieces
             .is_empty()
     );
     assert_eq!(
         patient
-            .take_batch(NOW, &shape(), worker_in("b", 10_000), &DECIDE_SETTINGS, workers)
+            .take_batch(NOW, &batch_config(), worker_in("b", 10_000), &DECIDE_SETTINGS, workers)
             .pieces
             .len(),
         1
@@ -160,7 +165,7 @@
     let mut urgent = queue([remote(200)]);
     assert_eq!(
         urgent
-            .take_batch(NOW, &shape(), worker_in("a", 10_000), &DECIDE_SETTINGS, workers)
+            .take_batch(NOW, &batch_config(), worker_in("a", 10_000), &DECIDE_SETTINGS, workers)
             .pieces
             .len(),
         1
@@ -168,7 +173,7 @@
     let mut alone = queue([remote(900)]);
     assert_eq!(
         alone
-            .take_batch(NOW, &shape(), worker_in("a", 10_000), &DECIDE_SETTINGS, no_workers)
+            .take_batch(NOW, &batch_config(), worker_in("a", 10_000), &DECIDE_SETTINGS, no_workers)
             .pieces
             .len(),
         1,
@@ -182,7 +187,7 @@
     let mut queue = queue([expired, piece(2, 900), piece(3, 900)]);
     queue.cancel(2);
     let expired_works: Vec<_> = queue
-        .take_expired(NOW, &shape(), &idle(), &DECIDE_SETTINGS)
+        .take_expired(NOW, &batch_config(), &idle(), &DECIDE_SETTINGS)
         .iter()
         .map(|piece| piece.work)
         .collect();
@@ -197,7 +202,7 @@
         consumer_domain: Some(domain.into()),
         ..piece(work, due_ms)
     };
-    let one = BatchConfig { pieces_max: 1, ..shape() };
+    let one = BatchConfig { pieces_max: 1, ..batch_config() };
     let mut local_queue = queue([read_in(1, "b", 900), read_in(2, "a", 1_050)]);
     assert_eq!(
         local_queue
@@ -225,8 +230,13 @@
     };
     let mut queue = queue([piece(0), piece(1)]);
     queue.remove_piece(1, 0);
-    let left =
-        queue.take_batch(NOW, &shape(), worker_in("a", 10_000), &DECIDE_SETTINGS, no_workers);
+    let left = queue.take_batch(
+        NOW,
+        &batch_config(),
+        worker_in("a", 10_000),
+        &DECIDE_SETTINGS,
+        no_workers,
+    );
     assert_eq!(left.pieces.iter().map(|piece| piece.piece.number).collect::<Vec<_>>(), [1]);
 }
 
@@ -235,7 +245,7 @@
 /// its last piece is completed.
 #[test]
 fn work_is_split_only_to_fill_a_call() {
-    let eight = BatchConfig { pieces_max: 8, ..shape() };
+    let eight = BatchConfig { pieces_max: 8, ..batch_config() };
     let burst =
         || queue((1..=4).flat_map(|work| (0..3).map(move |_| piece(work, 900 + work * 10))));
     let works = |batch: &fernring_gateway::batching::Batch| -> Vec<u64> {
@@ -259,7 +269,13 @@
     let limit = |free_bytes, works: u64| {
         let mut queue = queue((1..=works).map(|work| piece(work, 900)));
         queue
-            .take_batch(NOW, &shape(), worker_in("a", free_bytes), &DECIDE_SETTINGS, no_workers)
+            .take_batch(
+                NOW,
+                &batch_config(),
+                worker_in("a", free_bytes),
+                &DECIDE_SETTINGS,
+                no_workers,
+            )
             .limit
     };
     assert_eq!(limit(10_000, 3), BatchLimit::Empty);
@@ -269,7 +285,7 @@
     let workers_in = |_: &str| Some(DomainWorkers { count: 1, free_at: NOW });
     let call = queue([remote]).take_batch(
         NOW,
-        &shape(),
+        &batch_config(),
         worker_in("a", 10_000),
         &DECIDE_SETTINGS,
         workers_in,
@@ -285,7 +301,7 @@
     let expired = |backlog: &Backlog, decide_settings: &DecideSettings| -> Vec<u64> {
         let mut queue = queue([piece(1, 0), piece(2, 900)]);
         queue
-            .take_expired(NOW, &shape(), backlog, decide_settings)
+            .take_expired(NOW, &batch_config(), backlog, decide_settings)
             .iter()
             .map(|piece| piece.work)
             .collect()
@@ -302,7 +318,7 @@
     let piece_with_deadline =
         |work| QueuedPiece { deadline_at: NOW + Duration::from_secs(4), ..piece(work, 0) };
     let mut queue = queue((1..=30).map(piece_with_deadline));
-    let expired_works = queue.take_expired(NOW, &shape(), &backlog, &DECIDE_SETTINGS);
+    let expired_works = queue.take_expired(NOW, &batch_config(), &backlog, &DECIDE_SETTINGS);
     assert_eq!((queue.len(), expired_works.len()), (19, 11), "five per second, less the last call");
 }
 
@@ -310,7 +326,7 @@
 fn pieces_are_counted_by_rank_and_late_ones_separately() {
     let low = QueuedPiece { priority: 2, ..piece(2, 900) };
     let queue = queue([piece(1, 900), low.clone(), low, piece(3, 0)]);
-    let (in_time, late) = queue.count_waiting(NOW, &shape());
+    let (in_time, late) = queue.count_waiting(NOW, &batch_config());
     assert_eq!(in_time[..3], [1, 0, 2]);
     assert_eq!(late, 1);
 }
@@ -320,14 +336,14 @@
 #[test]
 fn overload_threshold_grows_with_workers() {
     let read_in_b = |work| QueuedPiece { consumer_domain: Some("b".into()), ..piece(work, 60_000) };
-    let waiting = 3 * shape().pieces_max as u64;
+    let waiting = 3 * batch_config().pieces_max as u64;
     let workers_in = |_: &str| Some(DomainWorkers { count: 8, free_at: NOW });
     let taken_in_a = |workers| {
         let mut queue = queue((0..waiting).map(read_in_b));
         queue
             .take_batch(
                 NOW,
-                &shape(),
+                &batch_config(),
                 TargetWorker { workers, ..worker_in("a", 1_000_000) },
                 &DECIDE_SETTINGS,
                 workers_in,
@@ -353,8 +369,13 @@
         queue([isolated(1, 0), isolated(1, 1), isolated(2, 0), piece(3, 1_003), isolated(4, 0)]);
     assert_eq!(take(&mut queue, 10_000), [1, 1], "both pieces of one request");
     assert_eq!(take(&mut queue, 10_000), [2]);
-    let batch =
-        queue.take_batch(NOW, &shape(), worker_in("a", 10_000), &DECIDE_SETTINGS, no_workers);
+    let batch = queue.take_batch(
+        NOW,
+        &batch_config(),
+        worker_in("a", 10_000),
+        &DECIDE_SETTINGS,
+        no_workers,
+    );
     assert_eq!(batch.pieces.iter().map(|piece| piece.work).collect::<Vec<_>>(), [3]);
     assert_eq!(batch.limit, BatchLimit::Isolation);
     assert_eq!(take(&mut queue, 10_000), [4]);
--- a/crates/fernring-gateway/tests/testsuite/bootstrap.rs
+++ b/crates/fernring-gateway/tests/testsuite/bootstrap.rs
@@ -1,9 +1,11 @@
-//! Simulates, in virtual time, the simultaneous start of all nodes of a fleet with thousands of upstreams. All decisions are made
-//! by [`Bootstrap`], [`FullRead`] and [`Tailing`]; the store has the limits that users stated.
+//! Simulates, in virtual time, the simultaneous start of all nodes of a fleet with thousands of
+//! upstreams. All decisions are made by [`Bootstrap`], [`FullRead`] and [`Tailing`]; the store has
+//! the limits that users stated.
 //!
-//! Guards against an overload of the store at the start. 986 nodes with 10,003 upstreams made 54,310 calls: each node read all 21
-//! pages, and started over when a page failed. After a crash of all processes no node knew an upstream for the rest of the day: 661
-//! of 774 requests of 106 nodes ended with 3004, and the store refused 100 to 317 of their calls per second.
+//! Guards against an overload of the store at the start. 986 nodes with 10,003 upstreams made
+//! 54,310 calls: each node read all 21 pages, and started over when a page failed. After a crash of
+//! all processes no node knew an upstream for the rest of the day: 661 of 774 requests of 106 nodes
+//! ended with 3004, and the store refused 100 to 317 of their calls per second.
 
 use {
     fernring_gateway::{
@@ -21,7 +23,7 @@
 /// Records of a page, and the size of a page in bytes.
 const PAGE_RECORDS: usize = 500;
 const PAGE_BYTES: f64 = 150_000.0;
-/// Size of a packed record that nodes pass on, in bytes.
+/// Size of a compressed record that nodes pass on, in bytes.
 const RECORD_BYTES: usize = 40;
 /// The store's limits.
 const READS_PER_S: u32 = 16_000;
@@ -254,15 +256,17 @@
         self.nodes.iter().filter(|node| node.pages == self.pages).count()
     }
 
-    /// Returns the longest time from a node's start to the moment that `at` returns; `None` if a node has none.
+    /// Returns the longest time from a node's start to the moment that `at` returns; `None` if a
+    /// node has none.
     fn slowest(&self, at: impl Fn(&Node) -> Option<Duration>) -> Option<Duration> {
         let times = self.nodes.iter().map(|node| Some(at(node)?.saturating_sub(node.started_at)));
         times.collect::<Option<Vec<_>>>()?.into_iter().max()
     }
 }
 
-/// With ten upstreams per node, each node serves with the first page within a second of its start, the store refuses no call, and
-/// all nodes know all upstreams within the users' time for a recovery.
+/// With ten upstreams per node, each node serves with the first page within a second of its start,
+/// the store refuses no call, and all nodes know all upstreams within the users' time for a
+/// recovery.
 #[test]
 fn fleet_serves_within_a_second_without_refused_reads() {
     for seed in 1..=3 {
@@ -294,7 +298,8 @@
     for draw in [0.0, 0.5, 1.0] {
         let bootstrap = Bootstrap::new(Duration::ZERO, link, draw);
         assert!(bootstrap.should_read_on(Duration::from_secs(6), None), "{draw}");
-        // A node that knows of a peer that is ahead waits for it, but not longer than the transfer may take.
+        // A node that knows of a peer that is ahead waits for it, but not longer than the transfer
+        // may take.
         let peer_ahead_at = Some(Duration::from_millis(5_500));
         assert!(!bootstrap.should_read_on(Duration::from_secs(6), peer_ahead_at));
         assert!(bootstrap.should_read_on(Duration::from_millis(7_500), peer_ahead_at));
--- a/crates/fernring-gateway/tests/testsuite/cold.rs
+++ b/crates/fernring-gateway/tests/testsuite/cold.rs
@@ -15,7 +15,7 @@
 };
 
 const SECOND: Duration = Duration::from_secs(1);
-const BOUNDS: ColdRateLimit = ColdRateLimit { per_s: 9.1, overage: 1.5, slack: 5.0 };
+const LIMIT: ColdRateLimit = ColdRateLimit { per_s: 9.1, overage: 1.5, slack: 5.0 };
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -45,7 +45,7 @@
         for now in tries {
             for (node, nodes, permits) in &mut self.nodes {
                 let scope = PermitScope { node: *node, upstream, nodes: *nodes };
-                if permits.try_acquire(now, &BOUNDS, scope) {
+                if permits.try_acquire(now, &LIMIT, scope) {
                     sends.push_back(now);
                 }
             }
@@ -71,7 +71,7 @@
             let tries = (0..400).map(|step| start + ms(step * 10));
             peak = peak.max(fleet.peak_sends_per_second(upstream, tries));
         }
-        let bound = BOUNDS.max_in_window(SECOND);
+        let bound = LIMIT.max_in_window(SECOND);
         println!("{count} nodes: at most {peak} of {bound}");
         assert!((peak as f64) <= bound, "{count} nodes: {peak}");
         assert!(peak >= 2, "{count} nodes: a cold upstream is hardly used");
@@ -83,7 +83,7 @@
     for node in 0..20 {
         let mut permits = ColdPermits::default();
         let scope = PermitScope { node, upstream: 1, nodes: 9 };
-        let taken = (0..60).filter(|s| permits.try_acquire(ms(s * 1_000), &BOUNDS, scope)).count();
+        let taken = (0..60).filter(|s| permits.try_acquire(ms(s * 1_000), &LIMIT, scope)).count();
         assert!((5..55).contains(&taken), "{taken} of about 20");
     }
 }
--- a/crates/fernring-gateway/tests/testsuite/directory.rs
+++ b/crates/fernring-gateway/tests/testsuite/directory.rs
@@ -229,7 +229,8 @@
 #[test]
 fn later_start_beats_higher_position() {
     let (mut reader, mut peer) = (Directory::default(), Directory::default());
-    // The store keeps only the newest record of each key, here a late record of the previous process.
+    // The store keeps only the newest record of each key, here a late record of the previous
+    // process.
     reader.replace(NOW, vec![started("i", 7, 10)], 8.into());
     peer.apply(NOW, started("i", 6, 20));
     pass_on(&reader, &mut peer);
@@ -283,7 +284,8 @@
     assert!(instances(&peer).is_empty());
 }
 
-/// Returns the start time that results from the entries of one instance in their order; entries of earlier starts are ignored.
+/// Returns the start time that results from the entries of one instance in their order; entries of
+/// earlier starts are ignored.
 fn read_in_order(log: &[Change]) -> Option<u64> {
     let (mut latest, mut present) = (0, None);
     for change in log {
@@ -316,8 +318,9 @@
     all
 }
 
-/// Applies every log of four entries of one instance in every order in which the store and peers may deliver them. The result is
-/// that of the log's own order, both without an outage and while removals may be lapses.
+/// Applies every log of four entries of one instance in every order in which the store and peers
+/// may deliver them. The result is that of the log's own order, both without an outage and while
+/// removals may be lapses.
 #[test]
 fn changes_lead_to_same_state_in_any_order() {
     let entries: [fn(u64) -> Change; 4] = [
@@ -356,15 +359,15 @@
     Change { instance: instance.into(), at, entry: Entry::Present(record) }
 }
 
-/// The records of a store that was restored from a backup: three upstreams as they were some seconds ago, with offsets below those
-/// assigned since then.
+/// The records of a store that was restored from a backup: three upstreams as they were some
+/// seconds ago, with offsets below those assigned since then.
 fn backup_records() -> Vec<Change> {
     let ready = |instance, offset| sequenced(instance, (1, offset), 5, UpstreamState::Ready);
     vec![ready("left", 10), ready("gone", 11), ready("stays", 12)]
 }
 
-/// A directory from before the restore: since the backup was taken, one upstream began to drain, one was removed, and one was
-/// added.
+/// A directory from before the restore: since the backup was taken, one upstream began to drain,
+/// one was removed, and one was added.
 fn peer_from_before_restore() -> Directory {
     let mut directory = Directory::default();
     for change in backup_records() {
@@ -388,9 +391,9 @@
     states.iter().map(|(name, accepts_work)| ((*name).to_owned(), *accepts_work)).collect()
 }
 
-/// A store was restored from a backup of some seconds ago. If only offsets counted, the records of the backup and those that follow
-/// would be ignored as old until the offsets had caught up. If only eras counted, the backup would bring back upstreams that were
-/// draining or had been removed.
+/// A store was restored from a backup of some seconds ago. If only offsets counted, the records of
+/// the backup and those that follow would be ignored as old until the offsets had caught up. If
+/// only eras counted, the backup would bring back upstreams that were draining or had been removed.
 #[test]
 fn restored_backup_brings_nothing_back() {
     let mut directory = peer_from_before_restore();
@@ -482,8 +485,8 @@
     );
 }
 
-/// The upstreams found by service, address and incarnation are those that a scan over all upstreams finds, after any sequence of
-/// changes.
+/// The upstreams found by service, address and incarnation are those that a scan over all upstreams
+/// finds, after any sequence of changes.
 #[test]
 fn index_matches_full_scan() {
     for seed in 0..30 {
--- a/crates/fernring-gateway/tests/testsuite/fingerprint.rs
+++ b/crates/fernring-gateway/tests/testsuite/fingerprint.rs
@@ -6,7 +6,8 @@
 };
 
 proptest! {
-    /// Without separated fields, a caller could forge a request with the fingerprint of another caller's request.
+    /// Without separated fields, a caller could forge a request with the fingerprint of another
+    /// caller's request.
     #[test]
     fn fingerprints_match_only_for_equal_requests(
         one in (option::of("[ab]{0,3}"), "[ab/]{0,3}", vec(97u8..99, 0..3)),
--- a/crates/fernring-gateway/tests/testsuite/fleet.rs
+++ b/crates/fernring-gateway/tests/testsuite/fleet.rs
@@ -1,6 +1,6 @@
 //! Simulates many nodes that tail a topic through each other, in virtual time: heartbeats, requests
 //! and records have transit times, records also on the links. All decisions are made by
-//! [`Following`].
+//! [`Tailing`].
 
 use {
     fernring_gateway::{
--- a/crates/fernring-gateway/tests/testsuite/freshness.rs
+++ b/crates/fernring-gateway/tests/testsuite/freshness.rs
@@ -64,8 +64,9 @@
     assert!(freshness.needs_confirmation(NOW + DOUBT_AFTER));
 }
 
-/// A change of upstreams followed by no further records: the first reader pauses for 0.6 s to coalesce records, then waits for the
-/// next record. Its answer and a heartbeat have to arrive before another node reads in its place.
+/// A change of upstreams followed by no further records: the first reader pauses for 0.6 s to
+/// coalesce records, then waits for the next record. Its answer and a heartbeat have to arrive
+/// before another node reads in its place.
 #[test]
 fn first_reader_confirms_in_time_after_coalescing() {
     let coalesced_for = MS * 600;
--- a/crates/fernring-gateway/tests/testsuite/permit_issuer.rs
+++ b/crates/fernring-gateway/tests/testsuite/permit_issuer.rs
@@ -162,9 +162,9 @@
         let draw = rng.random_range(0.0..1.0);
         match issuers[issuer_index].request(now, load.limit_per_s, share, rank, draw) {
             Ok(()) => true,
-            Err(PermitDenied { ask_again_after, .. }) => {
+            Err(PermitDenied { retry_after, .. }) => {
                 for until in &mut blocked_until[node][rank..] {
-                    *until = (*until).max(now + ask_again_after);
+                    *until = (*until).max(now + retry_after);
                 }
                 false
             }
@@ -302,7 +302,7 @@
     for step in 0..400 {
         if let Err(denied) = issuer.request(ms(step * 10), 5.0, 1.0, 0, 0.5) {
             longest = longest.max(denied.drained_after);
-            assert!(denied.ask_again_after <= Duration::from_secs(1));
+            assert!(denied.retry_after <= Duration::from_secs(1));
         }
     }
     // A hundred requests per second arrive, and five are taken.
--- a/crates/fernring-gateway/tests/testsuite/rollouts.rs
+++ b/crates/fernring-gateway/tests/testsuite/rollouts.rs
@@ -1,8 +1,10 @@
-//! Roll-outs on fleets of 1, 9 and 300 nodes, under virtual time. The decisions are made by the controller, the samplers and the
-//! orders alone; nodes report every round, and announcements reach them after a delay.
+//! Roll-outs on fleets of 1, 9 and 300 nodes, under virtual time. The decisions are made by the
+//! controller, the samplers and the orders alone; nodes report every round, and announcements reach
+//! them after a delay.
 //!
-//! The bounds that must hold: a bad version gets at most a tenth of the requests between the order and its deadline, plus 50;
-//! it gets nothing later than 5 s after its 50th bad response. A good version is completed before the deadline.
+//! The bounds that must hold: a bad version gets at most a tenth of the requests between the order
+//! and its deadline, plus 50; it gets nothing later than 5 s after its 50th bad response. A good
+//! version is completed before the deadline.
 
 use {
     fernring_gateway::{
@@ -25,7 +27,8 @@
 const BUDGET: ExposureBudget = ExposureBudget { share: 0.1, slack: 50.0 };
 const ROLLBACK_TIME_MAX: Duration = Duration::from_secs(5);
 const ROUND_INTERVAL: Duration = Duration::from_millis(200);
-/// Time from a controller's announcement until a node applies it: a heartbeat interval and the network delay.
+/// Time from a controller's announcement until a node applies it: a heartbeat interval and the
+/// network delay.
 const ANNOUNCEMENT_DELAY: Duration = Duration::from_millis(250);
 const LONGEST_REQUEST: Duration = Duration::from_secs(4);
 
@@ -44,7 +47,8 @@
     Slow(f64),
     /// A part of the responses fail, from a part of the order's duration on.
     FailsLate(f64, f64),
-    /// A part of the responses fail while the version gets more than a rate of requests, per second.
+    /// A part of the responses fail while the version gets more than a rate of requests, per
+    /// second.
     FailsUnderLoad(f64, f64),
     /// A part of the responses on one of four routes fail.
     FailsOnOneRoute(f64),
@@ -95,7 +99,8 @@
     fault: Option<Fault>,
     /// During a part of the order's duration every fifth node is partitioned from the others.
     partition: Option<(f64, f64)>,
-    /// At a part of the order's duration all nodes and their controller restart; the store keeps what was written.
+    /// At a part of the order's duration all nodes and their controller restart; the store keeps
+    /// what was written.
     restart: Option<f64>,
 }
 
@@ -163,7 +168,8 @@
     share: (f64, Duration),
     /// The last report: when it was sent, the counts, and whether the node is drained.
     report: Option<(Duration, RolloutCounts, bool)>,
-    /// Requests in flight: when each ends, whether at the destination version, the route, and the latency (`None`: fails).
+    /// Requests in flight: when each ends, whether at the destination version, the route, and the
+    /// latency (`None`: fails).
     in_flight: Vec<(Duration, bool, usize, Option<Duration>)>,
 }
 
@@ -386,8 +392,8 @@
                 let bad = Scenario { defect, ..Scenario::new(nodes, rate) };
                 let outcome = simulate(seed, bad);
                 outcome.assert_bounds(&bad);
-                // With few requests a version may fail too seldom to be distinguished from a good one; it then stays within its
-                // budget.
+                // With few requests a version may fail too seldom to be distinguished from a good
+                // one; it then stays within its budget.
                 let is_detectable = rate >= 40.0 && bad.defect != Defect::FailsOnOneRoute(0.6);
                 assert!(
                     outcome.is_rolled_back() || !is_detectable,
@@ -398,8 +404,9 @@
     }
 }
 
-/// A version that turns bad during its trial still has a part of its budget left. A version that turns bad after it was advanced has
-/// already received more than that part, so the test doesn't cover it.
+/// A version that turns bad during its trial still has a part of its budget left. A version that
+/// turns bad after it was advanced has already received more than that part, so the test doesn't
+/// cover it.
 #[test]
 fn version_turning_bad_in_trial_stays_within_budget() {
     for (nodes, rate) in SIZES {
@@ -433,8 +440,8 @@
             alarms.push(seed);
         }
     }
-    // Five tests with a false alarm probability of 1e-5 each; the rest is due to latencies in the first intervals of the faults,
-    // which are left to chance.
+    // Five tests with a false alarm probability of 1e-5 each; the rest is due to latencies in the
+    // first intervals of the faults, which are left to chance.
     assert!(
         alarms.len() <= 5,
         "{} of 1000 good versions rolled back, seeds {alarms:?}",
@@ -573,7 +580,8 @@
     assert_eq!(orders.rule(ms(1_000), "one").unwrap().admitted, AdmittedVersions::Others);
     assert!(orders.retain(&[], end).is_empty(), "a completed roll-out stays completed");
     assert_eq!(orders.rule(ms(1_000), "other").unwrap().admitted, AdmittedVersions::Destination);
-    // A store that was restored from a backup lacks the order: that doesn't show that it was withdrawn.
+    // A store that was restored from a backup lacks the order: that doesn't show that it was
+    // withdrawn.
     let mut orders = RolloutOrders::default();
     orders.update(&one, known_order("v2", 1, running(0.5, 1)));
     assert!(orders.retain(&[], Position::new(1, 9)).is_empty());
@@ -612,7 +620,8 @@
     assert_eq!(stats.count_from_bucket(latency_bucket(ms(40))), 2);
 }
 
-/// A version that fails as often as the others at the same time isn't worse, and a few responses prove nothing.
+/// A version that fails as often as the others at the same time isn't worse, and a few responses
+/// prove nothing.
 #[test]
 fn version_is_compared_with_others_at_same_time() {
     let compared = |destination: [u64; 2], others: [u64; 2]| {
--- a/crates/fernring-gateway/tests/testsuite/tailing.rs
+++ b/crates/fernring-gateway/tests/testsuite/tailing.rs
@@ -10,14 +10,15 @@
 const SEEDS: std::ops::Range<u64> = 1..6;
 /// Size of a configuration with 1,400 routes, in bytes.
 const LARGE_BYTES: usize = 270_994;
-/// Size of a packed configuration with 4,200 routes, in bytes.
+/// Size of a compressed configuration with 4,200 routes, in bytes.
 const PACKED_BYTES: usize = 62_849;
 /// Time until the nodes have found each other and read the topic.
 const SETTLE_TIME: Duration = Duration::from_secs(5);
 
-/// Guards against ages that grow too slowly, so that a node reads the store itself once its state was unconfirmed for 1.45 s. When
-/// nodes passed on ages received in heartbeats, each hop left out its transit time: among 78 nodes an age grew by half a second per
-/// second, and nodes took a version for fresh that nobody could have confirmed for 3,047 ms
+/// Guards against ages that grow too slowly, so that a node reads the store itself once its state
+/// was unconfirmed for 1.45 s. When nodes passed on ages received in heartbeats, each hop left out
+/// its transit time: among 78 nodes an age grew by half a second per second, and nodes took a
+/// version for fresh that nobody could have confirmed for 3,047 ms
 /// (`store_stand_in topic=config age_ms=1554 behind_ms=3047`).
 #[test]
 fn unconfirmed_state_is_doubted_in_time() {
@@ -39,10 +40,11 @@
     }
 }
 
-/// Guards against requests that all go to one holder of a record. Four readers had a configuration of 271 KB at once, but the other
-/// 74 nodes received it one after the other, the last ones six seconds later: all asked the node whose heartbeat came first, which
-/// sent one copy per 200 ms and left the other requests unanswered, and none asked the other holders meanwhile. Of 1,253 requests
-/// 1,131 were deferred.
+/// Guards against requests that all go to one holder of a record. Four readers had a configuration
+/// of 271 KB at once, but the other 74 nodes received it one after the other, the last ones six
+/// seconds later: all asked the node whose heartbeat came first, which sent one copy per 200 ms and
+/// left the other requests unanswered, and none asked the other holders meanwhile. Of 1,253
+/// requests 1,131 were deferred.
 #[test]
 fn large_record_spreads_within_two_and_a_half_seconds() {
     for seed in SEEDS {
@@ -56,8 +58,8 @@
     }
 }
 
-/// A record that is too large for the links between peers is read from the store: each node reads it once its state is in doubt,
-/// and 800 KB take 640 ms over the node's own link.
+/// A record that is too large for the links between peers is read from the store: each node reads
+/// it once its state is in doubt, and 800 KB take 640 ms over the node's own link.
 #[test]
 fn slowly_spreading_record_is_read_from_store() {
     for seed in SEEDS {
@@ -70,9 +72,10 @@
     }
 }
 
-/// Guards against needless reads of a record that peers deliver. While the first reader received its own answer, for 0.6 s, it
-/// confirmed nothing, so nodes began to doubt their state just when their peers sent the new record: 42 of 86 nodes read 788 KB
-/// from the store, though all had received them from a peer before.
+/// Guards against needless reads of a record that peers deliver. While the first reader received
+/// its own answer, for 0.6 s, it confirmed nothing, so nodes began to doubt their state just when
+/// their peers sent the new record: 42 of 86 nodes read 788 KB from the store, though all had
+/// received them from a peer before.
 #[test]
 fn record_from_peers_is_not_read_from_store() {
     for seed in SEEDS {
--- a/crates/fernring-policy/src/cost.rs
+++ b/crates/fernring-policy/src/cost.rs
@@ -54,12 +54,12 @@
 
 impl CostTable {
     /// Adds the time of one attempt that has ended.
-    pub fn add(&mut self, key: CostKey, spent: CostCategory, busy_ms: f64) {
+    pub fn add(&mut self, key: CostKey, category: CostCategory, busy_ms: f64) {
         let is_full = self.rows.len() >= ROWS_MAX && !self.rows.contains_key(&key);
         let key = if is_full { CostKey { workspace: OTHER_WORKSPACE.into(), ..key } } else { key };
         let cost = self.rows.entry(key).or_default();
         cost.attempts += 1;
-        match spent {
+        match category {
             CostCategory::Useful => cost.useful_ms += busy_ms,
             CostCategory::Failed => cost.failed_ms += busy_ms,
             CostCategory::Hedged => cost.hedged_ms += busy_ms,
--- a/crates/fernring-policy/src/dispatcher/attempts.rs
+++ b/crates/fernring-policy/src/dispatcher/attempts.rs
@@ -49,8 +49,8 @@
         let pool = entry.current_stage().pool.clone();
         let queue = self.queues.entry(pool.clone()).or_insert_with(|| PoolQueue::new(order));
         let workspace = &entry.submission.workspace;
-        let place = queue.push(request, workspace, entry.weight, entry.deadline);
-        entry.phase = Phase::Queued(place);
+        let position = queue.push(request, workspace, entry.weight, entry.deadline);
+        entry.phase = Phase::Queued(position);
         self.dispatch_from_queue(now, &pool);
     }
 
@@ -96,10 +96,10 @@
             return false;
         }
         let entry = &self.ledger[request];
-        let least_ms =
+        let min_remaining_ms =
             self.forecast.min_remaining_ms(&entry.pipeline_name, &entry.pipeline, entry.stage);
-        let least = Duration::from_secs_f64(least_ms / 1_000.0);
-        now.monotonic + least > entry.deadline
+        let min_remaining = Duration::from_secs_f64(min_remaining_ms / 1_000.0);
+        now.monotonic + min_remaining > entry.deadline
     }
 
     /// Sends one attempt of the current stage of a request.
@@ -300,8 +300,9 @@
     /// Records the cost of an attempt whose result is no longer wanted, and logs the outcome of a
     /// late side effect.
     fn record_unused_attempt(&mut self, attempt: &Attempt, end: AttemptEnd, busy_ms: f64) {
-        let spent = if attempt.superseded { CostCategory::Hedged } else { CostCategory::Abandoned };
-        self.costs.add(cost_key(attempt), spent, busy_ms);
+        let category =
+            if attempt.superseded { CostCategory::Hedged } else { CostCategory::Abandoned };
+        self.costs.add(cost_key(attempt), category, busy_ms);
         if attempt.effect {
             let line = LogLine::event("effect_outcome_after_answer")
                 .with("request", attempt.uid)
--- a/crates/fernring-policy/src/dispatcher/finish.rs
+++ b/crates/fernring-policy/src/dispatcher/finish.rs
@@ -178,10 +178,10 @@
         let stages = entry.pipeline.stages.len() as u16;
         let workspace = &entry.submission.workspace;
         self.forecast.remove_pending(&entry.pipeline, entry.pending_from_stage, stages, workspace);
-        if let Phase::Queued(place) = &entry.phase
+        if let Phase::Queued(position) = &entry.phase
             && let Some(queue) = self.queues.get_mut(&entry.current_stage().pool)
         {
-            queue.remove(place);
+            queue.remove(position);
         }
         self.count_final_answer(answer.code().class());
         self.record_stage_costs(&entry, &answer);
@@ -226,7 +226,7 @@
     /// Records the costs of the completed stages of an ended request.
     fn record_stage_costs(&mut self, entry: &Entry, answer: &Answer) {
         let used = answer.code() == ResultCode::Ok;
-        let spent = if used { CostCategory::Useful } else { CostCategory::Abandoned };
+        let category = if used { CostCategory::Useful } else { CostCategory::Abandoned };
         for stage_time in &entry.stage_times {
             let stage = &entry.pipeline.stages[usize::from(stage_time.stage)];
             let key = CostKey {
@@ -234,7 +234,7 @@
                 workspace: entry.submission.workspace.clone(),
                 stage: stage.name.as_str().into(),
             };
-            self.costs.add(key, spent, stage_time.busy_ms);
+            self.costs.add(key, category, stage_time.busy_ms);
         }
     }
 
--- a/crates/fernring-policy/src/dispatcher/mod.rs
+++ b/crates/fernring-policy/src/dispatcher/mod.rs
@@ -153,7 +153,7 @@
             Event::AttemptEnded { attempt, end } => self.handle_attempt_ended(now, attempt, end),
             Event::ClaimsRead(page) => self.handle_claims_read(now, page),
             Event::ClaimsAppended => self.claim_queue.record_success(),
-            Event::ClaimsOutcomeUnknown => self.handle_claims_in_doubt(now),
+            Event::ClaimsOutcomeUnknown => self.handle_claims_outcome_unknown(now),
             Event::OwnerAnswered { waiter, answer } => {
                 self.handle_owner_answered(now, waiter, answer);
             }
--- a/crates/fernring-policy/src/dispatcher/ownership.rs
+++ b/crates/fernring-policy/src/dispatcher/ownership.rs
@@ -320,12 +320,12 @@
             let record = build_batch(own_incarnation, self.identity.address, entries);
             self.actions.push(Action::AppendClaims(record));
         }
-        if let Some(due_at) = self.claim_queue.next_append_at() {
-            self.timers.set_queue_check(due_at);
+        if let Some(next_append_at) = self.claim_queue.next_append_at() {
+            self.timers.set_queue_check(next_append_at);
         }
     }
 
-    pub(super) fn handle_claims_in_doubt(&mut self, now: Now) {
+    pub(super) fn handle_claims_outcome_unknown(&mut self, now: Now) {
         let pause = Duration::from_millis(self.settings.claim_retry_ms);
         self.claim_queue.record_unknown_outcome(now.monotonic, pause);
     }
@@ -365,10 +365,10 @@
         self.cancel_live_attempts(request);
         let entry = &mut self.ledger[request];
         let phase = std::mem::replace(&mut entry.phase, Phase::AwaitingOwner);
-        if let Phase::Queued(place) = phase
+        if let Phase::Queued(position) = phase
             && let Some(queue) = self.queues.get_mut(&entry.current_stage().pool)
         {
-            queue.remove(&place);
+            queue.remove(&position);
         }
         let stages = entry.pipeline.stages.len() as u16;
         let workspace = &entry.submission.workspace;
--- a/crates/fernring-protocol/src/gateway.rs
+++ b/crates/fernring-protocol/src/gateway.rs
@@ -303,7 +303,7 @@
     /// If denied: time that the upstream takes at its limit to serve the requests that currently
     /// arrive in one second, in milliseconds.
     #[prost(uint32, tag = "5")]
-    pub queue_drain_ms: u32,
+    pub drained_after_ms: u32,
 }
 
 /// An operator's newest order on a failure domain.
