--- a/crates/fernring-gateway/src/crash_attribution/mod.rs
+++ b/crates/fernring-gateway/src/crash_attribution/mod.rs
@@ -294,7 +294,7 @@
         crash.into_iter().for_each(|crash| self.report_crash(Some(crash)));
     }
 
-    /// Records that another instance than the expected one answers at an upstream's address.
+    /// Records that another instance than the expected one responds at an upstream's address.
     pub fn handle_replaced(self: &Rc<Self>, key: UpstreamKey) {
         let crash = self.crash_detector.borrow_mut().record_restart(self.now(), key);
         self.report_crash(crash);
--- a/crates/fernring-gateway/src/rollout/comparison.rs
+++ b/crates/fernring-gateway/src/rollout/comparison.rs
@@ -5,7 +5,7 @@
 //! versions bad at the same time, so responses are compared interval by interval: the bad part of
 //! the others' responses in an interval is what is expected of the destination version in it. The
 //! test is Wald's sequential probability ratio test: it compares the likelihood of the observed
-//! responses if [`WORSE_FRACTION`] of those that the others would answer well were bad, with their
+//! responses if [`WORSE_FRACTION`] of those that would be good at the others were bad, with their
 //! likelihood if the version is like the others. By Wald's bounds a good version is called worse
 //! with a probability of at most about [`FALSE_ALARM_PROBABILITY`], and a version with that part of
 //! bad responses is called not worse with [`MISS_PROBABILITY`]. One test covers the latencies and
--- a/crates/fernring-gateway/src/rollout/coordinator.rs
+++ b/crates/fernring-gateway/src/rollout/coordinator.rs
@@ -629,7 +629,7 @@
                     controlled.written = Some((state, spent));
                 }
                 // The state is read again before anything else is written: another controller may
-                // have ended the roll-out, and a write that got no answer may have taken effect.
+                // have ended the roll-out, and a write that got no response may have taken effect.
                 Err(_) => controlled.next_offset = None,
             }
         }
--- a/crates/fernring-gateway/src/serving/exchange/sending.rs
+++ b/crates/fernring-gateway/src/serving/exchange/sending.rs
@@ -101,7 +101,7 @@
     /// as a crashing request in a fleet's first second: 4 in 12 s at 60 requests per second.
     pub(super) async fn wait_for_quarantine_decision(&self) {
         let decision = self.serving.crash_attribution.wait_until_settled(self.request.fingerprint);
-        // The caller checks again, whether the decision was made or the time is over.
+        // The caller of this function checks again, whether or not a decision was made in time.
         let _is_decided = self.wait_at_most(None, decision).await;
     }
 
--- a/crates/fernring-gateway/src/store/freshness.rs
+++ b/crates/fernring-gateway/src/store/freshness.rs
@@ -2,7 +2,7 @@
 //! store itself.
 //!
 //! One node of each failure domain reads the store; the others rely on its heartbeats. The first of
-//! these readers reads often, and its answers confirm the state of all nodes. The others read
+//! these readers reads often, and its responses confirm the state of all nodes. The others read
 //! seldom; they are there so that a domain behind a network partition has a reader. Only a node
 //! that has read the store itself reports how long ago that was. A node whose state hasn't been
 //! confirmed for a while reads too, so a reader that is lost or has no connection to the store
@@ -27,8 +27,8 @@
     std::{ops::Range, time::Duration},
 };
 
-/// How long one read of the first reader waits for a record. Each answer confirms the state of all
-/// nodes.
+/// How long one read of the first reader waits for a record. Each response confirms the state of
+/// all nodes.
 const FIRST_READ_WAIT: Range<Duration> = Duration::from_millis(600)..Duration::from_millis(850);
 /// How long one read of another reader waits for a record: longer, to save calls to the store.
 const READ_WAIT: Range<Duration> = Duration::from_millis(3_000)..Duration::from_millis(4_000);
@@ -40,7 +40,7 @@
 /// send its heartbeat.
 pub const STALE_AFTER: Duration = Duration::from_millis(1_450);
 /// Period over which nodes that become stale together spread their reads; the first one that gets
-/// an answer confirms the state of the others.
+/// a response confirms the state of the others.
 const STALE_SPREAD: Duration = Duration::from_millis(250);
 /// How long a node keeps reading after it had to stand in for its reader.
 const STAND_IN_TIME: Duration = Duration::from_secs(3);
@@ -68,7 +68,7 @@
         self.confirmed_at = self.confirmed_at.max(Some(at));
     }
 
-    /// Records that the store answered a read of this node.
+    /// Records that the store responded to a read of this node.
     pub fn record_read(&mut self, now: Duration, role: ReaderRole) {
         if role == ReaderRole::None && self.confirmed_at.is_some() && self.is_stale(now) {
             self.stand_in_until = now + STAND_IN_TIME;
@@ -129,7 +129,7 @@
         // A node that stands in for the readers confirms the state of others, as the first reader
         // does.
         ReaderRole::Primary | ReaderRole::None => FIRST_READ_WAIT,
-        // No other node depends on the answers that a lone node gets.
+        // No other node depends on the responses that a lone node gets.
         ReaderRole::Domain | ReaderRole::Standalone => READ_WAIT,
     }
 }
--- a/crates/fernring-gateway/src/store/full_read.rs
+++ b/crates/fernring-gateway/src/store/full_read.rs
@@ -1,7 +1,7 @@
 //! Reads the newest records of a topic page by page. No I/O.
 //!
 //! Only the page that failed is requested again. Starting over at each failure would rarely finish:
-//! a store that answers nine calls in ten would hardly ever return twenty pages in a row.
+//! a store that responds to nine calls in ten would hardly ever return twenty pages in a row.
 
 use {
     crate::wire::{NewestPage, Page, StoreError},
--- a/crates/fernring-gateway/src/store/store_loops/mod.rs
+++ b/crates/fernring-gateway/src/store/store_loops/mod.rs
@@ -91,7 +91,7 @@
     pub tailing: [RefCell<Tailing>; 2],
     /// When the node started.
     pub started_at: Duration,
-    /// Whether the store answered the last read of the upstreams' records.
+    /// Whether the store responded to the last read of the upstreams' records.
     pub store_answers: Cell<bool>,
     /// Longest time for which operators' orders may be unconfirmed: the bound of an evacuation.
     pub evacuation_bound: Cell<Duration>,
@@ -159,8 +159,8 @@
                 sleep(READER_CHECK_INTERVAL).await;
                 continue;
             }
-            // Records from peers are known up to a position, too. Once the store has answered, its
-            // answers determine the position.
+            // Records from peers are known up to a position, too. Once the store has responded,
+            // its responses determine the position.
             let peer_position = self.position_from_peers(tailed).filter(|_| !has_read);
             if (full_read.has_started() || peer_position.is_some())
                 && !self.should_read_on(tailed, &mut bootstrap)
@@ -175,7 +175,7 @@
             if !full_read.has_started() {
                 self.log_stand_in(tailed, role);
             }
-            let answer = match from {
+            let response = match from {
                 None => match self.read_page(tailed, &mut full_read).await {
                     Ok(None) => continue,
                     Ok(Some(page)) => Ok(page),
@@ -184,14 +184,14 @@
                 Some(from) => {
                     let wait = self.read_wait(tailed, role, has_failed);
                     tokio::select! {
-                    answer = self.store.read(topic, from.offset, wait) => answer,
+                    response = self.store.read(topic, from.offset, wait) => response,
                     () = self.until_overdue(tailed, wait) => continue,
                     }
                 }
             };
-            has_failed = answer.is_err();
-            has_read |= matches!(answer, Ok(_) | Err(StoreError::Expired));
-            match answer {
+            has_failed = response.is_err();
+            has_read |= matches!(response, Ok(_) | Err(StoreError::Expired));
+            match response {
                 Ok(page) => {
                     pause = RETRY_PAUSE_MIN;
                     let is_full = from.is_none();
@@ -201,7 +201,7 @@
                     let end = page.end_position();
                     let has_regressed = from.is_some_and(|from| end < from || end.era != from.era);
                     from = (!has_regressed).then_some(end);
-                    self.record_answer(tailed);
+                    self.record_response(tailed);
                     report_unreadable(topic, &page);
                     let read_at = self.now().saturating_sub(page.took);
                     self.handle_era(page.era);
@@ -301,7 +301,7 @@
 
     /// Completes when a read that waits for `wait` is overdue: this node's state has been
     /// unconfirmed for a while, though peers could confirm it. Never completes for the read of a
-    /// lone node or while an answer is being received, since a large answer may take longer; these
+    /// lone node or while a response is being received, since a large one may take longer; these
     /// reads end by themselves.
     async fn until_overdue(&self, tailed: TailedTopic, wait: Duration) {
         loop {
@@ -381,8 +381,8 @@
         self.record_peer_read(tailed, at);
     }
 
-    /// Records that the store answered a peer at `at`. The peer itself reports whether records may
-    /// have lapsed.
+    /// Records that the store responded to a peer at `at`. The peer itself reports whether records
+    /// may have lapsed.
     fn record_peer_read(&self, tailed: TailedTopic, at: Duration) {
         let is_stale = self.tailing(tailed).borrow().freshness().is_stale(self.now());
         if tailed == TailedTopic::Upstreams && !is_stale {
@@ -391,7 +391,7 @@
         }
     }
 
-    fn record_answer(&self, tailed: TailedTopic) {
+    fn record_response(&self, tailed: TailedTopic) {
         telemetry::record_store_call(tailed.topic().name(), "answered");
         if tailed == TailedTopic::Config {
             return;
--- a/crates/fernring-gateway/src/store/store_loops/node_records.rs
+++ b/crates/fernring-gateway/src/store/store_loops/node_records.rs
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Handles the era of the store named by an answer of the store or by a peer. In a later era
+    /// Handles the era of the store named by a response of the store or by a peer. In a later era
     /// than the known one, this node's record may be lost, so it is written again.
     pub fn handle_era(self: &Rc<Self>, era: u64) {
         self.store.record_era(era);
--- a/crates/fernring-gateway/src/store/store_loops/upstream_records.rs
+++ b/crates/fernring-gateway/src/store/store_loops/upstream_records.rs
@@ -19,7 +19,7 @@
 
 /// Assumed size of all records, compressed, after the first page of several was read: ten thousand
 /// records of some forty bytes. With too low a value a node would ask a second peer before the
-/// first one's answer can have arrived, and get the records twice.
+/// first one's reply can have arrived, and get the records twice.
 const ALL_RECORDS_BYTES: usize = 400 << 10;
 
 /// Records of upstreams that a peer passes on.
--- a/crates/fernring-gateway/src/store/tailing.rs
+++ b/crates/fernring-gateway/src/store/tailing.rs
@@ -1,5 +1,5 @@
 //! Decides how a node keeps up with a topic of the store through its peers: when it requests newer
-//! records from a peer, whether it answers such requests, and which age its heartbeats report.
+//! records from a peer, whether it replies to such requests, and which age its heartbeats report.
 //!
 //! Handles a new configuration of hundreds of kilobytes that a few readers have and scores of nodes
 //! need at once. Inputs: the marks and ages in heartbeats, a fifth of a second old; requests of
@@ -31,9 +31,9 @@
 /// Longest queue of records to send, as time on the link. Small records are sent many at a time,
 /// large ones one by one.
 const SEND_QUEUE_TIME_MAX: Duration = Duration::from_millis(100);
-/// Wait for an answer before another peer is asked, for the round trip to a busy node. The time
+/// Wait for a reply before another peer is asked, for the round trip to a busy node. The time
 /// that a record of the last size takes over the slowest link at [`LINK_SHARE`] is added.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(300);
 /// Longest pause after a peer deferred a request. It is random, so that nodes don't ask the same
 /// peers at the same moments again, and short compared with the transfer of a record.
 const DEFERRED_PAUSE_MAX: Duration = Duration::from_millis(60);
@@ -43,7 +43,7 @@
 /// record. Without it 42 of them read the store needlessly.
 const PEER_DELIVERY_TIME: Duration = Duration::from_millis(600);
 
-/// Answer to a peer that requests a record.
+/// Reply to a peer that requests a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reply {
     /// The record is sent.
@@ -135,7 +135,7 @@
         self.lag
     }
 
-    /// Records that the store answered a read of this node.
+    /// Records that the store responded to a read of this node.
     pub fn record_read(&mut self, now: Duration, role: ReaderRole) {
         self.freshness.record_read(now, role);
     }
@@ -182,7 +182,7 @@
             return false;
         }
         self.next_request_at =
-            now + ANSWER_TIMEOUT + link_time(self.record_bytes, MIN_LINK_BYTES_PER_S);
+            now + REPLY_TIMEOUT + link_time(self.record_bytes, MIN_LINK_BYTES_PER_S);
         self.lag.requests += 1;
         true
     }
@@ -195,8 +195,8 @@
         self.next_request_at = now + DEFERRED_PAUSE_MAX.mul_f64(draw.clamp(0.0, 1.0));
     }
 
-    /// Handles a peer's request for a record of this size and returns the answer. A deferral is
-    /// answered at once, so that the peer asks another node: when requests were dropped silently,
+    /// Handles a peer's request for a record of this size and returns the reply. A deferral is
+    /// sent at once, so that the peer asks another node: when requests were dropped silently,
     /// all nodes waited for one holder, and 271 KB took 4.3 s to reach 78 nodes.
     pub fn handle_request(&mut self, now: Duration, bytes: usize) -> Reply {
         if self.link_busy_until > now + SEND_QUEUE_TIME_MAX {
--- a/crates/fernring-gateway/src/wire.rs
+++ b/crates/fernring-gateway/src/wire.rs
@@ -200,7 +200,7 @@
 pub enum StoreError {
     /// No response, or an incomplete one. The call may have taken effect.
     #[error("no response: {0}")]
-    NoAnswer(String),
+    NoResponse(String),
     /// The store refused the call; it had no effect.
     #[error("refused with status {0}")]
     Refused(u16),
--- a/crates/fernring-gateway/tests/testsuite/admission.rs
+++ b/crates/fernring-gateway/tests/testsuite/admission.rs
@@ -25,9 +25,9 @@
     ranks
 }
 
-fn stage(after: &[usize], backlog: Backlog) -> StageDemand {
+fn stage(depends_on: &[usize], backlog: Backlog) -> StageDemand {
     StageDemand {
-        depends_on: after.to_vec(),
+        depends_on: depends_on.to_vec(),
         pieces: 2,
         backlog: Some(backlog),
         call_time: MS(300),
--- a/crates/fernring-gateway/tests/testsuite/bootstrap.rs
+++ b/crates/fernring-gateway/tests/testsuite/bootstrap.rs
@@ -28,9 +28,9 @@
 /// The store's limits.
 const READS_PER_S: u32 = 16_000;
 const STORE_BYTES_PER_S: f64 = 500e6;
-const ANSWER_TIME: Duration = Duration::from_millis(6);
-/// Longest wait of a node for an answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
+const RESPONSE_TIME: Duration = Duration::from_millis(6);
+/// Longest wait of a node for a response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(800);
 /// One in this many nodes has a large link.
 const LARGE_ONE_IN: usize = 20;
 const LARGE_BYTES_PER_S: f64 = 125e6;
@@ -172,18 +172,20 @@
         self.second.1 += 1;
         if self.second.1 > READS_PER_S {
             self.refused += 1;
-            return self
-                .schedule_after(ANSWER_TIME, Event::PageReceived { node: index, is_good: false });
+            return self.schedule_after(
+                RESPONSE_TIME,
+                Event::PageReceived { node: index, is_good: false },
+            );
         }
         let time = |bytes_per_s: f64| Duration::from_secs_f64(PAGE_BYTES / bytes_per_s);
         self.store_sends_until = self.store_sends_until.max(self.now) + time(STORE_BYTES_PER_S);
-        let store_sent_at = self.store_sends_until + ANSWER_TIME;
+        let store_sent_at = self.store_sends_until + RESPONSE_TIME;
         let node = &mut self.nodes[index];
         let received_at = store_sent_at.max(node.receives_until) + time(node.link);
-        if store_sent_at > self.now + ANSWER_TIMEOUT {
+        if store_sent_at > self.now + RESPONSE_TIMEOUT {
             // The node abandons the call, but the store sends the page nevertheless.
             return self.schedule_after(
-                ANSWER_TIMEOUT,
+                RESPONSE_TIMEOUT,
                 Event::PageReceived { node: index, is_good: false },
             );
         }
--- a/crates/fernring-gateway/tests/testsuite/permit_issuer.rs
+++ b/crates/fernring-gateway/tests/testsuite/permit_issuer.rs
@@ -177,12 +177,12 @@
     let mut rng = StdRng::seed_from_u64(seed);
     let mut permits: Vec<_> =
         (0..load.nodes).map(|_| (rng.random(), ColdPermits::default())).collect();
-    let bounds = ColdRateLimit { per_s: load.limit_per_s, overage: 1.5, slack: 5.0 };
+    let limit = ColdRateLimit { per_s: load.limit_per_s, overage: 1.5, slack: 5.0 };
     replay(&mut rng, load, |_, now, node, _, _| {
         let (node, permits) = &mut permits[node];
         permits.try_acquire(
             now + SPAN * 5,
-            &bounds,
+            &limit,
             PermitScope { node: *node, upstream: seed, nodes: load.nodes },
         )
     })
--- a/crates/fernring-platform/src/lib.rs
+++ b/crates/fernring-platform/src/lib.rs
@@ -22,7 +22,7 @@
 pub enum PlatformError {
     /// No answer, or a broken one. What was asked may have taken effect.
     #[error("no answer from the platform: {0}")]
-    NoAnswer(#[from] reqwest::Error),
+    NoResponse(#[from] reqwest::Error),
     /// No answer in time, or none of its bytes.
     #[error("no answer from the platform in time")]
     Late,
