--- a/crates/fernring-gateway/tests/testsuite/fleet.rs
+++ b/crates/fernring-gateway/tests/testsuite/fleet.rs
@@ -211,8 +211,8 @@
         if self.store_access == StoreAccess::All {
             checked.is_reading = true;
             self.stand_in_reads += 1;
-            let answered_at = self.transfer(None, node);
-            self.schedule(answered_at - now, Event::StoreResponse { node });
+            let responded_at = self.transfer(None, node);
+            self.schedule(responded_at - now, Event::StoreResponse { node });
         }
     }
 
--- a/crates/fernring-gateway/tests/testsuite/stage_plan.rs
+++ b/crates/fernring-gateway/tests/testsuite/stage_plan.rs
@@ -5,8 +5,8 @@
     std::{sync::Arc, time::Duration},
 };
 
-fn stage(after: &[usize]) -> StageSpec {
-    StageSpec { service: "s".into(), depends_on: after.to_vec(), result_bytes: 10 }
+fn stage(depends_on: &[usize]) -> StageSpec {
+    StageSpec { service: "s".into(), depends_on: depends_on.to_vec(), result_bytes: 10 }
 }
 
 /// A large stage beside a chain of three.
--- a/crates/fernring-gateway/tests/testsuite/upstreams.rs
+++ b/crates/fernring-gateway/tests/testsuite/upstreams.rs
@@ -209,11 +209,11 @@
         let names: Vec<_> = names.iter().map(String::as_str).collect();
         let upstreams = upstreams(&names);
         let checks = std::cell::Cell::new(0);
-        let is_silent = |_: &str| {
+        let is_unreachable = |_: &str| {
             checks.set(checks.get() + 1);
             false
         };
-        let candidates = upstreams.candidates(NOW, "s", 0, &Residency::default(), is_silent);
+        let candidates = upstreams.candidates(NOW, "s", 0, &Residency::default(), is_unreachable);
         assert_eq!((candidates.len(), checks.get()), (count, 1));
     }
 }
--- a/crates/fernring-gateway/tests/testsuite/workers.rs
+++ b/crates/fernring-gateway/tests/testsuite/workers.rs
@@ -11,7 +11,7 @@
 
 const NOW: Duration = Duration::from_secs(100);
 const CALL: Duration = Duration::from_millis(200);
-const SHAPE: BatchConfig = BatchConfig {
+const BATCH_CONFIG: BatchConfig = BatchConfig {
     pieces_max: 8,
     call_time: CALL,
     piece_time: Duration::from_millis(10),
@@ -25,7 +25,7 @@
 }
 
 fn free_keys(set: &mut WorkerSet, now: Duration, keys: &[UpstreamKey]) -> Vec<UpstreamKey> {
-    set.free_workers(now, keys, &SHAPE).into_iter().map(|(key, _)| key).collect()
+    set.free_workers(now, keys, &BATCH_CONFIG).into_iter().map(|(key, _)| key).collect()
 }
 
 fn result(bytes: u64, port: u16) -> StoredResult {
@@ -46,7 +46,7 @@
 fn results_take_bytes_until_released_or_expired() {
     let keys = keys(1);
     let mut set = WorkerSet::default();
-    let free_bytes = |set: &mut WorkerSet, now| set.free_workers(now, &keys, &SHAPE)[0].1;
+    let free_bytes = |set: &mut WorkerSet, now| set.free_workers(now, &keys, &BATCH_CONFIG)[0].1;
     assert_eq!(free_bytes(&mut set, NOW), 1_000);
     let worker = set.get_or_create(keys[0]).unwrap();
     worker.add_result("h/1".into(), result(300, 1));
@@ -55,7 +55,7 @@
     assert_eq!(free_bytes(&mut set, NOW), 500);
     set.get_mut(keys[0]).unwrap().remove_result("h/1");
     assert_eq!(free_bytes(&mut set, NOW), 800);
-    assert_eq!(free_bytes(&mut set, NOW + SHAPE.result_lifetime), 1_000);
+    assert_eq!(free_bytes(&mut set, NOW + BATCH_CONFIG.result_lifetime), 1_000);
 }
 
 /// Replays the time after the loss of all nodes: unknown results fill a worker and expire
@@ -65,19 +65,19 @@
     let keys = keys(1);
     let mut set = WorkerSet::default();
     let worker = set.get_or_create(keys[0]).unwrap();
-    assert!(worker.record_capacity_refusal(NOW, &SHAPE));
-    assert!(!worker.record_capacity_refusal(NOW, &SHAPE), "reported as new only once");
+    assert!(worker.record_capacity_refusal(NOW, &BATCH_CONFIG));
+    assert!(!worker.record_capacity_refusal(NOW, &BATCH_CONFIG), "reported as new only once");
     let step = CALL.mul_f64(1.25);
     let mut free_bytes_after =
-        |steps: u32| set.free_workers(NOW + step * steps, &keys, &SHAPE)[0].1;
+        |steps: u32| set.free_workers(NOW + step * steps, &keys, &BATCH_CONFIG)[0].1;
     assert_eq!([0, 1, 2, 3].map(&mut free_bytes_after), [0, 500, 750, 875]);
     let worker = set.get_mut(keys[0]).unwrap();
     assert!(
-        worker.record_capacity_refusal(NOW + step * 3, &SHAPE),
+        worker.record_capacity_refusal(NOW + step * 3, &BATCH_CONFIG),
         "the bytes assumed free are taken after all"
     );
     let mut free_bytes_after =
-        |steps: u32| set.free_workers(NOW + step * steps, &keys, &SHAPE)[0].1;
+        |steps: u32| set.free_workers(NOW + step * steps, &keys, &BATCH_CONFIG)[0].1;
     assert_eq!([3, 4, 5, 6, 7, 8].map(&mut free_bytes_after), [0, 500, 750, 875, 938, 1_000]);
 }
 
@@ -105,7 +105,13 @@
 #[test]
 fn call_queued_behind_another_is_not_overdue() {
     for pieces in 1..=8 {
-        assert!(overdue_after(&SHAPE, pieces) > expected_call_time(&SHAPE, pieces) * 2, "{pieces}");
-        assert!(overdue_after(&SHAPE, pieces) < expected_call_time(&SHAPE, pieces) * 3, "{pieces}");
+        assert!(
+            overdue_after(&BATCH_CONFIG, pieces) > expected_call_time(&BATCH_CONFIG, pieces) * 2,
+            "{pieces}"
+        );
+        assert!(
+            overdue_after(&BATCH_CONFIG, pieces) < expected_call_time(&BATCH_CONFIG, pieces) * 3,
+            "{pieces}"
+        );
     }
 }
