--- a/crates/fernring/src/http/body.rs
+++ b/crates/fernring/src/http/body.rs
@@ -63,10 +63,10 @@
 impl AnswerBody {
     pub(super) fn new(answer: &Answer, key: Option<String>) -> Self {
         let output = answer.output().map(ToString::to_string);
-        Self { output, key, ..Self::of_code(answer.code(), answer.retry_after_ms()) }
+        Self { output, key, ..Self::from_code(answer.code(), answer.retry_after_ms()) }
     }
 
-    pub(super) fn of_code(code: ResultCode, retry_after_ms: Option<u64>) -> Self {
+    pub(super) fn from_code(code: ResultCode, retry_after_ms: Option<u64>) -> Self {
         Self {
             code: code.number(),
             name: code.name(),
--- a/crates/fernring/src/http/reply.rs
+++ b/crates/fernring/src/http/reply.rs
@@ -36,11 +36,11 @@
         Self { retry_after_ms: body.retry_after_ms, ..Self::new(status, body) }
     }
 
-    pub(super) fn refuse(code: ResultCode) -> Self {
-        Self::answer(&AnswerBody::of_code(code, Some(0)))
+    pub(super) fn refusal(code: ResultCode) -> Self {
+        Self::answer(&AnswerBody::from_code(code, Some(0)))
     }
 
-    pub(super) fn holding(self, open: crate::node::OpenResponse) -> Self {
+    pub(super) fn with_open_response(self, open: crate::node::OpenResponse) -> Self {
         Self { _open: Some(open), ..self }
     }
 }
@@ -59,27 +59,27 @@
 
 /// A whole answer, or its parts as they come.
 pub(super) enum Reply {
-    Whole(JsonReply),
-    Parts(EventStream<BoxStream<'static, Event>>),
+    Json(JsonReply),
+    Stream(EventStream<BoxStream<'static, Event>>),
 }
 
 impl<'r> Responder<'r, 'r> for Reply {
     fn respond_to(self, request: &'r Request<'_>) -> rocket::response::Result<'r> {
         match self {
-            Self::Whole(reply) => reply.respond_to(request),
-            Self::Parts(stream) => stream.respond_to(request),
+            Self::Json(reply) => reply.respond_to(request),
+            Self::Stream(stream) => stream.respond_to(request),
         }
     }
 }
 
 #[catch(404)]
 pub(super) fn not_found() -> JsonReply {
-    JsonReply { status: Status::NotFound, ..JsonReply::refuse(ResultCode::BadRequest) }
+    JsonReply { status: Status::NotFound, ..JsonReply::refusal(ResultCode::BadRequest) }
 }
 
 #[catch(default)]
 pub(super) fn bad_request(status: Status, _request: &Request<'_>) -> JsonReply {
-    JsonReply { status, ..JsonReply::refuse(ResultCode::BadRequest) }
+    JsonReply { status, ..JsonReply::refusal(ResultCode::BadRequest) }
 }
 
 /// An error inside the node. Nothing is promised about the request.
@@ -87,6 +87,6 @@
 pub(super) fn internal_error() -> JsonReply {
     JsonReply {
         status: Status::InternalServerError,
-        ..JsonReply::refuse(ResultCode::EffectUnknown)
+        ..JsonReply::refusal(ResultCode::EffectUnknown)
     }
 }
--- a/crates/fernring/src/http/routes.rs
+++ b/crates/fernring/src/http/routes.rs
@@ -39,7 +39,7 @@
 
 impl Drop for WaiterGuard {
     fn drop(&mut self) {
-        self.node.forget_waiter(self.waiter);
+        self.node.remove_waiter(self.waiter);
     }
 }
 
@@ -49,18 +49,18 @@
     let node = node.inner().clone();
     let open = node.open_response();
     if node.is_full() {
-        return Reply::Whole(JsonReply::refuse(ResultCode::NodeFull));
+        return Reply::Json(JsonReply::refusal(ResultCode::NodeFull));
     }
     let body: RequestBody = match read_json(data, &node.settings().limits).await {
         Ok(body) => body,
-        Err(code) => return Reply::Whole(JsonReply::refuse(code)),
+        Err(code) => return Reply::Json(JsonReply::refusal(code)),
     };
     if !node.is_configured() {
-        return Reply::Whole(JsonReply::refuse(ResultCode::NotReady));
+        return Reply::Json(JsonReply::refusal(ResultCode::NotReady));
     }
     let key = match body.key.as_deref().map(str::parse::<RequestKey>).transpose() {
         Ok(key) => key,
-        Err(_) => return Reply::Whole(JsonReply::refuse(ResultCode::BadKey)),
+        Err(_) => return Reply::Json(JsonReply::refusal(ResultCode::BadKey)),
     };
     let key_text = body.key.clone();
     let streaming = body.stream;
@@ -89,12 +89,12 @@
     key: Option<String>,
 ) -> Reply {
     let Some(first) = events.recv().await else {
-        return Reply::Whole(JsonReply::refuse(ResultCode::EffectUnknown));
+        return Reply::Json(JsonReply::refusal(ResultCode::EffectUnknown));
     };
     if let WaiterEvent::Final(answer) = &first {
         let open = guard.node.open_response();
         let reply = JsonReply::answer(&AnswerBody::new(answer, key));
-        return Reply::Whole(reply.holding(open));
+        return Reply::Json(reply.with_open_response(open));
     }
     let rest = stream::unfold((events, guard), |(mut events, guard)| async move {
         events.recv().await.map(|event| (event, (events, guard)))
@@ -106,7 +106,7 @@
             Event::json(&AnswerBody::new(&answer, key.clone())).event("answer")
         }
     });
-    Reply::Parts(EventStream::from(parts.boxed()))
+    Reply::Stream(EventStream::from(parts.boxed()))
 }
 
 /// Mints tickets.
@@ -115,10 +115,10 @@
     let limits = &node.settings().limits;
     let body: TicketsBody = match read_json(data, limits).await {
         Ok(body) => body,
-        Err(code) => return JsonReply::refuse(code),
+        Err(code) => return JsonReply::refusal(code),
     };
     if body.count == 0 || body.count > limits.tickets_per_request_max {
-        return JsonReply::refuse(ResultCode::BadBody);
+        return JsonReply::refusal(ResultCode::BadBody);
     }
     match node.mint_tickets(body.count) {
         Ok(tickets) => {
@@ -133,17 +133,17 @@
 #[get("/v1/requests/<key>?<workspace>")]
 pub(super) async fn key(key: &str, workspace: &str, node: &State<Arc<Node>>) -> JsonReply {
     let Ok(parsed) = key.parse::<RequestKey>() else {
-        return JsonReply::refuse(ResultCode::BadKey);
+        return JsonReply::refusal(ResultCode::BadKey);
     };
     if !is_name(workspace) {
-        return JsonReply::refuse(ResultCode::UnknownWorkspace);
+        return JsonReply::refusal(ResultCode::UnknownWorkspace);
     }
     let scoped = ScopedKey { workspace: workspace.into(), key: parsed };
     match node.key_status(&scoped) {
         KeyStatus::Running { stage } => running(key, u32::from(stage)),
         KeyStatus::Ended(answer) => ended(key, &answer),
         KeyStatus::Unknown => {
-            JsonReply::answer(&AnswerBody::of_code(ResultCode::UnknownKey, Some(0)))
+            JsonReply::answer(&AnswerBody::from_code(ResultCode::UnknownKey, Some(0)))
         }
         KeyStatus::Elsewhere { incarnation, address } => {
             ask_owner(node, &scoped, incarnation, address).await
@@ -163,17 +163,17 @@
         workspace: key.workspace.to_string(),
         key: text.clone(),
     };
-    let answer = node.peer().ask(address, Body::KeyRequest(request), STATUS_PATIENCE).await;
+    let answer = node.peer().request(address, Body::KeyRequest(request), STATUS_PATIENCE).await;
     let Ok(Body::KeyStatus(KeyStatusMessage { code, stage, output })) = answer else {
-        return JsonReply::answer(&AnswerBody::of_code(ResultCode::OwnerUnreachable, Some(0)));
+        return JsonReply::answer(&AnswerBody::from_code(ResultCode::OwnerUnreachable, Some(0)));
     };
     match u16::try_from(code).ok().and_then(ResultCode::from_number) {
         Some(code) => {
-            let body = AnswerBody { output, key: Some(text), ..AnswerBody::of_code(code, None) };
+            let body = AnswerBody { output, key: Some(text), ..AnswerBody::from_code(code, None) };
             JsonReply::new(200, &json!({ "state": "ended", "answer": body }))
         }
         None if code == 0 => running(&text, stage),
-        None => JsonReply::answer(&AnswerBody::of_code(ResultCode::OwnerUnreachable, Some(0))),
+        None => JsonReply::answer(&AnswerBody::from_code(ResultCode::OwnerUnreachable, Some(0))),
     }
 }
 
--- a/crates/fernring/src/log_queue.rs
+++ b/crates/fernring/src/log_queue.rs
@@ -63,7 +63,7 @@
 
     /// Takes out what is to be written, with a line that says what was left out, and sets the
     /// sampling for what comes next.
-    pub fn take(&self) -> Vec<u8> {
+    pub fn take_pending(&self) -> Vec<u8> {
         let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
         let kept = waiting.bytes.len();
         if kept > self.budget {
@@ -87,7 +87,7 @@
         loop {
             self.wait();
             // Output that is gone leaves nowhere to say so.
-            let _ = out.write_all(&self.take());
+            let _ = out.write_all(&self.take_pending());
             let _ = out.flush();
             std::thread::sleep(GATHER);
         }
--- a/crates/fernring/src/node/claim_loop.rs
+++ b/crates/fernring/src/node/claim_loop.rs
@@ -1,4 +1,4 @@
-//! The claim stream: reading it and appending to it.
+//! Reads the claim stream and appends to it.
 
 use {
     super::{
@@ -15,12 +15,12 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// How long the log service may wait for a record before it answers with none.
+/// How long the log service may wait for a record before it responds with none.
 const LONG_POLL: Duration = Duration::from_secs(1);
 /// Pause after a failed read.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// Reads the stream for as long as the node runs.
+/// Reads the claim stream for as long as the node runs.
 pub(super) async fn run(node: Arc<Node>) {
     loop {
         let from = lock(&node.dispatcher).claim_view().next_offset();
@@ -35,10 +35,10 @@
     }
 }
 
-/// Appends a record and reports what became of it.
+/// Appends a claim record and passes the outcome to the dispatcher.
 pub(super) async fn append(node: Arc<Node>, batch: ClaimBatch) {
-    let answer = node.log.append(CLAIM_STREAM, &encode_claims(&batch)).await;
-    let event = match answer {
+    let appended = node.log.append(CLAIM_STREAM, &encode_claims(&batch)).await;
+    let event = match appended {
         Ok(_) => Event::ClaimsAppended,
         Err(error) => {
             let line = LogLine::event("claims_in_doubt").with("entries", batch.entries.len());
--- a/crates/fernring/src/node/codec.rs
+++ b/crates/fernring/src/node/codec.rs
@@ -1,7 +1,7 @@
-//! Claim records as bytes on the log service.
+//! Encodes and decodes claim records for the log service.
 
 use {
-    crate::peer::{incarnation_bytes, incarnation_from},
+    crate::peer::{incarnation_to_bytes, incarnation_from_bytes},
     fernring_core::{
         claim::{ClaimBatch, ClaimEntry, ClaimKind},
         ids::{RequestKey, ScopedKey},
@@ -11,7 +11,7 @@
     uuid::Uuid,
 };
 
-/// Encodes a record. Tickets are never claimed, so an entry with one is left out.
+/// Encodes a claim record. Tickets are never claimed, so entries with a ticket as key are omitted.
 pub(super) fn encode_claims(batch: &ClaimBatch) -> Vec<u8> {
     let entries = batch.entries.iter().filter_map(|entry| match entry.key.key {
         RequestKey::Minted(uuid) => Some(ClaimEntryMessage {
@@ -22,19 +22,19 @@
         RequestKey::Ticket(_) => None,
     });
     let message = ClaimBatchMessage {
-        incarnation: incarnation_bytes(batch.incarnation),
+        incarnation: incarnation_to_bytes(batch.incarnation),
         address: batch.address.to_string(),
         entries: entries.collect(),
     };
     message.encode_to_vec()
 }
 
-/// Decodes a record; `None` if it is not one of ours.
+/// Decodes a claim record; `None` if the bytes are not a valid one.
 pub(super) fn decode_claims(data: &[u8]) -> Option<ClaimBatch> {
     let message = ClaimBatchMessage::decode(data).ok()?;
     let entries = message.entries.into_iter().map(decode_entry).collect::<Option<_>>()?;
     Some(ClaimBatch {
-        incarnation: incarnation_from(&message.incarnation)?,
+        incarnation: incarnation_from_bytes(&message.incarnation)?,
         address: message.address.parse().ok()?,
         entries,
     })
--- a/crates/fernring/src/node/config_loop.rs
+++ b/crates/fernring/src/node/config_loop.rs
@@ -1,4 +1,5 @@
-//! The configuration stream: reading it, and appending snapshots before retention ends.
+//! Reads the configuration stream, and appends snapshots to it before the log's retention drops the records that
+//! the configuration was built from.
 
 use {
     super::state::{Node, lock},
@@ -16,15 +17,15 @@
     },
 };
 
-/// How long the log service may wait for a record before it answers with none.
+/// How long the log service may wait for a record before it responds with none.
 const LONG_POLL: Duration = Duration::from_secs(1);
 /// Pause after a failed read.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// A node looks for the need of a snapshot at random times up to this apart, so that mostly one
-/// node appends it.
+/// Longest pause between two checks whether a snapshot is due. The pauses are random, so that usually only one node
+/// appends the snapshot.
 const SNAPSHOT_CHECK_MAX_MS: u64 = 60_000;
 
-/// Reads the stream for as long as the node runs.
+/// Reads the configuration stream for as long as the node runs.
 pub(super) async fn run(node: Arc<Node>) {
     loop {
         let from = lock(&node.fold).next_offset();
@@ -33,7 +34,7 @@
                 let changed = lock(&node.fold).read(ConfigPage::decode(from, page));
                 let now_ms = saturating_ms(node.now().monotonic);
                 node.config_read_at_ms.store(now_ms, Ordering::Relaxed);
-                node.configured(changed);
+                node.apply_config(changed);
             }
             Err(error) => {
                 let line = LogLine::event("log_unreachable").with("stream", CONFIG_STREAM);
@@ -44,15 +45,15 @@
     }
 }
 
-/// Looks now and then whether the newest snapshot is past half of retention, and appends one.
-/// Runs beside the reading, which never waits for it.
-pub(super) async fn keep_snapshots(node: Arc<Node>) {
+/// Appends a snapshot when the newest one is older than half of the log's retention; checked at random intervals.
+/// Runs as a task of its own, so that reading the stream never waits for it.
+pub(super) async fn append_snapshots(node: Arc<Node>) {
     let age_ms = node.settings.platform.log_retention_ms / 2;
-    let every_ms = SNAPSHOT_CHECK_MAX_MS.min(age_ms / 4).max(1);
+    let interval_ms = SNAPSHOT_CHECK_MAX_MS.min(age_ms / 4).max(1);
     loop {
-        let pause_ms = rand::rng().random_range(every_ms / 2..=every_ms);
+        let pause_ms = rand::rng().random_range(interval_ms / 2..=interval_ms);
         tokio::time::sleep(Duration::from_millis(pause_ms)).await;
-        // What a reading has not shown yet may be another node's snapshot, so ask the log first.
+        // Records that this node hasn't read yet may contain another node's snapshot, so read the log first.
         let from = lock(&node.fold).next_offset();
         let Ok(page) = node.log.read(CONFIG_STREAM, from, Duration::ZERO).await else {
             continue;
@@ -72,7 +73,7 @@
     let Ok(data) = serde_json::to_vec(&ConfigRecord::Snapshot(snapshot)) else {
         return;
     };
-    // Two snapshots, or one whose answer is lost, do no harm: folding one again changes nothing.
+    // Two snapshots, or one whose response is lost, do no harm: applying a snapshot again changes nothing.
     let appended = node.log.append(CONFIG_STREAM, &data).await.is_ok();
     info!("{}", LogLine::event("snapshot").with("version", version).with("appended", appended));
 }
--- a/crates/fernring/src/node/mod.rs
+++ b/crates/fernring/src/node/mod.rs
@@ -1,11 +1,11 @@
 //! A running node: the shared state, the execution of actions, and the background loops.
 //!
-//! - `state`: what a loop or a handler may ask of the node;
-//! - `actions`: carries out what the dispatcher asks for;
-//! - `claim_loop`, `config_loop`, `order_loop`: the three streams on the log service;
-//! - `peer_loop`: heartbeats and questions of other nodes;
-//! - `report_loop`: reports of upstreams and the VM list;
-//! - `codec`: claim records as bytes.
+//! - `state`: the state shared by the loops and the HTTP handlers;
+//! - `actions`: executes the actions that the dispatcher returns;
+//! - `claim_loop`, `config_loop`, `order_loop`: read and append to the three streams on the log service;
+//! - `peer_loop`: exchanges heartbeats with other nodes and handles their requests;
+//! - `report_loop`: polls reports of upstreams and the VM list;
+//! - `codec`: encodes and decodes claim records.
 
 mod actions;
 mod claim_loop;
--- a/crates/fernring/src/node/peer_loop.rs
+++ b/crates/fernring/src/node/peer_loop.rs
@@ -1,11 +1,11 @@
-//! Heartbeats, and questions of other nodes.
+//! Exchanges heartbeats with other nodes and handles their requests.
 
 use {
     super::{
         report_loop,
         state::{Node, WaiterEvent, lock},
     },
-    crate::peer::{heartbeat_from, heartbeat_message, incarnation_bytes, key_from},
+    crate::peer::{heartbeat_from_message, heartbeat_message, incarnation_to_bytes, key_from_request},
     fernring_core::{
         change::Snapshot,
         ids::{RequestKey, WaiterId},
@@ -36,14 +36,14 @@
 
 /// Pause after a failed accept, which means that the process is out of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Code of an answer by a node that is not the incarnation asked for.
+/// Code of the response when the request is addressed to another incarnation than this node's.
 const WRONG_INCARNATION: u32 = 0;
-/// Code of a key status that nothing is known for.
+/// Code of the status of a key that the node knows nothing of.
 pub(crate) const STATUS_UNKNOWN: u32 = 1;
-/// Code of a key status of a request that runs.
+/// Code of the status of a key whose request is running.
 pub(crate) const STATUS_RUNNING: u32 = 0;
 
-/// Answers other nodes for as long as the node runs.
+/// Serves requests of other nodes for as long as the node runs.
 pub(super) async fn serve(node: Arc<Node>, listener: TcpListener) {
     let slots = Arc::new(Semaphore::new(node.settings.peers.connections_max));
     loop {
@@ -54,7 +54,7 @@
             Ok((stream, _)) => {
                 let node = node.clone();
                 tokio::spawn(async move {
-                    answer_all(node, stream).await;
+                    serve_connection(node, stream).await;
                     drop(slot);
                 });
             }
@@ -66,44 +66,44 @@
     }
 }
 
-async fn answer_all(node: Arc<Node>, stream: TcpStream) {
+async fn serve_connection(node: Arc<Node>, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     let mut connection = Framed::new(stream, codec());
     while let Some(Ok(bytes)) = connection.next().await {
-        let Some(question) = decode(&bytes).ok().and_then(|frame| frame.body) else {
+        let Some(request) = decode(&bytes).ok().and_then(|frame| frame.body) else {
             warn!("{}", LogLine::event("peer_malformed").with("bytes", bytes.len()));
             return;
         };
-        let Some(answer) = answer(&node, question).await else {
+        let Some(response) = handle_request(&node, request).await else {
             return;
         };
-        if connection.send(encode(&Frame { body: Some(answer) })).await.is_err() {
+        if connection.send(encode(&Frame { body: Some(response) })).await.is_err() {
             return;
         }
     }
 }
 
-/// Answers one question; `None` ends the connection.
-async fn answer(node: &Arc<Node>, question: Body) -> Option<Body> {
-    match question {
+/// Handles one request and returns its response; `None` closes the connection.
+async fn handle_request(node: &Arc<Node>, request: Body) -> Option<Body> {
+    match request {
         Body::Heartbeat(message) => {
-            let heartbeat = heartbeat_from(message)?;
+            let heartbeat = heartbeat_from_message(message)?;
             if heartbeat.failure_domain == node.identity.failure_domain {
-                report_loop::take_digests(node, &heartbeat.reports);
+                report_loop::handle_digests(node, &heartbeat.reports);
             }
             lock(&node.membership).heard(node.now().monotonic, heartbeat);
             Some(Body::Heartbeat(heartbeat_message(&node.heartbeat())))
         }
         Body::ConfigRequest(request) => Some(Body::ConfigState(config_state(node, request))),
-        Body::Forward(message) => Some(Body::Answer(answer_forward(node, message).await)),
+        Body::Forward(message) => Some(Body::Answer(handle_forward(node, message).await)),
         Body::KeyRequest(request) => Some(Body::KeyStatus(key_status(node, &request))),
         Body::ConfigState(_) | Body::Answer(_) | Body::KeyStatus(_) => None,
     }
 }
 
 fn config_state(node: &Node, request: ConfigRequest) -> ConfigState {
-    let newest = lock(&node.fold).snapshot();
-    match newest {
+    let snapshot = lock(&node.fold).snapshot();
+    match snapshot {
         Some(Snapshot { version, folded_to, catalog }) if version > request.have_version => {
             let catalog_json = serde_json::to_vec(&catalog).unwrap_or_default();
             ConfigState { version, folded_to, catalog_json }
@@ -112,19 +112,19 @@
     }
 }
 
-fn is_me(node: &Node, incarnation: &[u8]) -> bool {
-    incarnation_bytes(node.identity.incarnation) == incarnation
+fn is_own_incarnation(node: &Node, incarnation: &[u8]) -> bool {
+    incarnation_to_bytes(node.identity.incarnation) == incarnation
 }
 
-async fn answer_forward(node: &Arc<Node>, message: ForwardMessage) -> SubmissionAnswer {
+async fn handle_forward(node: &Arc<Node>, message: ForwardMessage) -> SubmissionAnswer {
     let refusal = SubmissionAnswer { code: WRONG_INCARNATION, output: None, retry_after_ms: None };
     let Ok(key) = message.key.parse::<RequestKey>() else {
         return refusal;
     };
-    if !is_me(node, &message.incarnation) {
+    if !is_own_incarnation(node, &message.incarnation) {
         return refusal;
     }
-    let (waiter, mut events) = node.submit(|waiter| forwarded(waiter, key, message));
+    let (waiter, mut events) = node.submit(|waiter| forwarded_submission(waiter, key, message));
     while let Some(event) = events.recv().await {
         if let WaiterEvent::Final(answer) = event {
             return SubmissionAnswer {
@@ -134,11 +134,11 @@
             };
         }
     }
-    node.forget_waiter(waiter);
+    node.remove_waiter(waiter);
     refusal
 }
 
-fn forwarded(waiter: WaiterId, key: RequestKey, message: ForwardMessage) -> Submission {
+fn forwarded_submission(waiter: WaiterId, key: RequestKey, message: ForwardMessage) -> Submission {
     Submission {
         waiter,
         uid: Uuid::now_v7(),
@@ -156,7 +156,7 @@
 
 fn key_status(node: &Node, request: &KeyRequest) -> KeyStatusMessage {
     let unknown = KeyStatusMessage { code: STATUS_UNKNOWN, stage: 0, output: None };
-    let Some(key) = key_from(request).filter(|_| is_me(node, &request.incarnation)) else {
+    let Some(key) = key_from_request(request).filter(|_| is_own_incarnation(node, &request.incarnation)) else {
         return unknown;
     };
     match node.key_status(&key) {
@@ -174,45 +174,46 @@
 
 /// Exchanges heartbeats with the other nodes for as long as the node runs.
 pub(super) async fn exchange_heartbeats(node: Arc<Node>) {
-    let every = Duration::from_millis(node.settings.peers.heartbeat_ms);
-    // On its own, so that heartbeats don't wait for a large configuration; one at a time.
-    let mut fetch = JoinSet::new();
+    let interval = Duration::from_millis(node.settings.peers.heartbeat_ms);
+    // The configuration is fetched in a task of its own, so that heartbeats don't wait for a large one; at most one
+    // fetch runs at a time.
+    let mut fetches = JoinSet::new();
     loop {
         let contacts = lock(&node.membership).contacts();
-        join_all(contacts.into_iter().map(|address| beat(&node, address, every))).await;
-        note_peers(&node);
-        let have = {
+        join_all(contacts.into_iter().map(|address| send_heartbeat(&node, address, interval))).await;
+        update_peers(&node);
+        let known_version = {
             let fold = lock(&node.fold);
-            // Behind a gap a state of the same version helps too: it says what was missed.
+            // After a gap, a peer's state of the same version helps too: it contains the records that were missed.
             fold.version().saturating_sub(u64::from(fold.has_gap()))
         };
-        let ahead = lock(&node.membership).ahead_of(have, rand::random());
-        while fetch.try_join_next().is_some() {}
-        if let Some(address) = ahead
-            && fetch.is_empty()
+        let peer_ahead = lock(&node.membership).ahead_of(known_version, rand::random());
+        while fetches.try_join_next().is_some() {}
+        if let Some(address) = peer_ahead
+            && fetches.is_empty()
         {
             let node = node.clone();
-            fetch.spawn(async move { fetch_config(&node, address, have).await });
+            fetches.spawn(async move { fetch_config(&node, address, known_version).await });
         }
-        tokio::time::sleep(every).await;
+        tokio::time::sleep(interval).await;
     }
 }
 
-async fn beat(node: &Arc<Node>, address: SocketAddr, patience: Duration) {
-    // Reports go with the question only: every node asks every other of its domain, so that the
-    // answer would bring them a second time.
-    let reports = lock(&node.reports).values().copied().collect();
+async fn send_heartbeat(node: &Arc<Node>, address: SocketAddr, response_timeout: Duration) {
+    // Only the request carries reports: every node sends heartbeats to every other node of its failure domain, so
+    // reports in the response would arrive a second time.
+    let reports = lock(&node.own_reports).values().copied().collect();
     let heartbeat = Heartbeat { reports, ..node.heartbeat() };
-    let question = Body::Heartbeat(heartbeat_message(&heartbeat));
-    let Ok(Body::Heartbeat(message)) = node.peer.ask(address, question, patience).await else {
+    let request = Body::Heartbeat(heartbeat_message(&heartbeat));
+    let Ok(Body::Heartbeat(message)) = node.peer.request(address, request, response_timeout).await else {
         return;
     };
-    if let Some(heartbeat) = heartbeat_from(message) {
+    if let Some(heartbeat) = heartbeat_from_message(message) {
         lock(&node.membership).heard(node.now().monotonic, heartbeat);
     }
 }
 
-fn note_peers(node: &Arc<Node>) {
+fn update_peers(node: &Arc<Node>) {
     let now = node.now().monotonic;
     let (live_nodes, demand) = {
         let membership = lock(&node.membership);
@@ -221,11 +222,11 @@
     lock(&node.dispatcher).set_peers(live_nodes, &demand);
 }
 
-/// Takes the configuration of a peer that is ahead.
+/// Fetches the configuration of a peer with a newer version and applies it.
 async fn fetch_config(node: &Arc<Node>, address: SocketAddr, have_version: u64) {
-    let patience = Duration::from_millis(node.settings.platform.timeout_ms);
-    let question = Body::ConfigRequest(ConfigRequest { have_version });
-    let Ok(Body::ConfigState(state)) = node.peer.ask_for_large(address, question, patience).await
+    let idle_timeout = Duration::from_millis(node.settings.platform.timeout_ms);
+    let request = Body::ConfigRequest(ConfigRequest { have_version });
+    let Ok(Body::ConfigState(state)) = node.peer.request_large(address, request, idle_timeout).await
     else {
         return;
     };
@@ -238,5 +239,5 @@
         let line = LogLine::event("config_from_peer").with("peer", address);
         info!("{}", line.with("version", version));
     }
-    node.configured(changed);
+    node.apply_config(changed);
 }
--- a/crates/fernring/src/node/state.rs
+++ b/crates/fernring/src/node/state.rs
@@ -41,10 +41,11 @@
     uuid::Uuid,
 };
 
-/// Longest wait for a timer before the clock is asked again: it counts what the VM was suspended, and the runtime's timers don't.
-const TIMER_LOOK_MAX: Duration = Duration::from_millis(200);
+/// Longest sleep until a timer before the clock is read again: the clock counts the time for which the VM was
+/// suspended, the runtime's timers don't.
+const TIMER_SLEEP_MAX: Duration = Duration::from_millis(200);
 
-/// What a waiter is told.
+/// An event for the caller that waits for a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WaiterEvent {
     /// The next part of the last stage's answer.
@@ -53,14 +54,14 @@
     Final(Answer),
 }
 
-/// The state of a node behind its locks.
+/// The shared state of a node, each part behind its own lock.
 ///
-/// Lock order: `dispatcher` before `waiters` and `cancels`; `fold` and `membership` are never
+/// Lock order: `dispatcher` before `waiters` and `cancel_senders`; `fold` and `membership` are never
 /// held together with another lock.
 pub struct Node {
     pub(super) settings: Settings,
     pub(super) identity: Identity,
-    bound: SocketAddr,
+    bound_address: SocketAddr,
     pub(super) clock: Arc<dyn Clock>,
     pub(super) log: Arc<dyn LogService>,
     pub(super) vm_list: Arc<dyn VmList>,
@@ -70,14 +71,14 @@
     pub(super) fold: Mutex<ConfigFold>,
     pub(super) membership: Mutex<Membership>,
     pub(super) placement: Mutex<Placement>,
-    /// Models by engine, as last reported to this node.
-    pub(super) models: Mutex<BTreeMap<String, Vec<String>>>,
-    /// Names of the failure domain's upstreams by their short hash, for reports from others.
-    pub(super) names: Mutex<Arc<HashMap<u32, String>>>,
-    /// Reports of the upstreams that this node asks, for its heartbeats.
-    pub(super) reports: Mutex<BTreeMap<u32, ReportDigest>>,
+    /// Models that each upstream holds, from its last report to this node.
+    pub(super) models_by_upstream: Mutex<BTreeMap<String, Vec<String>>>,
+    /// Names of the failure domain's upstreams by their short hash, to resolve reports sent by other nodes.
+    pub(super) names_by_hash: Mutex<Arc<HashMap<u32, String>>>,
+    /// Reports of the upstreams that this node polls, sent with its heartbeats.
+    pub(super) own_reports: Mutex<BTreeMap<u32, ReportDigest>>,
     pub(super) waiters: Mutex<HashMap<WaiterId, mpsc::UnboundedSender<WaiterEvent>>>,
-    pub(super) cancels: Mutex<HashMap<u64, oneshot::Sender<()>>>,
+    pub(super) cancel_senders: Mutex<HashMap<u64, oneshot::Sender<()>>>,
     pub(super) timer_changed: Notify,
     pub(super) draining: AtomicBool,
     next_waiter: AtomicU64,
@@ -96,41 +97,41 @@
     }
 }
 
-/// What a node tells operators of itself.
+/// The status of a node, as shown to operators.
 #[derive(Debug, Clone)]
 pub struct NodeStatus {
-    /// Who it is.
+    /// Identity of the node.
     pub identity: Identity,
     /// Version of the configuration in force.
     pub config_version: Version,
     /// Time since the configuration stream was last read, in milliseconds.
     pub config_age_ms: u64,
-    /// Highest version that a peer has in force.
+    /// Highest configuration version that a peer has in force.
     pub highest_peer_version: Version,
-    /// Whether records of the configuration stream were missed.
+    /// Whether the node missed records of the configuration stream.
     pub config_gap: bool,
-    /// Whether it takes requests.
+    /// Whether the node accepts requests.
     pub ready: bool,
-    /// Whether it is shutting down.
+    /// Whether the node is shutting down.
     pub draining: bool,
-    /// Live nodes of the failure domain that take requests, this one included.
+    /// Live nodes of the failure domain that accept requests, this one included.
     pub live_nodes: u32,
-    /// Its numbers.
+    /// Counters of requests and attempts.
     pub counters: Counters,
-    /// Keys remembered from the claim stream.
+    /// Number of keys known from the claim stream.
     pub claims_known: usize,
-    /// Costs by stage.
+    /// Costs of each stage.
     pub costs: Vec<(CostKey, Cost)>,
-    /// Who is in charge of the failure domain's orders.
+    /// Holder of the grant to order the failure domain's engines.
     pub order_holder: Option<Holder>,
 }
 
-/// What a node knows of an upstream.
+/// The status of an upstream, as known to a node.
 #[derive(Debug, Clone)]
 pub struct UpstreamStatus {
-    /// Its name.
+    /// Name of the upstream.
     pub name: String,
-    /// Models it reported.
+    /// Models that the upstream reported.
     pub models: Vec<String>,
 }
 
@@ -139,22 +140,22 @@
 }
 
 impl Node {
-    /// Starts a node: its peer listener and background loops. It takes requests once a
-    /// configuration is known.
+    /// Starts a node: its peer listener and background loops. The node accepts requests once it
+    /// knows a configuration.
     ///
     /// # Errors
     /// If the peer address can't be listened on or the HTTP library can't be set up.
     pub async fn start(settings: Settings) -> anyhow::Result<Arc<Self>> {
-        let wanted = settings.node.peer_address;
-        let listener = TcpListener::bind(wanted)
+        let peer_address = settings.node.peer_address;
+        let listener = TcpListener::bind(peer_address)
             .await
-            .with_context(|| format!("could not listen on node.peer_address = {wanted}"))?;
-        let bound = listener.local_addr().context("could not learn the peer address")?;
-        let node = Arc::new(Self::new(settings, bound)?);
+            .with_context(|| format!("could not listen on node.peer_address = {peer_address}"))?;
+        let bound_address = listener.local_addr().context("could not read the bound peer address")?;
+        let node = Arc::new(Self::new(settings, bound_address)?);
         tokio::spawn(peer_loop::serve(node.clone(), listener));
         tokio::spawn(peer_loop::exchange_heartbeats(node.clone()));
         tokio::spawn(config_loop::run(node.clone()));
-        tokio::spawn(config_loop::keep_snapshots(node.clone()));
+        tokio::spawn(config_loop::append_snapshots(node.clone()));
         tokio::spawn(claim_loop::run(node.clone()));
         tokio::spawn(order_loop::run(node.clone()));
         tokio::spawn(report_loop::poll_upstreams(node.clone()));
@@ -163,9 +164,9 @@
         Ok(node)
     }
 
-    fn new(settings: Settings, bound: SocketAddr) -> anyhow::Result<Self> {
-        let address = settings.node.peer_advertised.unwrap_or(bound);
-        let source = Some(bound.ip()).filter(|ip| !ip.is_unspecified());
+    fn new(settings: Settings, bound_address: SocketAddr) -> anyhow::Result<Self> {
+        let address = settings.node.peer_advertised.unwrap_or(bound_address);
+        let source = Some(bound_address.ip()).filter(|ip| !ip.is_unspecified());
         let incarnation = Incarnation(Uuid::now_v7());
         let failure_domain: Arc<str> = settings.node.failure_domain.as_str().into();
         let identity = Identity { incarnation, address, failure_domain: failure_domain.clone() };
@@ -179,22 +180,22 @@
         let mut membership =
             Membership::new(incarnation, address, failure_domain.clone(), heartbeat);
         membership.set_hints(settings.peers.seeds.iter().map(Into::into));
-        let valid = Duration::from_millis(settings.peers.grant_valid_ms);
+        let grant_validity = Duration::from_millis(settings.peers.grant_valid_ms);
         Ok(Self {
             log: Arc::new(HttpLog::new(settings.platform.log_address, timeout, source)),
             vm_list: Arc::new(HttpVmList::new(settings.platform.vm_list_address, timeout, source)),
             upstream: Arc::new(upstream),
-            peer: Arc::new(TcpPeer::new(bound.ip())),
+            peer: Arc::new(TcpPeer::new(bound_address.ip())),
             clock: Arc::new(SystemClock::new()),
             dispatcher: Mutex::new(dispatcher),
             fold: Mutex::new(ConfigFold::new()),
             membership: Mutex::new(membership),
-            placement: Mutex::new(Placement::new(incarnation, failure_domain, valid)),
-            models: Mutex::default(),
-            names: Mutex::default(),
-            reports: Mutex::default(),
+            placement: Mutex::new(Placement::new(incarnation, failure_domain, grant_validity)),
+            models_by_upstream: Mutex::default(),
+            names_by_hash: Mutex::default(),
+            own_reports: Mutex::default(),
             waiters: Mutex::default(),
-            cancels: Mutex::default(),
+            cancel_senders: Mutex::default(),
             timer_changed: Notify::new(),
             draining: AtomicBool::new(false),
             next_waiter: AtomicU64::new(1),
@@ -203,23 +204,23 @@
             leaving_vms: Mutex::default(),
             settings,
             identity,
-            bound,
+            bound_address,
         })
     }
 
-    /// Returns the settings.
+    /// Returns the settings of the node.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Returns who the node is.
+    /// Returns the identity of the node.
     pub fn identity(&self) -> &Identity {
         &self.identity
     }
 
-    /// Returns the address that other nodes' connections are taken on.
+    /// Returns the address on which the node accepts connections of other nodes.
     pub fn bound_address(&self) -> SocketAddr {
-        self.bound
+        self.bound_address
     }
 
     /// Reads the clock.
@@ -227,7 +228,7 @@
         self.clock.now()
     }
 
-    /// Gives the dispatcher an event and carries out what it asks for.
+    /// Passes an event to the dispatcher and executes the actions that it returns.
     pub fn handle(self: &Arc<Self>, event: Event) {
         let mut lines = Vec::new();
         {
@@ -237,8 +238,8 @@
             if dispatcher.next_timer() != before {
                 self.timer_changed.notify_one();
             }
-            // Parts must reach their waiters in the order that the dispatcher gave them, so
-            // everything but writing log lines is done under the lock; none of it blocks.
+            // Parts must reach their waiters in the order in which the dispatcher returned them, so
+            // every action except log lines is executed under the lock; none of them blocks.
             for action in actions {
                 match action {
                     Action::Log(line) => lines.push(line),
@@ -251,7 +252,7 @@
         }
     }
 
-    /// Submits a request and returns where its events arrive.
+    /// Submits a request; returns its waiter and the channel on which its events arrive.
     pub fn submit(
         self: &Arc<Self>,
         build: impl FnOnce(WaiterId) -> Submission,
@@ -263,8 +264,8 @@
         (waiter, receiver)
     }
 
-    /// Notes that a waiter is no longer there.
-    pub fn forget_waiter(self: &Arc<Self>, waiter: WaiterId) {
+    /// Removes a waiter whose caller has left, and informs the dispatcher.
+    pub fn remove_waiter(self: &Arc<Self>, waiter: WaiterId) {
         if lock(&self.waiters).remove(&waiter).is_some() {
             self.handle(Event::WaiterLeft(waiter));
         }
@@ -273,37 +274,37 @@
     /// Mints tickets.
     ///
     /// # Errors
-    /// Refuses as [`Dispatcher::mint_tickets`] does.
+    /// Returns the refusals of [`Dispatcher::mint_tickets`].
     pub fn mint_tickets(&self, count: u64) -> Result<Vec<RequestKey>, Answer> {
         lock(&self.dispatcher).mint_tickets(self.now(), count)
     }
 
-    /// Tells what this node knows of a key.
+    /// Returns the status of a key as known to this node.
     pub fn key_status(&self, key: &ScopedKey) -> KeyStatus {
         lock(&self.dispatcher).key_status(key)
     }
 
-    /// Returns the other nodes.
+    /// Returns the client for requests to other nodes.
     pub fn peer(&self) -> &Arc<dyn Peer> {
         &self.peer
     }
 
-    /// Tells whether requests are taken.
+    /// Returns whether the node accepts requests.
     pub fn is_ready(&self) -> bool {
         !self.is_draining() && lock(&self.fold).is_ready()
     }
 
-    /// Tells whether a configuration is known.
+    /// Returns whether the node knows a configuration.
     pub fn is_configured(&self) -> bool {
         lock(&self.fold).is_ready()
     }
 
-    /// Tells whether the node is shutting down.
+    /// Returns whether the node is shutting down.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::SeqCst)
     }
 
-    /// Stops taking new requests.
+    /// Stops accepting new requests.
     pub fn drain(self: &Arc<Self>) {
         if !self.draining.swap(true, Ordering::SeqCst) {
             self.handle(Event::Drain);
@@ -311,7 +312,7 @@
         }
     }
 
-    /// Tells whether nothing is in flight and no response is being written.
+    /// Returns whether nothing is in flight and no response is being written.
     pub fn is_idle(&self) -> bool {
         let dispatcher = lock(&self.dispatcher);
         let idle = dispatcher.counters().in_flight == 0
@@ -320,23 +321,23 @@
         idle && self.open_responses.load(Ordering::SeqCst) == 0
     }
 
-    /// Notes a response that is being written.
+    /// Counts a response as being written until the returned guard is dropped.
     pub fn open_response(self: &Arc<Self>) -> OpenResponse {
         self.open_responses.fetch_add(1, Ordering::SeqCst);
         OpenResponse(self.clone())
     }
 
-    /// Tells whether more callers are being served than the settings allow.
+    /// Returns whether more callers are being served than `limits.callers_max` allows.
     pub fn is_full(&self) -> bool {
         self.open_responses.load(Ordering::SeqCst) > self.settings.limits.callers_max
     }
 
-    /// Returns the numbers of the node.
+    /// Returns the counters of requests and attempts.
     pub fn counters(&self) -> Counters {
         lock(&self.dispatcher).counters()
     }
 
-    /// Returns what the node tells operators of itself.
+    /// Returns the status of the node, as shown to operators.
     pub fn status(&self) -> NodeStatus {
         let now = self.now();
         let (live_nodes, highest_peer_version) = {
@@ -368,9 +369,9 @@
         }
     }
 
-    /// Lists the upstreams with the models that they reported.
+    /// Lists the upstreams and the models that they reported.
     pub fn upstreams(&self) -> Vec<UpstreamStatus> {
-        let models = lock(&self.models).clone();
+        let models = lock(&self.models_by_upstream).clone();
         let fold = lock(&self.fold);
         let names = fold.catalog().upstreams.keys();
         let status = |name: &String| UpstreamStatus {
@@ -380,8 +381,8 @@
         names.map(status).collect()
     }
 
-    /// Puts a new configuration in force if the fold has one.
-    pub(super) fn configured(self: &Arc<Self>, changed: bool) {
+    /// Applies the folded configuration if it changed.
+    pub(super) fn apply_config(self: &Arc<Self>, changed: bool) {
         if !changed {
             return;
         }
@@ -391,13 +392,13 @@
         };
         info!("{}", LogLine::event("configured").with("version", version));
         let domain = self.identity.failure_domain.as_ref();
-        let own = catalog.domain(domain);
-        let names = own.map(|(name, _)| (short_hash(name), name.to_owned())).collect();
-        *lock(&self.names) = Arc::new(names);
+        let in_domain = catalog.domain(domain);
+        let names = in_domain.map(|(name, _)| (short_hash(name), name.to_owned())).collect();
+        *lock(&self.names_by_hash) = Arc::new(names);
         self.handle(Event::Configured(catalog));
     }
 
-    /// Describes this node to the others.
+    /// Returns the heartbeat of this node, without reports of upstreams.
     pub(super) fn heartbeat(&self) -> Heartbeat {
         let config_version = lock(&self.fold).version();
         let mut dispatcher = lock(&self.dispatcher);
@@ -421,7 +422,7 @@
                 Some(at) if at <= now => self.handle(Event::Tick),
                 Some(at) => {
                     tokio::select! {
-                        () = tokio::time::sleep((at - now).min(TIMER_LOOK_MAX)) => {}
+                        () = tokio::time::sleep((at - now).min(TIMER_SLEEP_MAX)) => {}
                         () = self.timer_changed.notified() => {}
                     }
                 }
--- a/crates/fernring/src/peer.rs
+++ b/crates/fernring/src/peer.rs
@@ -1,4 +1,4 @@
-//! Other nodes, over framed `prost` messages on TCP.
+//! Requests to other nodes, as framed `prost` messages over TCP.
 
 use {
     async_trait::async_trait,
@@ -31,47 +31,48 @@
 /// A connection to or from another node.
 pub type PeerConnection = Framed<TcpStream, LengthDelimitedCodec>;
 
-/// Why another node did not answer.
+/// Why a request to another node failed.
 #[derive(Debug, thiserror::Error)]
 pub enum PeerError {
     /// The connection could not be opened, or broke.
     #[error("connection: {0}")]
     Connection(#[from] std::io::Error),
-    /// No answer in time.
-    #[error("no answer in time")]
+    /// No response arrived within the timeout.
+    #[error("no response in time")]
     Timeout(#[from] Elapsed),
-    /// The answer is not one of ours.
-    #[error("malformed answer")]
+    /// The connection ended before a response, or the message on it can't be decoded or encoded.
+    #[error("malformed response")]
     Malformed,
 }
 
-/// The other nodes.
+/// A client for requests to other nodes.
 #[async_trait]
 pub trait Peer: Send + Sync {
-    /// Asks another node and waits for its answer.
+    /// Sends a request to another node and waits for its response.
     ///
     /// # Errors
-    /// If there is none within `patience`. The other node may have acted nevertheless.
-    async fn ask(
+    /// If no valid response arrives within `response_timeout`. The other node may have handled the request
+    /// nevertheless.
+    async fn request(
         &self,
         address: SocketAddr,
-        question: Body,
-        patience: Duration,
+        request: Body,
+        response_timeout: Duration,
     ) -> Result<Body, PeerError>;
 
-    /// Asks another node for something large, and waits for as long as its answer keeps coming.
+    /// Sends a request whose response may be large, and waits for as long as more of the response keeps arriving.
     ///
     /// # Errors
-    /// If nothing of it comes within `patience`, at first or at any time after.
-    async fn ask_for_large(
+    /// If the connection can't be opened, or nothing arrives for `idle_timeout`, before the first byte or between two.
+    async fn request_large(
         &self,
         address: SocketAddr,
-        question: Body,
-        patience: Duration,
+        request: Body,
+        idle_timeout: Duration,
     ) -> Result<Body, PeerError>;
 }
 
-/// Other nodes over TCP. Connections that are idle are kept, one for each node.
+/// Sends requests to other nodes over TCP. Keeps one idle connection for each node.
 #[derive(Debug)]
 pub struct TcpPeer {
     source: IpAddr,
@@ -79,7 +80,7 @@
 }
 
 impl TcpPeer {
-    /// Creates the client; connections leave from `source`.
+    /// Creates the client; its connections use the local IP address `source`.
     pub fn new(source: IpAddr) -> Self {
         Self { source, idle: Mutex::default() }
     }
@@ -87,44 +88,44 @@
 
 #[async_trait]
 impl Peer for TcpPeer {
-    async fn ask(
+    async fn request(
         &self,
         address: SocketAddr,
-        question: Body,
-        patience: Duration,
+        request: Body,
+        response_timeout: Duration,
     ) -> Result<Body, PeerError> {
         let idle = self.idle.lock().await.remove(&address);
-        let work = async {
+        let call = async {
             let mut connection = match idle {
                 Some(connection) => connection,
                 None => connect(self.source, address).await?,
             };
-            let answer = exchange(&mut connection, question).await?;
-            Ok::<_, PeerError>((connection, answer))
+            let response = exchange(&mut connection, request).await?;
+            Ok::<_, PeerError>((connection, response))
         };
-        let (connection, answer) = timeout(patience, work).await??;
+        let (connection, response) = timeout(response_timeout, call).await??;
         self.idle.lock().await.insert(address, connection);
-        Ok(answer)
+        Ok(response)
     }
 
-    async fn ask_for_large(
+    async fn request_large(
         &self,
         address: SocketAddr,
-        question: Body,
-        patience: Duration,
+        request: Body,
+        idle_timeout: Duration,
     ) -> Result<Body, PeerError> {
-        let work = async {
+        let send = async {
             let mut connection = connect(self.source, address).await?;
-            connection.send(encode(&Frame { body: Some(question) })).await?;
+            connection.send(encode(&Frame { body: Some(request) })).await?;
             Ok::<_, PeerError>(connection)
         };
-        let mut connection = timeout(patience, work).await??;
-        let mut received = 0;
+        let mut connection = timeout(idle_timeout, send).await??;
+        let mut received_bytes = 0;
         loop {
-            match timeout(patience, answer(&mut connection)).await {
-                Ok(answer) => return answer,
-                Err(late) if connection.read_buffer().len() == received => return Err(late.into()),
-                Err(_) => received = connection.read_buffer().len(),
+            match timeout(idle_timeout, read_response(&mut connection)).await {
+                Ok(response) => return response,
+                Err(elapsed) if connection.read_buffer().len() == received_bytes => return Err(elapsed.into()),
+                Err(_) => received_bytes = connection.read_buffer().len(),
             }
         }
     }
@@ -138,25 +139,26 @@
     Ok(Framed::new(stream, codec()))
 }
 
-async fn exchange(connection: &mut PeerConnection, question: Body) -> Result<Body, PeerError> {
-    connection.send(encode(&Frame { body: Some(question) })).await?;
-    answer(connection).await
+async fn exchange(connection: &mut PeerConnection, request: Body) -> Result<Body, PeerError> {
+    connection.send(encode(&Frame { body: Some(request) })).await?;
+    read_response(connection).await
 }
 
-/// Reads the next message. Dropped before it is there, it has lost nothing.
-async fn answer(connection: &mut PeerConnection) -> Result<Body, PeerError> {
+/// Reads the next message. Cancel-safe: if the future is dropped early, the bytes received so far stay in the
+/// connection's buffer.
+async fn read_response(connection: &mut PeerConnection) -> Result<Body, PeerError> {
     let bytes = connection.next().await.ok_or(PeerError::Malformed)??;
     decode(&bytes).ok().and_then(|frame| frame.body).ok_or(PeerError::Malformed)
 }
 
-/// Converts a heartbeat for sending.
+/// Converts a heartbeat to its message.
 pub fn heartbeat_message(heartbeat: &Heartbeat) -> HeartbeatMessage {
     let demand = heartbeat.demand.iter().map(|demand| DemandMessage {
         workspace: demand.workspace.to_string(),
         milli_per_s: (demand.per_s * 1_000.0).round() as u64,
     });
     HeartbeatMessage {
-        incarnation: incarnation_bytes(heartbeat.incarnation),
+        incarnation: incarnation_to_bytes(heartbeat.incarnation),
         address: heartbeat.address.to_string(),
         failure_domain: heartbeat.failure_domain.to_string(),
         config_version: heartbeat.config_version,
@@ -164,17 +166,17 @@
         draining: heartbeat.draining,
         demand: demand.collect(),
         report_upstreams: heartbeat.reports.iter().map(|report| report.upstream).collect(),
-        report_loads: heartbeat.reports.iter().map(load_number).collect(),
+        report_loads: heartbeat.reports.iter().map(pack_load).collect(),
     }
 }
 
-/// Packs a load and whether the upstream is leaving into one number.
-fn load_number(report: &ReportDigest) -> u32 {
+/// Packs a load and whether the upstream is leaving into one number: the load times 2, plus 1 if it is leaving.
+fn pack_load(report: &ReportDigest) -> u32 {
     report.load.min(u32::MAX / 2) * 2 + u32::from(report.leaving)
 }
 
 /// Converts a received heartbeat; `None` if it is malformed.
-pub fn heartbeat_from(message: HeartbeatMessage) -> Option<Heartbeat> {
+pub fn heartbeat_from_message(message: HeartbeatMessage) -> Option<Heartbeat> {
     let demand = message.demand.into_iter().map(|demand| Demand {
         workspace: demand.workspace.into(),
         per_s: demand.milli_per_s as f64 / 1_000.0,
@@ -186,7 +188,7 @@
         leaving: number % 2 == 1,
     });
     Some(Heartbeat {
-        incarnation: incarnation_from(&message.incarnation)?,
+        incarnation: incarnation_from_bytes(&message.incarnation)?,
         address: message.address.parse().ok()?,
         failure_domain: message.failure_domain.into(),
         config_version: message.config_version,
@@ -197,10 +199,10 @@
     })
 }
 
-/// Converts a submission for the owner of its key; `None` without a key.
+/// Converts a submission to the message that forwards it to the owner of its key; `None` if it has no key.
 pub fn forward_message(owner: Incarnation, submission: &Submission) -> Option<ForwardMessage> {
     Some(ForwardMessage {
-        incarnation: incarnation_bytes(owner),
+        incarnation: incarnation_to_bytes(owner),
         pipeline: submission.pipeline.clone(),
         workspace: submission.workspace.to_string(),
         key: submission.key?.to_string(),
@@ -211,18 +213,18 @@
     })
 }
 
-/// Converts the key that is asked for; `None` if it is malformed.
-pub fn key_from(request: &KeyRequest) -> Option<ScopedKey> {
+/// Converts the key that a request names; `None` if it is malformed.
+pub fn key_from_request(request: &KeyRequest) -> Option<ScopedKey> {
     let key: RequestKey = request.key.parse().ok()?;
     Some(ScopedKey { workspace: Arc::from(request.workspace.as_str()), key })
 }
 
-/// Converts an incarnation for sending.
-pub fn incarnation_bytes(incarnation: Incarnation) -> Vec<u8> {
+/// Converts an incarnation to its bytes in a message.
+pub fn incarnation_to_bytes(incarnation: Incarnation) -> Vec<u8> {
     incarnation.0.as_bytes().to_vec()
 }
 
 /// Converts a received incarnation; `None` if it is malformed.
-pub fn incarnation_from(bytes: &[u8]) -> Option<Incarnation> {
+pub fn incarnation_from_bytes(bytes: &[u8]) -> Option<Incarnation> {
     Uuid::from_slice(bytes).ok().map(Incarnation)
 }
--- a/crates/fernring/src/upstream.rs
+++ b/crates/fernring/src/upstream.rs
@@ -1,9 +1,11 @@
-//! Upstreams, over HTTP.
+//! Calls to upstreams over HTTP.
 //!
-//! The protocol: `POST /v1/run` answers with one JSON object a line ([`RunPart`]); a refusal
-//! before anything ran is status 503 with the header `x-not-run: busy` or `x-not-run: leaving`.
-//! `GET /v1/report` answers with [`Report`], `POST /v1/orders` takes an order and answers 409 if
-//! it carries an old fencing number.
+//! The protocol:
+//!
+//! - `POST /v1/run` runs a stage and responds with one JSON object per line ([`RunPart`]). An upstream that refuses
+//!   before anything ran responds with status 503 and the header `x-not-run: busy` or `x-not-run: leaving`.
+//! - `GET /v1/report` responds with a [`Report`].
+//! - `POST /v1/orders` accepts an order; the status is 409 if the order has an outdated fencing number.
 
 use {
     async_trait::async_trait,
@@ -22,25 +24,25 @@
     uuid::Uuid,
 };
 
-/// Header by which an upstream says that it refused before running anything.
+/// Header with which an upstream indicates that it refused before running anything.
 pub const NOT_RUN_HEADER: &str = "x-not-run";
-/// Value of [`NOT_RUN_HEADER`] of an upstream that is leaving.
+/// Value of [`NOT_RUN_HEADER`] that an upstream sends when it is leaving.
 pub const NOT_RUN_LEAVING: &str = "leaving";
-/// Longest line of an upstream's answer, in bytes.
+/// Longest line of an upstream's response, in bytes.
 const LINE_MAX_BYTES: usize = 4 << 20;
-/// How long a report or an order's answer is waited for.
+/// Timeout for a report and for the response to an order.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Body of `POST /v1/run`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RunRequest {
-    /// Identity of the request, to be echoed.
+    /// Identity of the request; the upstream echoes it.
     pub request: Uuid,
     /// Name of the stage.
     pub stage: String,
-    /// Index of the stage, to be echoed.
+    /// Index of the stage; the upstream echoes it.
     pub stage_index: u16,
-    /// Number of the attempt, to be echoed.
+    /// Number of the attempt; the upstream echoes it.
     pub attempt: u64,
     /// Hash of the prompt prefix.
     pub prefix: u64,
@@ -50,7 +52,7 @@
     pub input: Arc<str>,
 }
 
-/// One line of an answer.
+/// One line of the response to `POST /v1/run`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RunPart {
     /// Echo of the request's identity.
@@ -61,84 +63,84 @@
     pub attempt: u64,
     /// Position of the part, from 0.
     pub sequence: u32,
-    /// Its text.
+    /// Text of the part.
     pub text: Arc<str>,
-    /// Whether no part follows it.
+    /// Whether this is the last part.
     #[serde(default)]
     pub last: bool,
 }
 
-/// Answer to `GET /v1/report`.
+/// Body of the response to `GET /v1/report`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// Attempts running or waiting.
     pub load: u32,
     /// Whether the upstream is leaving.
     pub leaving: bool,
-    /// Models that it holds, sorted.
+    /// Models that the upstream holds, sorted.
     #[serde(default)]
     pub models: Vec<String>,
 }
 
-/// What became of an order.
+/// Outcome of sending an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// The upstream took it.
+    /// The upstream accepted the order.
     Taken,
-    /// It carried an old fencing number.
+    /// The upstream refused the order because of its outdated fencing number.
     Fenced,
-    /// There was no answer; it may have been taken.
+    /// There was no usable response; the upstream may have accepted the order.
     Unknown,
 }
 
-/// A receiver of parts as they arrive.
+/// Callback that receives parts as they arrive.
 pub type PartSink<'a> = &'a mut (dyn FnMut(Vec<EchoedPart>) + Send);
 
-/// The back ends that run stages.
+/// A client for calls to upstreams, the back ends that run stages.
 #[async_trait]
 pub trait Upstream: Send + Sync {
     /// Sends an attempt exactly once and passes its parts on as they arrive.
-    async fn run(&self, dispatch: &Dispatch, parts: PartSink<'_>) -> AttemptEnd;
+    async fn run_stage(&self, dispatch: &Dispatch, parts: PartSink<'_>) -> AttemptEnd;
 
-    /// Asks for a report; `None` without an answer.
-    async fn report(&self, address: SocketAddr) -> Option<Report>;
+    /// Fetches the report of an upstream; `None` if there is no valid response.
+    async fn fetch_report(&self, address: SocketAddr) -> Option<Report>;
 
-    /// Sends an order.
-    async fn order(&self, address: SocketAddr, order: &Order) -> OrderOutcome;
+    /// Sends an order to an upstream.
+    async fn send_order(&self, address: SocketAddr, order: &Order) -> OrderOutcome;
 }
 
-/// Upstreams over HTTP.
+/// Calls upstreams over HTTP.
 #[derive(Debug)]
 pub struct HttpUpstream {
-    /// Keeps connections open; used where a repeat is harmless.
+    /// Keeps connections open; used for calls that may safely be sent twice.
     pooled: Client,
-    /// Opens a connection for each call, so that a call never meets one that is closing and
-    /// nothing below can send it again. Used for side effects.
-    single: Client,
+    /// Opens a new connection for each call, so that no call is sent on a connection that is closing and the HTTP
+    /// library has no reason to send it again. Used for stages with side effects and for orders.
+    unpooled: Client,
 }
 
 impl HttpUpstream {
-    /// Creates the clients; opening a connection may take up to `connect_timeout`. Connections
-    /// leave from `source` if one is given.
+    /// Creates the HTTP clients; opening a connection may take up to `connect_timeout`. Connections use the local IP
+    /// address `source` if one is given.
     ///
     /// # Errors
     /// If the HTTP library can't be set up.
     pub fn new(connect_timeout: Duration, source: Option<IpAddr>) -> reqwest::Result<Self> {
-        let plain = || {
+        let client_builder = || {
             let builder = Client::builder().no_proxy().redirect(Policy::none());
             let builder = builder.retry(reqwest::retry::never()).tcp_nodelay(true);
             builder.connect_timeout(connect_timeout).local_address(source)
         };
-        let pooled = plain().build()?;
-        let single = plain().pool_max_idle_per_host(0).build()?;
-        Ok(Self { pooled, single })
+        let pooled = client_builder().build()?;
+        let unpooled = client_builder().pool_max_idle_per_host(0).build()?;
+        Ok(Self { pooled, unpooled })
     }
 }
 
 #[async_trait]
 impl Upstream for HttpUpstream {
-    async fn run(&self, dispatch: &Dispatch, parts: PartSink<'_>) -> AttemptEnd {
-        let client = if dispatch.effect { &self.single } else { &self.pooled };
+    async fn run_stage(&self, dispatch: &Dispatch, parts: PartSink<'_>) -> AttemptEnd {
+        let client = if dispatch.effect { &self.unpooled } else { &self.pooled };
         let body = RunRequest {
             request: dispatch.uid,
             stage: dispatch.stage_name.clone(),
@@ -151,26 +153,26 @@
         let url = format!("http://{}/v1/run", dispatch.address);
         let response = match client.post(url).json(&body).send().await {
             Ok(response) => response,
-            // No connection was made, so not a byte of the call has left.
+            // No connection was opened, so nothing of the call was sent.
             Err(error) if error.is_connect() => return AttemptEnd::NotSent,
             Err(_) => return AttemptEnd::Failed,
         };
         match response.status() {
             StatusCode::OK => read_parts(response, parts).await,
-            StatusCode::SERVICE_UNAVAILABLE => refusal(&response),
+            StatusCode::SERVICE_UNAVAILABLE => classify_refusal(&response),
             _ => AttemptEnd::Failed,
         }
     }
 
-    async fn report(&self, address: SocketAddr) -> Option<Report> {
+    async fn fetch_report(&self, address: SocketAddr) -> Option<Report> {
         let request = self.pooled.get(format!("http://{address}/v1/report"));
         let response = request.timeout(CONTROL_TIMEOUT).send().await.ok()?;
         response.error_for_status().ok()?.json().await.ok()
     }
 
-    async fn order(&self, address: SocketAddr, order: &Order) -> OrderOutcome {
-        let request = self.single.post(format!("http://{address}/v1/orders")).json(order);
-        let status = request.timeout(CONTROL_TIMEOUT).send().await.map(|answer| answer.status());
+    async fn send_order(&self, address: SocketAddr, order: &Order) -> OrderOutcome {
+        let request = self.unpooled.post(format!("http://{address}/v1/orders")).json(order);
+        let status = request.timeout(CONTROL_TIMEOUT).send().await.map(|response| response.status());
         match status {
             Ok(status) if status.is_success() => OrderOutcome::Taken,
             Ok(StatusCode::CONFLICT) => OrderOutcome::Fenced,
@@ -179,7 +181,7 @@
     }
 }
 
-fn refusal(response: &Response) -> AttemptEnd {
+fn classify_refusal(response: &Response) -> AttemptEnd {
     match response.headers().get(NOT_RUN_HEADER).map(|value| value.as_bytes()) {
         Some(value) if value == NOT_RUN_LEAVING.as_bytes() => AttemptEnd::Leaving,
         Some(_) => AttemptEnd::Refused,
@@ -198,17 +200,17 @@
         if buffer.len() > LINE_MAX_BYTES {
             return AttemptEnd::Failed;
         }
-        match take_lines(&mut buffer) {
-            Some(arrived) if arrived.is_empty() => {}
-            Some(arrived) => parts(arrived),
+        match drain_lines(&mut buffer) {
+            Some(received) if received.is_empty() => {}
+            Some(received) => parts(received),
             None => return AttemptEnd::Failed,
         }
     }
     if buffer.is_empty() { AttemptEnd::Completed } else { AttemptEnd::Failed }
 }
 
-/// Takes the whole lines out of a buffer; `None` if one is not a part.
-fn take_lines(buffer: &mut Vec<u8>) -> Option<Vec<EchoedPart>> {
+/// Removes the complete lines from a buffer and parses them as parts; `None` if a line isn't a valid part.
+fn drain_lines(buffer: &mut Vec<u8>) -> Option<Vec<EchoedPart>> {
     let end = match buffer.iter().rposition(|byte| *byte == b'\n') {
         Some(end) => end + 1,
         None => return Some(Vec::new()),
@@ -216,10 +218,10 @@
     let rest = buffer.split_off(end);
     let lines = std::mem::replace(buffer, rest);
     let lines = lines.split(|byte| *byte == b'\n').filter(|line| !line.is_empty());
-    lines.map(|line| serde_json::from_slice(line).ok().map(echoed)).collect()
+    lines.map(|line| serde_json::from_slice(line).ok().map(echoed_part)).collect()
 }
 
-fn echoed(part: RunPart) -> EchoedPart {
+fn echoed_part(part: RunPart) -> EchoedPart {
     EchoedPart {
         uid: part.request,
         stage: part.stage_index,
--- a/crates/fernring/tests/testsuite/large_answers.rs
+++ b/crates/fernring/tests/testsuite/large_answers.rs
@@ -72,7 +72,7 @@
     let fetch = async |parts| {
         let address = answer_in_parts(answer.to_vec(), parts).await;
         let question = Body::ConfigRequest(ConfigRequest { have_version: 7 });
-        TcpPeer::new(HERE).ask_for_large(address, question, PATIENCE).await
+        TcpPeer::new(HERE).request_large(address, question, PATIENCE).await
     };
     assert_eq!(fetch(PARTS).await.unwrap(), Body::ConfigState(state));
     assert!(fetch(PARTS - 2).await.is_err(), "nothing comes any more");
--- a/crates/fernring/tests/testsuite/log_queue.rs
+++ b/crates/fernring/tests/testsuite/log_queue.rs
@@ -26,7 +26,7 @@
                 push(queue, "info", request, event);
             }
         }
-        last = queue.take();
+        last = queue.take_pending();
     }
     last
 }
@@ -60,7 +60,7 @@
         push(&queue, "warn", request, "request_ended");
     }
     queue.push(b"level=info event=config_taken from=1 to=2\n");
-    let text = queue.take();
+    let text = queue.take_pending();
     assert_eq!(events_by_request(&text).len(), 100);
     assert!(String::from_utf8_lossy(&text).contains("config_taken"));
 }
@@ -71,7 +71,7 @@
     for request in 0..100_000 {
         push(&queue, "info", request, "routed");
     }
-    let text = queue.take();
+    let text = queue.take_pending();
     assert!(text.len() <= (1 << 20) + 100, "{}", text.len());
     assert!(String::from_utf8_lossy(&text).contains("lines_left_out"));
 }
