--- a/crates/fernring/src/node/peer_loop.rs
+++ b/crates/fernring/src/node/peer_loop.rs
@@ -189,7 +189,7 @@
         update_peers(&node);
         let known_version = {
             let fold = lock(&node.fold);
-            // After a gap, a peer's state of the same version helps too: it contains the records that were missed.
+            // After a gap, a peer's state of the same version helps too: it includes the changes that were missed.
             fold.version().saturating_sub(u64::from(fold.has_gap()))
         };
         let peer_ahead = lock(&node.membership).ahead_of(known_version, rand::random());
--- a/crates/fernring/src/peer.rs
+++ b/crates/fernring/src/peer.rs
@@ -120,14 +120,12 @@
             Ok::<_, PeerError>(connection)
         };
         let mut connection = timeout(idle_timeout, send).await??;
-        let mut received_bytes = 0;
+        let mut buffered = 0;
         loop {
             match timeout(idle_timeout, read_response(&mut connection)).await {
                 Ok(response) => return response,
-                Err(elapsed) if connection.read_buffer().len() == received_bytes => {
-                    return Err(elapsed.into());
-                }
-                Err(_) => received_bytes = connection.read_buffer().len(),
+                Err(late) if connection.read_buffer().len() == buffered => return Err(late.into()),
+                Err(_) => buffered = connection.read_buffer().len(),
             }
         }
     }
--- a/crates/fernring/src/upstream.rs
+++ b/crates/fernring/src/upstream.rs
@@ -201,7 +201,7 @@
         if buffer.len() > LINE_MAX_BYTES {
             return AttemptEnd::Failed;
         }
-        match drain_lines(&mut buffer) {
+        match take_complete_lines(&mut buffer) {
             Some(received) if received.is_empty() => {}
             Some(received) => parts(received),
             None => return AttemptEnd::Failed,
@@ -211,7 +211,7 @@
 }
 
 /// Removes the complete lines from a buffer and parses them as parts; `None` if a line isn't a valid part.
-fn drain_lines(buffer: &mut Vec<u8>) -> Option<Vec<EchoedPart>> {
+fn take_complete_lines(buffer: &mut Vec<u8>) -> Option<Vec<EchoedPart>> {
     let end = match buffer.iter().rposition(|byte| *byte == b'\n') {
         Some(end) => end + 1,
         None => return Some(Vec::new()),
--- a/crates/fernring/tests/testsuite/slow_responses.rs
+++ b/crates/fernring/tests/testsuite/slow_responses.rs
@@ -1,5 +1,7 @@
-//! Responses over a slow link: pages of the log service, and the configuration of another node. They guard against one
-//! timeout for a whole response, which abandons a large response while it is still arriving; the gateway had this fault.
+//! Responses over a slow link: pages of the log service, and the configuration of another node.
+//!
+//! A single timeout for a whole response would abandon a large response while it is still arriving, as the gateway
+//! once did.
 
 use {
     bytes::BytesMut,
