--- a/crates/fernctl/src/cmd/pipelines.rs
+++ b/crates/fernctl/src/cmd/pipelines.rs
@@ -31,7 +31,7 @@
             println!("pipeline {name} (window {} ms)", pipeline.default_window_ms);
             for stage in &pipeline.stages {
                 let effect = if stage.effect { ", side effect" } else { "" };
-                let upstreams = catalog.pool(&stage.pool).count();
+                let upstreams = catalog.upstreams_in_pool(&stage.pool).count();
                 println!(
                     "  {} on {} ({upstreams} upstreams), {} ms{effect}",
                     stage.name, stage.pool, stage.expected_ms
--- a/crates/fernring-core/src/catalog.rs
+++ b/crates/fernring-core/src/catalog.rs
@@ -198,13 +198,13 @@
     }
 
     /// Lists the upstreams of a pool with their names.
-    pub fn pool<'a>(&'a self, pool: &'a str) -> impl Iterator<Item = (&'a str, &'a Upstream)> {
+    pub fn upstreams_in_pool<'a>(&'a self, pool: &'a str) -> impl Iterator<Item = (&'a str, &'a Upstream)> {
         let members = self.upstreams.iter().filter(move |(_, upstream)| upstream.pool == pool);
         members.map(|(name, upstream)| (name.as_str(), upstream.as_ref()))
     }
 
     /// Lists the upstreams of a failure domain with their names.
-    pub fn domain<'a>(
+    pub fn upstreams_in_domain<'a>(
         &'a self,
         failure_domain: &'a str,
     ) -> impl Iterator<Item = (&'a str, &'a Upstream)> {
--- a/crates/fernring-platform/src/http.rs
+++ b/crates/fernring-platform/src/http.rs
@@ -1,7 +1,7 @@
 //! The platform's HTTP interface.
 
 use {
-    crate::{AppendAnswer, LogService, PlatformError, VmEntry, VmList},
+    crate::{AppendResponse, LogService, PlatformError, VmEntry, VmList},
     async_trait::async_trait,
     fernring_core::log::LogPage,
     reqwest::{Client, Response, StatusCode, redirect::Policy},
@@ -56,7 +56,7 @@
 }
 
 fn late(_: Elapsed) -> PlatformError {
-    PlatformError::Late
+    PlatformError::Timeout
 }
 
 impl HttpVmList {
@@ -71,13 +71,13 @@
     match response.status() {
         status if status.is_success() => Ok(response),
         StatusCode::TOO_MANY_REQUESTS => Err(PlatformError::RateLimited),
-        status => Err(PlatformError::Status(status.as_u16())),
+        status => Err(PlatformError::UnexpectedStatus(status.as_u16())),
     }
 }
 
 #[async_trait]
 impl LogService for HttpLog {
-    async fn append(&self, stream: &str, data: &[u8]) -> Result<AppendAnswer, PlatformError> {
+    async fn append(&self, stream: &str, data: &[u8]) -> Result<AppendResponse, PlatformError> {
         let url = format!("{}/streams/{stream}/records", self.base);
         let request = self.client.post(url).timeout(self.timeout).body(data.to_vec());
         Ok(check_status(request.send().await?)?.json().await?)
--- a/crates/fernring-platform/src/lib.rs
+++ b/crates/fernring-platform/src/lib.rs
@@ -10,7 +10,7 @@
 
 pub use {
     http::{HttpLog, HttpVmList},
-    wire::{AppendAnswer, VmEntry, VmRole, VmState},
+    wire::{AppendResponse, VmEntry, VmRole, VmState},
 };
 
 use {
@@ -22,10 +22,10 @@
 pub enum PlatformError {
     /// No answer, or a broken one. What was asked may have taken effect.
     #[error("no answer from the platform: {0}")]
-    NoAnswer(#[from] reqwest::Error),
+    NoResponse(#[from] reqwest::Error),
     /// No answer in time, or none of its bytes.
     #[error("no answer from the platform in time")]
-    Late,
+    Timeout,
     /// The answer can't be read.
     #[error("malformed answer from the platform: {0}")]
     Malformed(#[from] serde_json::Error),
@@ -34,7 +34,7 @@
     RateLimited,
     /// It answered with another status.
     #[error("the platform answered with status {0}")]
-    Status(u16),
+    UnexpectedStatus(u16),
 }
 
 /// The append-only log.
@@ -44,7 +44,7 @@
     ///
     /// # Errors
     /// After any error but [`PlatformError::RateLimited`] the record may be there nevertheless.
-    async fn append(&self, stream: &str, data: &[u8]) -> Result<AppendAnswer, PlatformError>;
+    async fn append(&self, stream: &str, data: &[u8]) -> Result<AppendResponse, PlatformError>;
 
     /// Reads the records from an offset on, and waits up to `wait` for one if there is none.
     ///
--- a/crates/fernring-platform/src/wire.rs
+++ b/crates/fernring-platform/src/wire.rs
@@ -7,7 +7,7 @@
 
 /// Answer to `POST /streams/{stream}/records`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AppendAnswer {
+pub struct AppendResponse {
     /// Offset of the record.
     pub offset: u64,
     /// The log's own time of the record, in milliseconds since the Unix epoch.
--- a/crates/fernring-policy/src/plan.rs
+++ b/crates/fernring-policy/src/plan.rs
@@ -201,7 +201,7 @@
 fn plan_stage(catalog: &Catalog, intent: &Intent, stage: &Stage) -> StagePlan {
     let per_ms = intent.crowd as f64 / intent.duration_ms as f64;
     let needed = per_ms * stage.expected_ms as f64;
-    let open = catalog.pool(&stage.pool).filter(|(_, upstream)| !upstream.draining);
+    let open = catalog.upstreams_in_pool(&stage.pool).filter(|(_, upstream)| !upstream.draining);
     let capacity: u64 = open.map(|(_, upstream)| u64::from(upstream.concurrency)).sum();
     let busy_s = intent.crowd as f64 * stage.expected_ms as f64 / 1_000.0;
     StagePlan {
@@ -295,7 +295,7 @@
 
 fn choose_engines(catalog: &Catalog, stage: &Stage, planned: &StagePlan, chosen: &mut Vec<String>) {
     let open = |u: &fernring_core::catalog::Upstream| u.kind == UpstreamKind::Engine && !u.draining;
-    let mut engines: Vec<_> = catalog.pool(&stage.pool).filter(|(_, u)| open(u)).collect();
+    let mut engines: Vec<_> = catalog.upstreams_in_pool(&stage.pool).filter(|(_, u)| open(u)).collect();
     // Rank within the failure domain first, so that taking from the front alternates domains.
     let mut ranked = Vec::new();
     engines.sort_by_key(|(name, _)| *name);
--- a/crates/fernring-standins/src/platform.rs
+++ b/crates/fernring-standins/src/platform.rs
@@ -6,7 +6,7 @@
 use {
     crate::server::{Server, start},
     fernring_core::log::{LogPage, LogRecord},
-    fernring_platform::{AppendAnswer, VmEntry},
+    fernring_platform::{AppendResponse, VmEntry},
     rocket::{
         Data, State, data::ToByteUnit, get, http::Status, post, put, routes, serde::json::Json,
     },
@@ -137,7 +137,7 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn append(&self, stream: &str, data: Vec<u8>) -> AppendAnswer {
+    fn append(&self, stream: &str, data: Vec<u8>) -> AppendResponse {
         let mut inner = self.lock();
         let time_ms = unix_ms();
         let stream = inner.streams.entry(stream.to_owned()).or_default();
@@ -147,7 +147,7 @@
         stream.appends += 1;
         drop(inner);
         self.appended.send_modify(|count| *count += 1);
-        AppendAnswer { offset, time_ms }
+        AppendResponse { offset, time_ms }
     }
 
     fn page(&self, stream: &str, from: u64) -> LogPage {
@@ -222,7 +222,7 @@
     data: Data<'_>,
     source: IpAddr,
     platform: &State<Arc<Platform>>,
-) -> Result<Json<AppendAnswer>, Status> {
+) -> Result<Json<AppendResponse>, Status> {
     platform.gate(source, true).await?;
     let data = data.open(16.mebibytes()).into_bytes().await;
     let data = data.map_err(|_| Status::BadRequest)?.into_inner();
--- a/crates/fernring/src/node/report_loop.rs
+++ b/crates/fernring/src/node/report_loop.rs
@@ -44,7 +44,7 @@
     let now = node.now().monotonic;
     let membership = lock(&node.membership);
     let domain = node.identity.failure_domain.as_ref();
-    let own = catalog.domain(domain).map(|(name, _)| name);
+    let own = catalog.upstreams_in_domain(domain).map(|(name, _)| name);
     own.filter(|name| membership.asks(now, name)).map(str::to_owned).collect()
 }
 
--- a/crates/fernring/src/node/state.rs
+++ b/crates/fernring/src/node/state.rs
@@ -391,7 +391,7 @@
         };
         info!("{}", LogLine::event("configured").with("version", version));
         let domain = self.identity.failure_domain.as_ref();
-        let own = catalog.domain(domain);
+        let own = catalog.upstreams_in_domain(domain);
         let names = own.map(|(name, _)| (short_hash(name), name.to_owned())).collect();
         *lock(&self.names) = Arc::new(names);
         self.handle(Event::Configured(catalog));
