--- a/crates/fernctl/src/cmd/confirm.rs
+++ b/crates/fernctl/src/cmd/confirm.rs
@@ -1,4 +1,4 @@
-//! `fernctl confirm`: put a plan in force.
+//! `fernctl confirm`: puts a plan in force.
 
 use {
     super::{Output, OutputArgs, author, print_json, read_file},
--- a/crates/fernctl/src/cmd/drain.rs
+++ b/crates/fernctl/src/cmd/drain.rs
@@ -1,4 +1,4 @@
-//! `fernctl drain`: give an upstream no new work.
+//! `fernctl drain`: stops or resumes sending new work to an upstream.
 
 use {
     super::{Output, OutputArgs, author, print_json},
@@ -40,8 +40,8 @@
                 &json!({ "upstream": upstream, "draining": draining, "version": version }),
             ),
             Output::Text => {
-                let word = if draining { "gets no new work" } else { "gets work again" };
-                println!("accepted: {upstream} {word} from version {version} on");
+                let state = if draining { "gets no new work" } else { "gets work again" };
+                println!("accepted: {upstream} {state} from version {version} on");
                 Ok(())
             }
         }
--- a/crates/fernctl/src/cmd/explain.rs
+++ b/crates/fernctl/src/cmd/explain.rs
@@ -1,4 +1,4 @@
-//! `fernctl explain`: what a result code means, or what happened to a key.
+//! `fernctl explain`: explains a result code or shows the outcome of a request key.
 
 use {
     super::{Output, OutputArgs, print_json},
@@ -34,15 +34,15 @@
         }
         let key: RequestKey = self.what.parse().map_err(Failure::bad_input)?;
         let (Some(workspace), Some(address)) = (&self.workspace, self.node) else {
-            let why = anyhow!("a key is explained with --workspace and --node");
-            return Err(Failure::BadInput(why));
+            let error = anyhow!("a key is explained with --workspace and --node");
+            return Err(Failure::BadInput(error));
         };
         let path = format!("/v1/requests/{key}?workspace={workspace}");
-        let found = node::get(address, &path).await?;
+        let request = node::get_json(address, &path).await?;
         match self.output.output {
-            Output::Json => print_json(&found),
+            Output::Json => print_json(&request),
             Output::Text => {
-                print_key(&found);
+                print_request(&request);
                 Ok(())
             }
         }
@@ -65,10 +65,10 @@
     }
 }
 
-fn print_key(found: &Value) {
-    let answer = if found["state"] == "ended" { &found["answer"] } else { found };
-    match found["state"].as_str() {
-        Some("running") => println!("running, at stage {}", found["stage"]),
+fn print_request(request: &Value) {
+    let answer = if request["state"] == "ended" { &request["answer"] } else { request };
+    match request["state"].as_str() {
+        Some("running") => println!("running, at stage {}", request["stage"]),
         _ => println!(
             "{} {} ({}): {}",
             answer["code"],
--- a/crates/fernctl/src/cmd/mod.rs
+++ b/crates/fernctl/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! The subcommands, one file each: its arguments and a short `execute`.
+//! The subcommands, one module each, with their arguments and `execute`.
 
 pub(crate) mod confirm;
 pub(crate) mod drain;
@@ -25,7 +25,7 @@
     Json,
 }
 
-/// How a command answers.
+/// Options for the output of a command.
 #[derive(Debug, Args)]
 pub(crate) struct OutputArgs {
     /// Form of the output
@@ -33,7 +33,7 @@
     pub(crate) output: Output,
 }
 
-/// Prints a value as JSON.
+/// Prints a value as formatted JSON.
 fn print_json(value: &impl Serialize) -> Result<(), Failure> {
     let text = serde_json::to_string_pretty(value).map_err(Failure::failed)?;
     println!("{text}");
@@ -41,11 +41,11 @@
 }
 
 fn read_file(path: &Path) -> Result<String, Failure> {
-    let read = fs::read_to_string(path).with_context(|| path.display().to_string());
-    read.map_err(Failure::BadInput)
+    let text = fs::read_to_string(path).with_context(|| path.display().to_string());
+    text.map_err(Failure::BadInput)
 }
 
-/// The operator's name, for the record of a change.
+/// Returns the operator's user name, which is recorded as the author of a change.
 fn author() -> String {
     std::env::var("USER").unwrap_or_else(|_| "unknown".to_owned())
 }
--- a/crates/fernctl/src/cmd/pipelines.rs
+++ b/crates/fernctl/src/cmd/pipelines.rs
@@ -1,4 +1,4 @@
-//! `fernctl pipelines`: the configuration in force.
+//! `fernctl pipelines`: shows the configuration in force.
 
 use {
     super::{Output, OutputArgs, print_json},
--- a/crates/fernctl/src/cmd/plan.rs
+++ b/crates/fernctl/src/cmd/plan.rs
@@ -1,4 +1,4 @@
-//! `fernctl plan`: from an event file to a plan.
+//! `fernctl plan`: makes a plan from an event file.
 
 use {
     super::{Output, OutputArgs, print_json, read_file},
@@ -83,8 +83,8 @@
     let parsed: Result<EventFile, _> = toml::from_str(&text);
     let file = parsed.with_context(|| path.display().to_string()).map_err(Failure::BadInput)?;
     let start: Timestamp = file.start.to_string().parse().map_err(|_| {
-        let example = "must have an offset, as in 2027-01-15T08:00:00+05:00";
-        Failure::BadInput(anyhow!("{}: start = {}: {example}", path.display(), file.start))
+        let rule = "must have an offset, as in 2027-01-15T08:00:00+05:00";
+        Failure::BadInput(anyhow!("{}: start = {}: {rule}", path.display(), file.start))
     })?;
     let mut intent = Intent {
         name: file.name,
@@ -129,9 +129,10 @@
         );
     }
     for placement in &event.placements {
-        let at = i64::try_from(placement.load_at_unix_ms).unwrap_or(i64::MAX);
-        let at = Timestamp::from_millisecond(at).map(|at| at.to_string()).unwrap_or_default();
-        println!("  load {} on {} at {at}", placement.model, placement.upstream);
+        let load_at = i64::try_from(placement.load_at_unix_ms).unwrap_or(i64::MAX);
+        let load_at =
+            Timestamp::from_millisecond(load_at).map(|at| at.to_string()).unwrap_or_default();
+        println!("  load {} on {} at {load_at}", placement.model, placement.upstream);
     }
     for note in &plan.notes {
         println!("  note: {note}");
--- a/crates/fernctl/src/cmd/publish.rs
+++ b/crates/fernctl/src/cmd/publish.rs
@@ -1,4 +1,4 @@
-//! `fernctl publish`: declare pipelines, workspaces and upstreams.
+//! `fernctl publish`: publishes declarations of pipelines, workspaces and upstreams.
 
 use {
     super::{Output, OutputArgs, author, print_json, read_file},
@@ -41,27 +41,27 @@
     pub(crate) async fn execute(self) -> Result<(), Failure> {
         let text = read_file(&self.file)?;
         let parsed: Result<Catalog, _> = toml::from_str(&text);
-        let wanted = parsed.with_context(|| self.file.display().to_string());
-        let wanted = wanted.map_err(Failure::BadInput)?;
-        if !wanted.events.is_empty() {
+        let declared = parsed.with_context(|| self.file.display().to_string());
+        let declared = declared.map_err(Failure::BadInput)?;
+        if !declared.events.is_empty() {
             let file = self.file.display();
-            let why = anyhow!("{file}: events: declare events with `fernctl plan` and `confirm`");
-            return Err(Failure::BadInput(why));
+            let error = anyhow!("{file}: events: declare events with `fernctl plan` and `confirm`");
+            return Err(Failure::BadInput(error));
         }
         let mut stream = ConfigStream::open(&self.log).await?;
-        let operations = operations(stream.fold().catalog(), &wanted, self.prune);
+        let operations = diff_operations(stream.fold().catalog(), &declared, self.prune);
         let base = stream.fold().version();
         let count = operations.len();
         if count == 0 || self.dry_run {
-            return self.report(count, base, false);
+            return self.print_result(count, base, false);
         }
         let id = Uuid::now_v7();
         let change = Change { base, id, author: author(), operations };
         let version = stream.submit(change).await?;
-        self.report(count, version, true)
+        self.print_result(count, version, true)
     }
 
-    fn report(&self, operations: usize, version: u64, accepted: bool) -> Result<(), Failure> {
+    fn print_result(&self, operations: usize, version: u64, accepted: bool) -> Result<(), Failure> {
         match self.output.output {
             Output::Json => print_json(
                 &json!({ "operations": operations, "version": version, "accepted": accepted }),
@@ -77,36 +77,40 @@
     }
 }
 
-fn operations(now: &Catalog, wanted: &Catalog, prune: bool) -> Vec<Operation> {
-    let mut list = Vec::new();
-    for (name, pipeline) in &wanted.pipelines {
-        if now.pipelines.get(name) != Some(pipeline) {
+/// Returns the operations that put and replace entries so that `current` matches `declared`; with
+/// `prune` also those that remove the entries that `declared` lacks.
+fn diff_operations(current: &Catalog, declared: &Catalog, prune: bool) -> Vec<Operation> {
+    let mut operations = Vec::new();
+    for (name, pipeline) in &declared.pipelines {
+        if current.pipelines.get(name) != Some(pipeline) {
             let (name, pipeline) = (name.clone(), pipeline.clone());
-            list.push(Operation::PutPipeline { name, pipeline });
+            operations.push(Operation::PutPipeline { name, pipeline });
         }
     }
-    for (name, workspace) in &wanted.workspaces {
-        if now.workspaces.get(name) != Some(workspace) {
+    for (name, workspace) in &declared.workspaces {
+        if current.workspaces.get(name) != Some(workspace) {
             let (name, workspace) = (name.clone(), workspace.clone());
-            list.push(Operation::PutWorkspace { name, workspace });
+            operations.push(Operation::PutWorkspace { name, workspace });
         }
     }
-    for (name, upstream) in &wanted.upstreams {
-        if now.upstreams.get(name) != Some(upstream) {
+    for (name, upstream) in &declared.upstreams {
+        if current.upstreams.get(name) != Some(upstream) {
             let (name, upstream) = (name.clone(), upstream.clone());
-            list.push(Operation::PutUpstream { name, upstream });
+            operations.push(Operation::PutUpstream { name, upstream });
         }
     }
     if prune {
-        list.extend(removals(now, wanted));
+        operations.extend(removals(current, declared));
     }
-    list
+    operations
 }
 
-fn removals(now: &Catalog, wanted: &Catalog) -> Vec<Operation> {
-    let workspaces = now.workspaces.keys().filter(|name| !wanted.workspaces.contains_key(*name));
-    let upstreams = now.upstreams.keys().filter(|name| !wanted.upstreams.contains_key(*name));
-    let pipelines = now.pipelines.keys().filter(|name| !wanted.pipelines.contains_key(*name));
+/// Returns the operations that remove the entries that `declared` lacks, except events.
+fn removals(current: &Catalog, declared: &Catalog) -> Vec<Operation> {
+    let workspaces =
+        current.workspaces.keys().filter(|name| !declared.workspaces.contains_key(*name));
+    let upstreams = current.upstreams.keys().filter(|name| !declared.upstreams.contains_key(*name));
+    let pipelines = current.pipelines.keys().filter(|name| !declared.pipelines.contains_key(*name));
     let workspaces = workspaces.map(|name| Operation::RemoveWorkspace { name: name.clone() });
     let upstreams = upstreams.map(|name| Operation::RemoveUpstream { name: name.clone() });
     let pipelines = pipelines.map(|name| Operation::RemovePipeline { name: name.clone() });
--- a/crates/fernctl/src/cmd/status.rs
+++ b/crates/fernctl/src/cmd/status.rs
@@ -1,4 +1,4 @@
-//! `fernctl status`: what nodes tell of themselves.
+//! `fernctl status`: shows the status that nodes report.
 
 use {
     super::{Output, OutputArgs, print_json},
@@ -20,22 +20,22 @@
 
 impl StatusArgs {
     pub(crate) async fn execute(self) -> Result<(), Failure> {
-        let mut all = Vec::new();
-        let mut silent = None;
+        let mut statuses = Vec::new();
+        let mut last_failure = None;
         for address in &self.nodes {
-            match node::get(*address, "/v1/status").await {
-                Ok(status) => all.push(status),
+            match node::get_json(*address, "/v1/status").await {
+                Ok(status) => statuses.push(status),
                 Err(failure) => {
                     eprintln!("fernctl: {failure}");
-                    silent = Some(failure);
+                    last_failure = Some(failure);
                 }
             }
         }
         match self.output.output {
-            Output::Json => print_json(&all)?,
-            Output::Text => all.iter().for_each(print_status),
+            Output::Json => print_json(&statuses)?,
+            Output::Text => statuses.iter().for_each(print_status),
         }
-        silent.map_or(Ok(()), Err)
+        last_failure.map_or(Ok(()), Err)
     }
 }
 
--- a/crates/fernctl/src/failure.rs
+++ b/crates/fernctl/src/failure.rs
@@ -1,23 +1,23 @@
-//! Why a command did not do what it was asked to.
+//! Errors of commands, by exit code.
 
 use {std::process::ExitCode, thiserror::Error};
 
-/// Why a command failed, by exit code.
+/// Error of a command. The variant determines the exit code.
 #[derive(Debug, Error)]
 pub(crate) enum Failure {
-    /// Something did not answer, or the outcome is not known. Exit code 1.
+    /// A service did not respond, or the outcome is not known. Exit code 1.
     #[error("{0:#}")]
     Failed(anyhow::Error),
-    /// The arguments or a file are not usable. Exit code 2.
+    /// An argument or an input file is invalid. Exit code 2.
     #[error("{0:#}")]
     BadInput(anyhow::Error),
-    /// Something else changed first, or the plan was edited. Exit code 3.
+    /// Another change was accepted first, or the plan file was edited. Exit code 3.
     #[error("refused: {0}")]
     Refused(String),
 }
 
 impl Failure {
-    /// Returns the exit code.
+    /// Returns the exit code of the process.
     pub(crate) fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
             Self::Failed(_) => 1,
@@ -26,7 +26,7 @@
         })
     }
 
-    /// Wraps an error about the input.
+    /// Wraps an error in the arguments or input files.
     pub(crate) fn bad_input(error: impl Into<anyhow::Error>) -> Self {
         Self::BadInput(error.into())
     }
--- a/crates/fernctl/src/main.rs
+++ b/crates/fernctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The `fernctl` command: what operators do with fernring.
+//! The `fernctl` command-line tool, with which operators configure and inspect fernring.
 
 mod cmd;
 mod failure;
@@ -41,7 +41,7 @@
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> ExitCode {
-    let done = match Cli::parse().command {
+    let result = match Cli::parse().command {
         Command::Plan(args) => args.execute().await,
         Command::Confirm(args) => args.execute().await,
         Command::Publish(args) => args.execute().await,
@@ -50,7 +50,7 @@
         Command::Status(args) => args.execute().await,
         Command::Explain(args) => args.execute().await,
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(failure) => {
             eprintln!("fernctl: {failure}");
--- a/crates/fernctl/src/node.rs
+++ b/crates/fernctl/src/node.rs
@@ -1,4 +1,4 @@
-//! Asking a node over HTTP.
+//! HTTP requests to a node.
 
 use {
     crate::failure::Failure,
@@ -8,13 +8,14 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// How long an answer is waited for.
-const TIMEOUT: Duration = Duration::from_secs(5);
+/// Timeout of a request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Asks a node for JSON, whatever its status.
-pub(crate) async fn get(node: SocketAddr, path: &str) -> Result<Value, Failure> {
+/// Requests a path from a node and returns the JSON body of the response, for any HTTP status.
+pub(crate) async fn get_json(node: SocketAddr, path: &str) -> Result<Value, Failure> {
     let url = format!("http://{node}{path}");
-    let client = Client::builder().no_proxy().timeout(TIMEOUT).build().map_err(Failure::failed)?;
-    let ask = async { client.get(&url).send().await?.json().await };
-    ask.await.with_context(|| format!("no answer from node {node}")).map_err(Failure::Failed)
+    let client =
+        Client::builder().no_proxy().timeout(REQUEST_TIMEOUT).build().map_err(Failure::failed)?;
+    let response = async { client.get(&url).send().await?.json().await };
+    response.await.with_context(|| format!("no answer from node {node}")).map_err(Failure::Failed)
 }
--- a/crates/fernring-core/src/change.rs
+++ b/crates/fernring-core/src/change.rs
@@ -1,4 +1,4 @@
-//! The records of the configuration stream.
+//! The records of the configuration stream, and how a change is applied to the catalog.
 
 use {
     crate::catalog::{Catalog, CatalogError, Event, Pipeline, Upstream, Workspace},
@@ -11,48 +11,48 @@
 /// Name of the configuration stream on the log service.
 pub const CONFIG_STREAM: &str = "fernring-config";
 
-/// A version of the configuration: one more than the offset of the last accepted record, 0 before
-/// the first. It only grows.
+/// A version of the configuration: the offset of the last accepted record plus 1, or 0 before the
+/// first record is accepted. Versions only increase.
 pub type Version = u64;
 
 /// A record of the configuration stream.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum ConfigRecord {
-    /// Operations that apply together or not at all.
+    /// Operations that are applied atomically.
     Change(Change),
-    /// The whole catalog as it was at a version.
+    /// The complete catalog at a version.
     Snapshot(Snapshot),
 }
 
-/// A change to the configuration. It is accepted only if `base` is the version it meets.
+/// A change to the configuration. It is accepted only if `base` is the version in force.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
-    /// Version that the author saw.
+    /// Version that the change was made against.
     pub base: Version,
-    /// Identity of this change, so that its author can find it among others.
+    /// Identity of the change, by which its author finds it in the stream.
     pub id: Uuid,
-    /// Who made it.
+    /// Name of the author.
     pub author: String,
-    /// What it does, in order.
+    /// Operations, in the order in which they are applied.
     pub operations: Vec<Operation>,
 }
 
-/// The catalog as of a version.
+/// The catalog at a version.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Snapshot {
-    /// Version that the catalog is the fold of.
+    /// Version of the catalog.
     pub version: Version,
-    /// Offset up to which the stream was folded when the snapshot was taken. Invariant: no
+    /// Offset up to which the stream had been applied when the snapshot was taken. Invariant: no
     /// record in `version..folded_to` was accepted.
     pub folded_to: u64,
-    /// The catalog at that version.
+    /// The catalog.
     pub catalog: Catalog,
 }
 
-/// One step of a change.
+/// One operation of a change.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "do", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Operation {
@@ -92,18 +92,18 @@
         /// Name of the upstream.
         name: String,
     },
-    /// Stops or resumes giving new work to an upstream.
+    /// Stops or resumes sending new work to an upstream.
     DrainUpstream {
         /// Name of the upstream.
         name: String,
-        /// Whether it gets no new work.
+        /// `true` to stop new work, `false` to resume it.
         draining: bool,
     },
-    /// Confirms or replaces an event.
+    /// Adds or replaces a confirmed event.
     PutEvent {
         /// Name of the event.
         name: String,
-        /// Its declaration with the plan's placements and shares.
+        /// Its declaration, with the placements and shares of its plan.
         event: Arc<Event>,
     },
     /// Removes an event.
@@ -113,29 +113,29 @@
     },
 }
 
-/// Why a change can't be applied.
+/// The reason why a change is not accepted.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ChangeError {
-    /// It was based on another version.
+    /// The change was made against another version.
     #[error("it is based on version {base}, but version {found} is in force; plan again")]
     Conflict {
-        /// Version that the author saw.
+        /// Version that the change was made against.
         base: Version,
-        /// Version that it met.
+        /// Version in force.
         found: Version,
     },
-    /// It names an entry that does not exist.
+    /// An operation names an entry that does not exist.
     #[error("{0} does not exist")]
     Missing(String),
-    /// The result would not be allowed.
+    /// The resulting catalog would be invalid.
     #[error(transparent)]
     NotAllowed(#[from] CatalogError),
 }
 
-/// Applies a change to a catalog that stands at `version`.
+/// Applies a change to a catalog of version `version` and returns the new catalog.
 ///
 /// # Errors
-/// Returns why the change is not accepted; the catalog given is never modified.
+/// Returns the reason why the change is not accepted. `catalog` is never modified.
 pub fn apply(catalog: &Catalog, version: Version, change: &Change) -> Result<Catalog, ChangeError> {
     if change.base != version {
         return Err(ChangeError::Conflict { base: change.base, found: version });
@@ -176,8 +176,8 @@
             catalog.events.remove(name).ok_or_else(|| missing("events", name))?;
         }
         Operation::DrainUpstream { name, draining } => {
-            let found = catalog.upstreams.get_mut(name);
-            let upstream = found.ok_or_else(|| missing("upstreams", name))?;
+            let existing = catalog.upstreams.get_mut(name);
+            let upstream = existing.ok_or_else(|| missing("upstreams", name))?;
             Arc::make_mut(upstream).draining = *draining;
         }
     }
--- a/crates/fernring-core/src/claim.rs
+++ b/crates/fernring-core/src/claim.rs
@@ -1,7 +1,7 @@
 //! The records of the claim stream.
 //!
-//! A claim says that one incarnation, and no other, may run the side effects of a key. The first
-//! valid record of a key in log order decides.
+//! A claim gives one incarnation the exclusive right to run the side effects of a key. The first
+//! valid record of a key, in log order, decides which incarnation owns the key.
 
 use {
     crate::ids::{Incarnation, ScopedKey},
@@ -11,59 +11,61 @@
 /// Name of the claim stream on the log service.
 pub const CLAIM_STREAM: &str = "fernring-claims";
 
-/// What a claim record says of a key.
+/// The statement that a claim entry makes about a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ClaimKind {
     /// The incarnation may run the key's side effects, once.
     Claim,
-    /// Nothing of the key ever reached an upstream, and if the incarnation owns it, nothing will.
+    /// Nothing of the key's request has reached an upstream, and nothing will if the incarnation
+    /// owns the key.
     Spent,
-    /// Stages without side effect ran; the side effects never will if the incarnation owns the key.
+    /// Stages without a side effect have run; the side effects never will if the incarnation owns
+    /// the key.
     Ended,
 }
 
 /// One entry of a claim record.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClaimEntry {
-    /// The key within its workspace.
+    /// The key, with its workspace.
     pub key: ScopedKey,
-    /// What is said of it.
+    /// The statement about the key.
     pub kind: ClaimKind,
 }
 
-/// One record of the claim stream: everything one node had waiting.
+/// One record of the claim stream: the claim entries that one node had pending.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimBatch {
-    /// The incarnation that speaks.
+    /// The incarnation that appends the record.
     pub incarnation: Incarnation,
-    /// Its peer address, where repeats of its keys are forwarded to.
+    /// Peer address of the incarnation, to which other nodes forward repeats of its keys.
     pub address: SocketAddr,
-    /// The entries, in the order they were asked for.
+    /// The entries, in the order in which they were requested.
     pub entries: Vec<ClaimEntry>,
 }
 
-/// A claim record as read back from the log.
+/// A record of the claim stream as read from the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimRecord {
-    /// Its offset.
+    /// Offset of the record.
     pub offset: u64,
-    /// The log's own time of the record, in milliseconds since the Unix epoch.
+    /// Time of the append by the log's clock, in milliseconds since the Unix epoch.
     pub time_ms: u64,
-    /// What it says; `None` for a record that is not one of ours.
+    /// The decoded content; `None` for a record that is not a valid claim record.
     pub batch: Option<ClaimBatch>,
 }
 
 /// A page of the claim stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimPage {
-    /// The offset that was asked for.
+    /// The requested offset.
     pub from: u64,
-    /// The oldest offset that the log still kept when it answered.
+    /// The oldest offset that the log retained at the time of the response.
     pub first_offset: u64,
-    /// The offset that the next record will get.
+    /// The offset of the next record to be appended.
     pub next_offset: u64,
-    /// The log's own time when it answered, in milliseconds since the Unix epoch.
+    /// Time of the response by the log's clock, in milliseconds since the Unix epoch.
     pub time_ms: u64,
-    /// The records, contiguous from `max(from, first_offset)`.
+    /// The records, contiguous from offset `max(from, first_offset)`.
     pub records: Vec<ClaimRecord>,
 }
--- a/crates/fernring-core/src/clock.rs
+++ b/crates/fernring-core/src/clock.rs
@@ -1,4 +1,4 @@
-//! The time that decisions are given.
+//! Clocks, and the readings that are passed to decisions.
 
 use {
     nix::time::{ClockId, clock_gettime},
@@ -9,24 +9,25 @@
     },
 };
 
-/// One reading of both clocks of a process.
+/// A reading of a process's monotonic clock and of the calendar clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Now {
-    /// Time since the process started, with what its VM was suspended. Never goes backwards; used for every age and
-    /// deadline.
+    /// Time since the process started, including time for which its VM was suspended. Never goes
+    /// backwards; used for all ages and deadlines.
     pub monotonic: Duration,
-    /// Calendar time. May jump; used only to judge the age of keys and the start of events.
+    /// Calendar time. May jump; used only for the age of keys and the start of events.
     pub wall: SystemTime,
 }
 
 impl Now {
-    /// Returns the calendar time in milliseconds since the Unix epoch, 0 before it.
+    /// Returns the calendar time in milliseconds since the Unix epoch, or 0 if it is before the
+    /// epoch.
     pub fn wall_ms(&self) -> u64 {
         unix_ms(self.wall)
     }
 }
 
-/// Converts a calendar time to milliseconds since the Unix epoch; times before it become 0.
+/// Converts a calendar time to milliseconds since the Unix epoch; earlier times become 0.
 pub fn unix_ms(time: SystemTime) -> u64 {
     let since_epoch = time.duration_since(UNIX_EPOCH).unwrap_or_default();
     saturating_ms(since_epoch)
@@ -37,7 +38,7 @@
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// A source of time. Decisions never hold one: the shell reads it and passes [`Now`] in.
+/// A source of time. Decision code never holds one: the I/O layer reads it and passes in [`Now`].
 pub trait Clock: fmt::Debug + Send + Sync {
     /// Reads both clocks.
     fn now(&self) -> Now;
@@ -45,44 +46,45 @@
 
 /// The clocks of the operating system.
 ///
-/// The monotonic one is that of the time since boot: the steady clock that `Instant` reads stands still while a VM is
-/// suspended, and whatever is kept would be that much younger than it is.
+/// Monotonic time is read from `CLOCK_BOOTTIME`. The clock behind `Instant` stops while the VM is
+/// suspended, so ages measured with it would be too low by the length of the suspension.
 #[derive(Debug)]
 pub struct SystemClock {
-    started: Reading,
+    origin: ClockReading,
 }
 
-/// A reading of the clock that counts suspensions, or of the steady one where a system has no other.
+/// A reading of `CLOCK_BOOTTIME`, which counts time in suspension, or of the clock behind `Instant`
+/// on systems without it.
 #[derive(Debug, Clone, Copy)]
-enum Reading {
-    SinceBoot(Duration),
-    Steady(Instant),
+enum ClockReading {
+    BootTime(Duration),
+    Monotonic(Instant),
 }
 
-impl Reading {
-    fn take() -> Self {
+impl ClockReading {
+    fn now() -> Self {
         match clock_gettime(ClockId::CLOCK_BOOTTIME) {
-            Ok(time) => Self::SinceBoot(time.into()),
-            // Ages are then too low after a suspension; there is no clock that says more.
-            Err(_) => Self::Steady(Instant::now()),
+            Ok(time) => Self::BootTime(time.into()),
+            // Ages will be too low after a suspension, but no better clock is available.
+            Err(_) => Self::Monotonic(Instant::now()),
         }
     }
 
-    /// Returns the time since this reading, by the same clock.
+    /// Returns the time elapsed since this reading, by the same clock.
     fn elapsed(self) -> Duration {
-        match (self, Self::take()) {
-            (Self::SinceBoot(then), Self::SinceBoot(now)) => now.saturating_sub(then),
-            (Self::Steady(then), _) => then.elapsed(),
-            // The clock was there once and is there always.
-            (Self::SinceBoot(_), Self::Steady(_)) => Duration::ZERO,
+        match (self, Self::now()) {
+            (Self::BootTime(then), Self::BootTime(now)) => now.saturating_sub(then),
+            (Self::Monotonic(then), _) => then.elapsed(),
+            // Unreachable in practice: a boot-time clock that was once available stays available.
+            (Self::BootTime(_), Self::Monotonic(_)) => Duration::ZERO,
         }
     }
 }
 
 impl SystemClock {
-    /// Creates a clock whose monotonic time starts at zero now.
+    /// Creates a clock whose monotonic time is zero at the moment of creation.
     pub fn new() -> Self {
-        Self { started: Reading::take() }
+        Self { origin: ClockReading::now() }
     }
 }
 
@@ -94,24 +96,25 @@
 
 impl Clock for SystemClock {
     fn now(&self) -> Now {
-        Now { monotonic: self.started.elapsed(), wall: SystemTime::now() }
+        Now { monotonic: self.origin.elapsed(), wall: SystemTime::now() }
     }
 }
 
-/// A clock that moves only when told to, for tests and randomised runs.
+/// A clock that advances only by calls of [`advance`](Self::advance), for tests and randomised
+/// simulations.
 #[derive(Debug)]
 pub struct ManualClock {
     now: Mutex<Now>,
 }
 
 impl ManualClock {
-    /// Creates a clock that stands at the given calendar time, in milliseconds since the epoch.
+    /// Creates a clock at the given calendar time, in milliseconds since the Unix epoch.
     pub fn at_unix_ms(wall_ms: u64) -> Self {
         let wall = UNIX_EPOCH + Duration::from_millis(wall_ms);
         Self { now: Mutex::new(Now { monotonic: Duration::ZERO, wall }) }
     }
 
-    /// Moves both clocks forward.
+    /// Advances the monotonic and the calendar time.
     pub fn advance(&self, by: Duration) {
         let mut now = self.now.lock().unwrap_or_else(PoisonError::into_inner);
         now.monotonic += by;
--- a/crates/fernring-core/src/code.rs
+++ b/crates/fernring-core/src/code.rs
@@ -1,27 +1,28 @@
 //! The numbered result codes of the caller interface.
 //!
-//! `docs/result-codes.md` holds the same table; a test keeps the two equal.
+//! The doc comment of each code is its meaning as sent to callers. `docs/result-codes.md` holds the
+//! same table, and a test compares the two.
 
 use serde::Serialize;
 
-/// What a final answer promises about the work that was done.
+/// The guarantee that a final answer gives about which work was done.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum Class {
-    /// Answered once and complete.
+    /// The answer is complete and is given once.
     Answered,
-    /// Nothing of this submission reached an upstream.
+    /// No part of this submission reached an upstream.
     NotRun,
     /// Stages ran, none with a side effect.
     Failed,
-    /// Stages ran, none with a side effect, and the window ended first.
+    /// Stages ran, none with a side effect, and the window ended before the answer was complete.
     Late,
     /// A side effect may have happened. The key is never run again.
     Unknown,
 }
 
 impl Class {
-    /// Returns the name used on the caller interface.
+    /// Returns the name that callers see.
     pub fn name(self) -> &'static str {
         match self {
             Self::Answered => "ANSWERED",
@@ -35,42 +36,42 @@
 
 macro_rules! result_codes {
     ($($(#[doc = $doc:literal])+ $name:ident = $number:literal, $class:ident, $status:literal;)+) => {
-        /// A numbered result code. Numbers are stable: never reused, never changed.
+        /// A numbered result code. A number is never changed or reused.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub enum ResultCode {
             $($(#[doc = $doc])+ $name,)+
         }
 
         impl ResultCode {
-            /// Every code, by number.
+            /// All codes, in ascending order of their numbers.
             pub const ALL: &'static [Self] = &[$(Self::$name,)+];
 
-            /// Returns the stable number.
+            /// Returns the number.
             pub fn number(self) -> u16 {
                 match self { $(Self::$name => $number,)+ }
             }
 
-            /// Returns what the code promises.
+            /// Returns the class, which states what the code guarantees.
             pub fn class(self) -> Class {
                 match self { $(Self::$name => Class::$class,)+ }
             }
 
-            /// Returns the HTTP status sent with the code.
+            /// Returns the HTTP status that is sent with the code.
             pub fn http_status(self) -> u16 {
                 match self { $(Self::$name => $status,)+ }
             }
 
-            /// Returns the name in the table.
+            /// Returns the name, which is that of the variant.
             pub fn name(self) -> &'static str {
                 match self { $(Self::$name => stringify!($name),)+ }
             }
 
-            /// Returns the meaning, one sentence.
+            /// Returns the meaning, which is the text of the variant's doc comment.
             pub fn meaning(self) -> &'static str {
                 match self { $(Self::$name => concat!($($doc),+).trim_ascii(),)+ }
             }
 
-            /// Finds a code by its number.
+            /// Returns the code with the given number.
             pub fn from_number(number: u16) -> Option<Self> {
                 Self::ALL.iter().copied().find(|code| code.number() == number)
             }
@@ -165,22 +166,22 @@
     AnswerNotKept = 6005, Unknown, 410;
 }
 
-/// What the caller should do with a refused request.
+/// The recommended next step for a caller whose request was not answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Advice {
-    /// Send it again under the same key: it can't run twice.
+    /// Send the request again under the same key; it can't run twice.
     SameKey,
-    /// Send it again under a new key: the old one will never run.
+    /// Send the request again under a new key; the old key will never run.
     NewKey,
-    /// Ask for the outcome of the key; do not send the work again under another key.
+    /// Query the outcome of the key; don't send the request again under another key.
     AskOutcome,
-    /// Correct the request first.
+    /// Correct the request before it is sent again.
     Correct,
 }
 
 impl ResultCode {
-    /// Returns what the caller should do next; `None` when nothing is left to do.
+    /// Returns the recommended next step, or `None` if the request was answered.
     pub fn advice(self) -> Option<Advice> {
         match self {
             Self::Ok => None,
--- a/crates/fernring-core/src/lib.rs
+++ b/crates/fernring-core/src/lib.rs
@@ -1,13 +1,15 @@
-//! Types that every fernring crate shares.
+//! Types that the fernring crates share.
 //!
-//! - [`clock`]: the time that decisions are given, and the interface they get it through.
-//! - [`ids`]: incarnations, request keys and attempt identities.
-//! - [`code`]: the numbered result codes and what each promises to the caller.
-//! - [`catalog`]: the configuration in force: pipelines, workspaces, upstreams, events.
-//! - [`change`]: the records of the configuration stream and how they apply to a catalog.
+//! - [`clock`]: clocks, and the readings that are passed to decisions.
+//! - [`ids`]: identifiers of node incarnations, requests, upstreams and attempts.
+//! - [`code`]: the numbered result codes and what each guarantees to the caller.
+//! - [`catalog`]: the configuration: pipelines, workspaces, upstreams and events.
+//! - [`change`]: the records of the configuration stream, and how a change is applied to the
+//!   catalog.
 //! - [`claim`]: the records of the claim stream.
-//! - [`log`]: records and pages of the platform's log.
-//! - [`orders`]: orders to model engines and the grants they are sent under.
+//! - [`log`]: the records and pages of the platform's log.
+//! - [`orders`]: orders to model engines, and the grants under which they are sent.
+//! - [`text`]: log lines, and the rule for names.
 //!
 //! ```
 //! use fernring_core::code::{Class, ResultCode};
--- a/crates/fernring-core/src/log.rs
+++ b/crates/fernring-core/src/log.rs
@@ -1,31 +1,31 @@
-//! Records and pages of the platform's append-only log, as they stand on the wire.
+//! The wire format of records and pages of the platform's append-only log.
 
 use {
     base64::{Engine, prelude::BASE64_STANDARD},
     serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error},
 };
 
-/// A page of a stream, as the log service answers a read.
+/// A page of a stream: the log service's response to a read.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogPage {
-    /// The oldest offset that is still kept.
+    /// The oldest offset that the log retains.
     pub first_offset: u64,
-    /// The offset that the next record will get.
+    /// The offset of the next record to be appended.
     pub next_offset: u64,
-    /// The log's own time, in milliseconds since the Unix epoch.
+    /// Time of the response by the log's clock, in milliseconds since the Unix epoch.
     pub time_ms: u64,
-    /// The records, contiguous from the later of `from` and `first_offset`.
+    /// The records, contiguous from the larger of the requested offset and `first_offset`.
     pub records: Vec<LogRecord>,
 }
 
 /// One record of a stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogRecord {
-    /// Its offset.
+    /// Offset of the record.
     pub offset: u64,
-    /// The log's own time of the record, in milliseconds since the Unix epoch.
+    /// Time of the append by the log's clock, in milliseconds since the Unix epoch.
     pub time_ms: u64,
-    /// Its bytes; Base64 in JSON.
+    /// Content of the record; encoded as Base64 in JSON.
     #[serde(serialize_with = "to_base64", deserialize_with = "from_base64")]
     pub data: Vec<u8>,
 }
--- a/crates/fernring-core/src/orders.rs
+++ b/crates/fernring-core/src/orders.rs
@@ -1,31 +1,32 @@
-//! Orders to model engines, and the grants they are sent under.
+//! Orders to model engines, and the grants under which they are sent.
 
 use {
     crate::ids::Incarnation,
     serde::{Deserialize, Serialize},
 };
 
-/// Name of the stream of grants on the log service.
+/// Name of the order stream on the log service, which holds the grants.
 pub const ORDER_STREAM: &str = "fernring-orders";
 
-/// A record of the order stream: an incarnation takes charge of a failure domain's orders.
+/// A record of the order stream: gives one incarnation the right to send orders to a failure
+/// domain's upstreams.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Grant {
-    /// The failure domain whose upstreams are ordered.
+    /// The failure domain of the upstreams.
     pub failure_domain: String,
-    /// The incarnation that takes charge.
+    /// The incarnation that holds the grant.
     pub incarnation: Incarnation,
-    /// How long the grant holds from the record's own log time, in milliseconds.
+    /// Validity of the grant from the log time of its record, in milliseconds.
     pub valid_ms: u64,
 }
 
-/// An order to an engine: the absolute state it is to reach. Sending it again changes nothing.
+/// An order to an engine: the complete state that it must reach. Orders are idempotent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Order {
-    /// The fencing number: the log offset of the grant under which the order is sent.
+    /// Fencing number: the log offset of the grant under which the order is sent.
     pub fence: u64,
-    /// The models that the engine is to hold, and no others.
+    /// The exact set of models that the engine must have loaded.
     pub models: Vec<String>,
 }
--- a/crates/fernring-core/src/text.rs
+++ b/crates/fernring-core/src/text.rs
@@ -1,33 +1,33 @@
-//! Text that is safe to put into a log line, and rules for names.
+//! Log lines with escaped values, and the rule for names.
 
 use std::fmt::{self, Write};
 
-/// Longest name of a pipeline, stage, workspace, upstream or event, in bytes.
+/// Maximum length of the name of a pipeline, stage, workspace, upstream, pool or event, in bytes.
 pub const NAME_MAX_BYTES: usize = 64;
-/// Longest value written into a log line, in characters; the rest is cut.
+/// Maximum length of a value in a log line, in characters; longer values are truncated.
 const LOG_VALUE_MAX_CHARS: usize = 200;
 
-/// Tells whether a text may name a pipeline, stage, workspace, upstream, pool or event: 1 to
-/// [`NAME_MAX_BYTES`] lower-case letters, digits, `-`, `_` and `.`, starting with a letter or
+/// Returns whether a text is a valid name of a pipeline, stage, workspace, upstream, pool or event:
+/// 1 to [`NAME_MAX_BYTES`] lower-case letters, digits, `-`, `_` and `.`, starting with a letter or
 /// digit.
 pub fn is_name(text: &str) -> bool {
     let allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || "-_.".contains(c);
-    let starts_well = text.starts_with(|c: char| c.is_ascii_lowercase() || c.is_ascii_digit());
-    starts_well && text.len() <= NAME_MAX_BYTES && text.chars().all(allowed)
+    let valid_start = text.starts_with(|c: char| c.is_ascii_lowercase() || c.is_ascii_digit());
+    valid_start && text.len() <= NAME_MAX_BYTES && text.chars().all(allowed)
 }
 
-/// Builds one log line of `key=value` pairs. Values are quoted and escaped where needed, so that
-/// text from outside can neither add a line nor forge a pair.
+/// Builder of a log line of `key=value` pairs. Values are quoted and escaped where needed, so that
+/// untrusted text can neither add a line nor forge a pair.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct LogLine(String);
 
 impl LogLine {
-    /// Starts the line of one event.
+    /// Creates a line that starts with `event=name`.
     pub fn event(name: &'static str) -> Self {
         Self(format!("event={name}"))
     }
 
-    /// Adds a pair.
+    /// Appends a pair.
     #[must_use]
     pub fn with(mut self, key: &'static str, value: impl fmt::Display) -> Self {
         let text = value.to_string();
@@ -36,7 +36,7 @@
         self
     }
 
-    /// Adds a pair if there is a value.
+    /// Appends a pair if `value` is `Some`.
     #[must_use]
     pub fn with_some(self, key: &'static str, value: Option<impl fmt::Display>) -> Self {
         match value {
--- a/crates/fernring-core/tests/testsuite/clocks.rs
+++ b/crates/fernring-core/tests/testsuite/clocks.rs
@@ -1,4 +1,4 @@
-//! The clocks of the operating system.
+//! Tests of the system clock.
 
 use {
     fernring_core::clock::{Clock, SystemClock},
@@ -6,16 +6,19 @@
     std::time::Duration,
 };
 
-/// The steady clock stands still while a VM is suspended, so that all that had an age was too young on waking. Nothing on one
-/// machine can suspend it; what can be shown is which clock is read.
+/// A clock that stops while the VM is suspended makes all ages too low after resumption. A test
+/// can't suspend its machine, so this checks that the clock read is `CLOCK_BOOTTIME`.
 #[test]
-fn monotonic_time_is_that_since_boot() {
-    let since_boot = || Duration::from(clock_gettime(ClockId::CLOCK_BOOTTIME).unwrap());
-    let before = since_boot();
+fn monotonic_time_follows_boot_time_clock() {
+    let boot_time = || Duration::from(clock_gettime(ClockId::CLOCK_BOOTTIME).unwrap());
+    let before = boot_time();
     let clock = SystemClock::new();
-    let created = since_boot();
-    let lower = since_boot() - created;
-    let read = clock.now().monotonic;
-    let upper = since_boot() - before;
-    assert!(lower <= read && read <= upper, "{lower:?} {read:?} {upper:?}");
+    let created = boot_time();
+    let lower = boot_time() - created;
+    let monotonic = clock.now().monotonic;
+    let upper = boot_time() - before;
+    assert!(
+        lower <= monotonic && monotonic <= upper,
+        "monotonic time {monotonic:?} is not in {lower:?}..={upper:?}"
+    );
 }
--- a/crates/fernring-core/tests/testsuite/keys.rs
+++ b/crates/fernring-core/tests/testsuite/keys.rs
@@ -1,4 +1,4 @@
-//! Request keys.
+//! Tests of the text form of request keys.
 
 use {
     fernring_core::ids::{Incarnation, KeyError, RequestKey, Ticket},
@@ -6,7 +6,7 @@
 };
 
 #[test]
-fn a_minted_key_carries_its_minting_time() {
+fn uuid_key_yields_its_creation_time() {
     let uuid = Uuid::new_v7(Timestamp::from_unix(NoContext, 1_800_000_000, 123_000_000));
     let key: RequestKey = uuid.to_string().parse().unwrap();
     assert_eq!(key, RequestKey::Minted(uuid));
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_ticket_survives_its_text_form() {
+fn ticket_round_trips_through_text() {
     for address in ["10.1.2.3:7000", "[fe80::1]:7000"] {
         let address = address.parse().unwrap();
         let incarnation = Incarnation(Uuid::from_u128(42));
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn other_texts_are_refused() {
+fn invalid_keys_are_rejected() {
     let cases = [
         ("", KeyError::Malformed),
         ("tk", KeyError::Malformed),
--- a/crates/fernring-core/tests/testsuite/log_lines.rs
+++ b/crates/fernring-core/tests/testsuite/log_lines.rs
@@ -1,9 +1,9 @@
-//! Log lines take any text without breaking.
+//! Tests of the escaping of log values and of the rule for names.
 
 use fernring_core::text::{LogLine, is_name};
 
 #[test]
-fn values_that_could_forge_a_pair_or_a_line_are_quoted() {
+fn unsafe_values_are_quoted_and_escaped() {
     let line = LogLine::event("refuse")
         .with("plain", "members-1")
         .with("space", "a b")
@@ -20,17 +20,17 @@
 }
 
 #[test]
-fn long_values_are_cut() {
+fn long_values_are_truncated() {
     let line = LogLine::event("refuse").with("long", "x".repeat(10_000)).to_string();
-    assert!(line.len() < 300, "{}", line.len());
+    assert!(line.len() < 300, "the line has {} bytes", line.len());
 }
 
 #[test]
-fn names_are_plain() {
+fn only_plain_names_are_valid() {
     for name in ["a", "statement-line", "v1.2_3"] {
-        assert!(is_name(name), "{name}");
+        assert!(is_name(name), "{name:?} should be valid");
     }
     for name in ["", "-a", "A", "a b", "a/b", &"a".repeat(65)] {
-        assert!(!is_name(name), "{name}");
+        assert!(!is_name(name), "{name:?} should not be valid");
     }
 }
--- a/crates/fernring-core/tests/testsuite/main.rs
+++ b/crates/fernring-core/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the shared types.
+//! Tests of the types that the fernring crates share.
 
 mod clocks;
 mod keys;
--- a/crates/fernring-core/tests/testsuite/result_codes.rs
+++ b/crates/fernring-core/tests/testsuite/result_codes.rs
@@ -1,11 +1,12 @@
-//! The table of result codes in the docs is the code's own.
+//! Checks that the table of result codes in the docs matches the code, and that the codes are
+//! consistent.
 
 use {
     fernring_core::code::{Class, ResultCode},
     std::collections::BTreeSet,
 };
 
-fn table() -> String {
+fn render_table() -> String {
     let mut table = String::from("| code | name | class | HTTP | meaning | advice |\n");
     table += "|---|---|---|---|---|---|\n";
     for code in ResultCode::ALL {
@@ -26,13 +27,17 @@
 }
 
 #[test]
-fn the_docs_hold_the_same_table() {
+fn docs_table_matches_the_code() {
     let docs = include_str!("../../../../docs/result-codes.md");
-    assert!(docs.contains(&table()), "put this into docs/result-codes.md:\n{}", table());
+    assert!(
+        docs.contains(&render_table()),
+        "the table in docs/result-codes.md must be:\n{}",
+        render_table()
+    );
 }
 
 #[test]
-fn numbers_are_unique_and_every_refusal_says_what_to_do() {
+fn numbers_are_unique_and_refusals_have_advice() {
     let numbers: BTreeSet<_> = ResultCode::ALL.iter().map(|code| code.number()).collect();
     assert_eq!(numbers.len(), ResultCode::ALL.len());
     for code in ResultCode::ALL {
--- a/crates/fernring-platform/src/http.rs
+++ b/crates/fernring-platform/src/http.rs
@@ -1,4 +1,4 @@
-//! The platform's HTTP interface.
+//! HTTP clients of the platform's services.
 
 use {
     crate::{AppendResponse, LogService, PlatformError, VmEntry, VmList},
@@ -12,58 +12,63 @@
     tokio::time::{error::Elapsed, timeout},
 };
 
-/// The log service over HTTP.
+/// HTTP client of the log service.
 #[derive(Debug, Clone)]
 pub struct HttpLog {
     client: Client,
-    base: String,
+    base_url: String,
     timeout: Duration,
 }
 
-/// The VM list over HTTP.
+/// HTTP client of the VM list.
 #[derive(Debug, Clone)]
 pub struct HttpVmList {
     client: Client,
-    base: String,
+    base_url: String,
     timeout: Duration,
 }
 
-/// Builds a client that does exactly what it is told: no redirects, no system proxies, and no
-/// retries of its own.
-/// Connections leave from `source` if one is given.
-fn plain_client(source: Option<IpAddr>) -> Client {
+/// Builds an HTTP client that follows no redirects, uses no system proxies and doesn't retry.
+/// Connections are made from the local address `source` if it is given.
+fn build_client(source: Option<IpAddr>) -> Client {
     let builder = Client::builder().no_proxy().redirect(Policy::none());
     let builder = builder.retry(reqwest::retry::never()).local_address(source);
-    builder.build().expect("a client without TLS needs nothing from the system")
+    builder.build().expect("building a client without TLS can't fail")
 }
 
 impl HttpLog {
-    /// Creates a client of the log service; an answer is waited for up to `timeout`.
-    /// Connections leave from `source` if one is given.
+    /// Creates a client of the log service.
+    ///
+    /// `timeout` limits each append, and in a read the wait for the response head (in addition to
+    /// `wait` of the read) and for each chunk of the body. Connections are made from the local
+    /// address `source` if it is given.
     pub fn new(address: SocketAddr, timeout: Duration, source: Option<IpAddr>) -> Self {
-        Self { client: plain_client(source), base: format!("http://{address}"), timeout }
+        Self { client: build_client(source), base_url: format!("http://{address}"), timeout }
     }
 
-    /// Reads an answer's body for as long as it keeps coming: a page with a snapshot of the configuration
-    /// takes longer over a small link than an answer may take to begin.
-    async fn collect(&self, mut response: Response) -> Result<Vec<u8>, PlatformError> {
+    /// Reads the body of a response, with the timeout applied to each chunk. A timeout for the
+    /// whole body would fail pages that hold a snapshot of the configuration, which can take longer
+    /// than that over a slow link.
+    async fn read_body(&self, mut response: Response) -> Result<Vec<u8>, PlatformError> {
         let mut body = Vec::new();
-        while let Some(chunk) = timeout(self.timeout, response.chunk()).await.map_err(late)?? {
+        while let Some(chunk) =
+            timeout(self.timeout, response.chunk()).await.map_err(timeout_error)??
+        {
             body.extend_from_slice(&chunk);
         }
         Ok(body)
     }
 }
 
-fn late(_: Elapsed) -> PlatformError {
+fn timeout_error(_: Elapsed) -> PlatformError {
     PlatformError::Timeout
 }
 
 impl HttpVmList {
-    /// Creates a client of the VM list; an answer is waited for up to `timeout`.
-    /// Connections leave from `source` if one is given.
+    /// Creates a client of the VM list. `timeout` limits each request. Connections are made from
+    /// the local address `source` if it is given.
     pub fn new(address: SocketAddr, timeout: Duration, source: Option<IpAddr>) -> Self {
-        Self { client: plain_client(source), base: format!("http://{address}"), timeout }
+        Self { client: build_client(source), base_url: format!("http://{address}"), timeout }
     }
 }
 
@@ -78,7 +83,7 @@
 #[async_trait]
 impl LogService for HttpLog {
     async fn append(&self, stream: &str, data: &[u8]) -> Result<AppendResponse, PlatformError> {
-        let url = format!("{}/streams/{stream}/records", self.base);
+        let url = format!("{}/streams/{stream}/records", self.base_url);
         let request = self.client.post(url).timeout(self.timeout).body(data.to_vec());
         Ok(check_status(request.send().await?)?.json().await?)
     }
@@ -90,17 +95,18 @@
         wait: Duration,
     ) -> Result<LogPage, PlatformError> {
         let wait_ms = wait.as_millis();
-        let url = format!("{}/streams/{stream}/records?from={from}&wait_ms={wait_ms}", self.base);
-        let sent = timeout(self.timeout + wait, self.client.get(url).send());
-        let response = check_status(sent.await.map_err(late)??)?;
-        Ok(serde_json::from_slice(&self.collect(response).await?)?)
+        let url =
+            format!("{}/streams/{stream}/records?from={from}&wait_ms={wait_ms}", self.base_url);
+        let response = timeout(self.timeout + wait, self.client.get(url).send());
+        let response = check_status(response.await.map_err(timeout_error)??)?;
+        Ok(serde_json::from_slice(&self.read_body(response).await?)?)
     }
 }
 
 #[async_trait]
 impl VmList for HttpVmList {
     async fn list(&self) -> Result<Vec<VmEntry>, PlatformError> {
-        let request = self.client.get(format!("{}/vms", self.base)).timeout(self.timeout);
+        let request = self.client.get(format!("{}/vms", self.base_url)).timeout(self.timeout);
         Ok(check_status(request.send().await?)?.json().await?)
     }
 }
--- a/crates/fernring-platform/src/lib.rs
+++ b/crates/fernring-platform/src/lib.rs
@@ -1,9 +1,9 @@
-//! The platform's services as fernring uses them: the append-only log and the VM list. The weight
-//! store is used by the engines, not by fernring; a plan only keeps to its rate.
+//! Clients of the platform services that fernring uses: the append-only log and the VM list. The
+//! weight store is used by the engines only; fernring's plans merely respect its rate limit.
 //!
-//! [`LogService`] and [`VmList`] are the interfaces; [`HttpLog`] and [`HttpVmList`] speak the
-//! platform's HTTP. An error of [`LogService::append`] never says that nothing happened: the
-//! record may be there.
+//! [`LogService`] and [`VmList`] are the interfaces; [`HttpLog`] and [`HttpVmList`] implement them
+//! over the platform's HTTP interface. After an error of [`LogService::append`] other than
+//! [`PlatformError::RateLimited`], the record may have been appended.
 
 mod http;
 mod wire;
@@ -17,22 +17,23 @@
     async_trait::async_trait, fernring_core::log::LogPage, std::time::Duration, thiserror::Error,
 };
 
-/// Why the platform did not answer as asked.
+/// The reason why a call to the platform failed.
 #[derive(Debug, Error)]
 pub enum PlatformError {
-    /// No answer, or a broken one. What was asked may have taken effect.
+    /// The request failed, or its response was incomplete or invalid. The request may have taken
+    /// effect.
     #[error("no answer from the platform: {0}")]
     NoResponse(#[from] reqwest::Error),
-    /// No answer in time, or none of its bytes.
+    /// The response to a read, or the next part of its body, did not arrive in time.
     #[error("no answer from the platform in time")]
     Timeout,
-    /// The answer can't be read.
+    /// The body of the response could not be parsed.
     #[error("malformed answer from the platform: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// It refused because of its rate limit; nothing took effect.
+    /// The platform refused the request because of its rate limit; the request had no effect.
     #[error("the platform's rate limit is reached")]
     RateLimited,
-    /// It answered with another status.
+    /// The platform responded with another status that is not a success.
     #[error("the platform answered with status {0}")]
     UnexpectedStatus(u16),
 }
@@ -43,23 +44,24 @@
     /// Appends a record to a stream and returns its offset.
     ///
     /// # Errors
-    /// After any error but [`PlatformError::RateLimited`] the record may be there nevertheless.
+    /// After any error except [`PlatformError::RateLimited`], the record may have been appended.
     async fn append(&self, stream: &str, data: &[u8]) -> Result<AppendResponse, PlatformError>;
 
-    /// Reads the records from an offset on, and waits up to `wait` for one if there is none.
+    /// Reads a page of records from offset `from` on. If there are none yet, waits up to `wait` for
+    /// one.
     ///
     /// # Errors
-    /// If the log service does not answer.
+    /// Returns an error if the log service does not return a page.
     async fn read(&self, stream: &str, from: u64, wait: Duration)
     -> Result<LogPage, PlatformError>;
 }
 
-/// The lagging list of VMs.
+/// The list of VMs, which may lag behind the actual state.
 #[async_trait]
 pub trait VmList: Send + Sync {
     /// Reads the list.
     ///
     /// # Errors
-    /// If the list service does not answer.
+    /// Returns an error if the service does not return the list.
     async fn list(&self) -> Result<Vec<VmEntry>, PlatformError>;
 }
--- a/crates/fernring-platform/src/wire.rs
+++ b/crates/fernring-platform/src/wire.rs
@@ -1,50 +1,50 @@
-//! The platform's HTTP bodies.
+//! Bodies of the platform's HTTP interface.
 
 use {
     serde::{Deserialize, Serialize},
     std::net::SocketAddr,
 };
 
-/// Answer to `POST /streams/{stream}/records`.
+/// Response to `POST /streams/{stream}/records`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendResponse {
     /// Offset of the record.
     pub offset: u64,
-    /// The log's own time of the record, in milliseconds since the Unix epoch.
+    /// Time of the append by the log's clock, in milliseconds since the Unix epoch.
     pub time_ms: u64,
 }
 
-/// What a VM is for.
+/// Role of a VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmRole {
-    /// It runs a fernring node; the address is its peer address.
+    /// Runs a fernring node; the VM's address is the peer address of the node.
     Entry,
-    /// It runs an upstream.
+    /// Runs an upstream.
     Upstream,
 }
 
-/// Whether a VM is to stay.
+/// State of a VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
-    /// It is up.
+    /// The VM is in service.
     Live,
-    /// It is about to go.
+    /// The VM is about to be removed.
     Leaving,
 }
 
-/// One line of `GET /vms`.
+/// One entry of the response to `GET /vms`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmEntry {
-    /// Name of the VM; for an upstream, the name it is declared under.
+    /// Name of the VM; for an upstream, the name under which it is declared.
     pub vm: String,
-    /// Its address.
+    /// Address of the node's peer interface or of the upstream.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the VM.
     pub failure_domain: String,
-    /// What it is for.
+    /// Role of the VM.
     pub role: VmRole,
-    /// Whether it is to stay.
+    /// State of the VM.
     pub state: VmState,
 }
