--- a/crates/fernring-standins/examples/soak/faults.rs
+++ b/crates/fernring-standins/examples/soak/faults.rs
@@ -1,11 +1,11 @@
-//! Faults from outside, drawn at random: signals to nodes, upstreams that leave or crash, outages of the store,
-//! and changes of the configuration.
+//! Injects faults drawn at random: signals to nodes, upstreams that leave or crash, outages of the
+//! store, and configuration changes.
 
 use {
     crate::{
-        ledger::{End, Kind as RequestKind, Ledger},
+        ledger::{Ledger, Outcome, RequestKind},
         nodes::Nodes,
-        upstreams::{DEADLY, ROLLED_OUT, Upstream, Upstreams},
+        upstreams::{DEADLY_PREFIX, ROLLOUT_SERVICE, Upstream, Upstreams},
     },
     clap::ValueEnum,
     fernring_standins::{
@@ -25,187 +25,201 @@
     },
 };
 
-/// Time in which a configuration has to be in force: the users' two seconds and a little.
-const IN_FORCE_MAX: Duration = Duration::from_millis(2_600);
-/// How long a leaving upstream goes on serving.
+/// Time within which a configuration must be in force: the guaranteed 2 s plus 0.6 s of tolerance.
+const CONFIG_IN_FORCE_MAX: Duration = Duration::from_millis(2_600);
+/// How long a leaving upstream continues to serve.
 const LEAVING_TIME: Duration = Duration::from_secs(3);
-/// Times that a deadly request is sent, and the pause between them.
-const DEADLY_REPEATS: usize = 24;
+/// How often a deadly request is sent, and the pause between two of them.
+const DEADLY_REQUESTS: usize = 24;
 const DEADLY_PAUSE: Duration = Duration::from_millis(300);
-/// How long the record of an upstream stays that has ended: three of its heartbeats.
-const LAPSE_TIME: Duration = Duration::from_millis(3_600);
-/// Time before the end in which nothing new is done, so that everything can settle.
-const QUIET_END: Duration = Duration::from_secs(3);
+/// How long the store keeps the record of a crashed upstream: three of its heartbeats.
+const RECORD_EXPIRY: Duration = Duration::from_millis(3_600);
+/// Time before the end in which no new fault is injected, so that the system can settle.
+const QUIESCE_TIME: Duration = Duration::from_secs(3);
 
 /// A kind of fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
-pub(crate) enum Kind {
+pub(crate) enum FaultKind {
     /// SIGKILL of a node.
     Kill,
     /// SIGTERM of a node.
     Stop,
-    /// A node stands still.
+    /// SIGSTOP of a node, and SIGCONT later.
     Freeze,
-    /// An upstream leaves as planned.
+    /// An upstream drains and leaves.
     Leave,
-    /// An upstream is gone.
+    /// An upstream crashes.
     Crash,
-    /// The store refuses.
+    /// The store refuses all calls.
     StoreBusy,
-    /// The store doesn't answer.
+    /// The store does not answer.
     StoreSilent,
-    /// A new configuration.
+    /// A new configuration is written.
     Config,
-    /// A request comes again and again that ends each upstream that runs it.
+    /// A request that crashes each upstream that runs it is sent repeatedly.
     Deadly,
-    /// A node's settings file is written again: unchanged, changed and broken, with a signal each time.
+    /// A node's settings file is rewritten unchanged, changed and invalid, with a SIGHUP each time.
     Settings,
-    /// Upstreams name limits, and nothing else happens.
+    /// Upstreams announce limits; no other fault is injected.
     Limit,
-    /// Versions are rolled out, and nothing else happens.
+    /// Versions are rolled out; no other fault is injected.
     Rollout,
 }
 
-/// The kinds that are drawn; limits and versions come beside them.
-const ALL: [Kind; 10] = [
-    Kind::Kill,
-    Kind::Stop,
-    Kind::Freeze,
-    Kind::Leave,
-    Kind::Crash,
-    Kind::StoreBusy,
-    Kind::StoreSilent,
-    Kind::Config,
-    Kind::Deadly,
-    Kind::Settings,
+/// The kinds that are drawn at random; limits and roll-outs run in parallel to them.
+const DRAWN_KINDS: [FaultKind; 10] = [
+    FaultKind::Kill,
+    FaultKind::Stop,
+    FaultKind::Freeze,
+    FaultKind::Leave,
+    FaultKind::Crash,
+    FaultKind::StoreBusy,
+    FaultKind::StoreSilent,
+    FaultKind::Config,
+    FaultKind::Deadly,
+    FaultKind::Settings,
 ];
 
-/// What faults are done to.
+/// The processes and stand-ins that faults are injected into.
 #[derive(Clone)]
-pub(crate) struct World {
+pub(crate) struct SystemUnderTest {
     /// The store.
     pub(crate) store: Arc<StandinStore>,
     /// The upstreams.
     pub(crate) upstreams: Arc<Upstreams>,
     /// The nodes.
     pub(crate) nodes: Arc<Nodes>,
-    /// What is seen.
+    /// The record of the run.
     pub(crate) ledger: Arc<Ledger>,
 }
 
-/// Upstreams that an ordered version has.
+/// Number of upstreams that are started for an ordered version.
 const ROLLED_OUT_UPSTREAMS: usize = 3;
-/// Time after the deadline of an order within which its end has to be told, unless the store is out.
-const ROLLOUT_REST: Duration = Duration::from_secs(4);
-/// Limits that upstreams name, in requests a second.
+/// Time after the deadline of an order within which its end must be reported, unless the store is
+/// unavailable.
+const ROLLOUT_GRACE: Duration = Duration::from_secs(4);
+/// Limits that upstreams announce, in requests per second.
 const LIMITS_PER_S: [f64; 4] = [0.5, 1.0, 3.0, 10.0];
 
-/// Has upstreams name limits until `end`, beside all other faults.
-pub(crate) async fn run_limits(world: World, mut random: StdRng, end: tokio::time::Instant) {
+/// Has upstreams announce limits until `end`, in parallel to all other faults.
+pub(crate) async fn announce_limits(
+    system: SystemUnderTest,
+    mut random: StdRng,
+    end: tokio::time::Instant,
+) {
     let mut running = tokio::task::JoinSet::new();
-    while tokio::time::Instant::now() + QUIET_END < end {
+    while tokio::time::Instant::now() + QUIESCE_TIME < end {
         sleep(Duration::from_millis(random.random_range(500..3_000))).await;
         let per_s = LIMITS_PER_S.choose(&mut random).copied().unwrap_or(1.0);
         let time = Duration::from_millis(random.random_range(3_000..9_000));
-        let Some(upstream) = world.upstreams.any(random.random::<u32>() as usize) else { continue };
-        world.ledger.fault("Limit");
+        let Some(upstream) = system.upstreams.pick(random.random::<u32>() as usize) else {
+            continue;
+        };
+        system.ledger.record_fault("Limit");
         running.spawn(async move {
-            upstream.name_limit(Some(per_s));
+            upstream.announce_limit(Some(per_s));
             sleep(time).await;
-            upstream.name_limit(None);
+            upstream.announce_limit(None);
         });
     }
     while running.join_next().await.is_some() {}
 }
 
-/// Orders versions until `end`, one after the other, beside all other faults. Every second one is bad.
+/// Orders roll-outs of versions until `end`, one after the other, in parallel to all other faults.
+/// Every second version is bad.
 ///
 /// # Errors
 /// If an upstream can't be started.
-pub(crate) async fn run_rollouts(
-    world: World,
+pub(crate) async fn order_rollouts(
+    system: SystemUnderTest,
     mut random: StdRng,
     end: tokio::time::Instant,
 ) -> anyhow::Result<()> {
     let mut number = 1;
     loop {
         let time = Duration::from_millis(random.random_range(5_000..9_000));
-        if tokio::time::Instant::now() + time + ROLLOUT_REST > end {
+        if tokio::time::Instant::now() + time + ROLLOUT_GRACE > end {
             return Ok(());
         }
         number += 1;
         let is_bad = number % 2 == 1;
-        world.ledger.fault(if is_bad { "Rollout bad" } else { "Rollout good" });
-        world.roll_out(&format!("v{number}"), time, is_bad).await?;
+        system.ledger.record_fault(if is_bad { "Rollout bad" } else { "Rollout good" });
+        system.roll_out(&format!("v{number}"), time, is_bad).await?;
         sleep(Duration::from_millis(random.random_range(500..2_000))).await;
     }
 }
 
-/// Does faults until `end`, one after the other and some at once.
+/// Injects faults until `end`; those that last overlap with the next ones.
 ///
 /// # Errors
-/// If a node can't be signalled or started.
-pub(crate) async fn run(
-    world: World,
+/// If a node or an upstream can't be started, or a node can't be signalled.
+pub(crate) async fn inject_faults(
+    system: SystemUnderTest,
     mut random: StdRng,
-    only: Option<Kind>,
+    only: Option<FaultKind>,
     end: tokio::time::Instant,
 ) -> anyhow::Result<()> {
     let mut version = 1;
     let mut running = tokio::task::JoinSet::new();
-    while tokio::time::Instant::now() + QUIET_END < end {
+    while tokio::time::Instant::now() + QUIESCE_TIME < end {
         sleep(Duration::from_millis(random.random_range(200..1_500))).await;
-        let kind = only.or_else(|| ALL.choose(&mut random).copied()).unwrap_or(Kind::Config);
-        world.ledger.fault(&format!("{kind:?}"));
-        version += u64::from(kind == Kind::Config);
+        let kind =
+            only.or_else(|| DRAWN_KINDS.choose(&mut random).copied()).unwrap_or(FaultKind::Config);
+        system.ledger.record_fault(&format!("{kind:?}"));
+        version += u64::from(kind == FaultKind::Config);
         let time = Duration::from_millis(random.random_range(500..2_500));
-        running.spawn(world.clone().fault(kind, random.random(), time, version));
+        running.spawn(system.clone().inject(kind, random.random(), time, version));
     }
-    while let Some(done) = running.join_next().await {
-        done??;
+    while let Some(result) = running.join_next().await {
+        result??;
     }
     Ok(())
 }
 
-impl World {
-    async fn fault(
+impl SystemUnderTest {
+    async fn inject(
         self,
-        kind: Kind,
+        kind: FaultKind,
         draw: u64,
         time: Duration,
         version: u64,
     ) -> anyhow::Result<()> {
         match kind {
-            Kind::Kill | Kind::Stop | Kind::Freeze => {
+            FaultKind::Kill | FaultKind::Stop | FaultKind::Freeze => {
                 let node = draw as usize % self.nodes.count();
-                if !self.nodes.take(node) {
+                if !self.nodes.reserve(node) {
                     return Ok(());
                 }
-                let done = self.fault_of_node(kind, node, time).await;
-                self.nodes.give_back(node);
-                done
+                let result = self.inject_node_fault(kind, node, time).await;
+                self.nodes.release(node);
+                result
             }
-            Kind::Leave => self.replace(draw as usize, true).await,
-            Kind::Crash => self.replace(draw as usize, false).await,
-            Kind::StoreBusy => self.outage(Mode::Busy, time).await,
-            Kind::StoreSilent => self.outage(Mode::Silent, time).await,
-            Kind::Config => self.configure(version).await,
-            Kind::Deadly => self.repeat_deadly(draw).await,
-            Kind::Settings => {
+            FaultKind::Leave => self.replace_upstream(draw as usize, true).await,
+            FaultKind::Crash => self.replace_upstream(draw as usize, false).await,
+            FaultKind::StoreBusy => self.inject_store_outage(Mode::Busy, time).await,
+            FaultKind::StoreSilent => self.inject_store_outage(Mode::Silent, time).await,
+            FaultKind::Config => self.change_config(version).await,
+            FaultKind::Deadly => self.send_deadly_requests(draw).await,
+            FaultKind::Settings => {
                 let node = draw as usize % self.nodes.count();
                 self.nodes.rewrite_settings(node).await
             }
-            // They come by themselves.
-            Kind::Limit | Kind::Rollout => Ok(()),
+            // `announce_limits` and `order_rollouts` inject these.
+            FaultKind::Limit | FaultKind::Rollout => Ok(()),
         }
     }
 
-    async fn fault_of_node(&self, kind: Kind, node: usize, time: Duration) -> anyhow::Result<()> {
-        if kind == Kind::Stop {
+    async fn inject_node_fault(
+        &self,
+        kind: FaultKind,
+        node: usize,
+        time: Duration,
+    ) -> anyhow::Result<()> {
+        if kind == FaultKind::Stop {
             return self.nodes.stop(node).await;
         }
-        self.nodes.disturb(node, time);
-        if kind == Kind::Kill {
+        self.nodes.mark_disturbed(node, time);
+        if kind == FaultKind::Kill {
             self.nodes.signal(node, Signal::SIGKILL)?;
             return self.nodes.restart(node).await;
         }
@@ -214,45 +228,46 @@
         self.nodes.signal(node, Signal::SIGCONT)
     }
 
-    /// Has another upstream take the place of one, which leaves as planned or is gone at once.
-    async fn replace(&self, draw: usize, is_planned: bool) -> anyhow::Result<()> {
+    /// Starts a new upstream in place of another, which drains first or crashes at once.
+    async fn replace_upstream(&self, draw: usize, is_planned: bool) -> anyhow::Result<()> {
         let Some(upstream) = self.upstreams.take_any(draw) else {
             return Ok(());
         };
         self.upstreams.add(upstream.service).await?;
-        self.end(&upstream, is_planned).await;
+        self.retire(&upstream, is_planned).await;
         Ok(())
     }
 
-    /// Ends an upstream that isn't chosen any more: as planned or at once.
-    async fn end(&self, upstream: &Upstream, is_planned: bool) {
-        let list = |state| {
+    /// Ends an upstream that was taken out of the set: drained first or crashed at once.
+    async fn retire(&self, upstream: &Upstream, is_planned: bool) {
+        let write_record = |state| {
             let Upstream { instance, service, version, address, .. } = upstream;
             self.store.list_version(version, instance, service, *address, state);
-            self.ledger.leaves(instance);
+            self.ledger.record_leaving(instance);
         };
         if is_planned {
-            list(Some("draining"));
+            write_record(Some("draining"));
         } else {
             upstream.crash();
         }
         sleep(LEAVING_TIME).await;
-        list(None);
+        write_record(None);
         sleep(LEAVING_TIME).await;
         upstream.crash();
     }
 
-    /// Orders a version, and does what the platform does when it is told how that ended.
+    /// Orders a version and, once the order has ended, ends the upstreams of the version that lost,
+    /// as the platform does.
     async fn roll_out(&self, version: &str, time: Duration, is_bad: bool) -> anyhow::Result<()> {
-        self.store.order(ROLLED_OUT, version, time);
-        self.ledger.ordered(version, time, is_bad);
+        self.store.order(ROLLOUT_SERVICE, version, time);
+        self.ledger.record_order(version, time, is_bad);
         for _ in 0..ROLLED_OUT_UPSTREAMS {
-            self.upstreams.add_version(ROLLED_OUT, version.to_owned(), is_bad).await?;
+            self.upstreams.add_version(ROLLOUT_SERVICE, version.to_owned(), is_bad).await?;
         }
         let ordered_at = Instant::now();
-        let state = loop {
-            let state = self.store.rollout_state(ROLLED_OUT, version);
-            let is_over = ordered_at.elapsed() > time + ROLLOUT_REST;
+        let is_completed = loop {
+            let state = self.store.rollout_state(ROLLOUT_SERVICE, version);
+            let is_over = ordered_at.elapsed() > time + ROLLOUT_GRACE;
             match state.as_deref() {
                 Some("completed") => break true,
                 Some("rolled_back") => break false,
@@ -260,94 +275,96 @@
                 _ => sleep(Duration::from_millis(20)).await,
             }
         };
-        self.ledger.rolled_out(version, state);
-        if state {
+        self.ledger.record_rollout_end(version, is_completed);
+        if is_completed {
             self.upstreams.set_version(version);
         }
-        for upstream in self.upstreams.take_version(version, !state) {
-            if state {
-                // They are stopped without draining.
+        for upstream in self.upstreams.take_version(version, !is_completed) {
+            if is_completed {
+                // The platform stops upstreams of the old version without draining them.
                 upstream.crash();
                 self.store.list_version(
                     &upstream.version,
                     &upstream.instance,
-                    ROLLED_OUT,
+                    ROLLOUT_SERVICE,
                     upstream.address,
                     None,
                 );
             } else {
-                let world = self.clone();
-                tokio::spawn(async move { world.end(&upstream, true).await });
+                let system = self.clone();
+                tokio::spawn(async move { system.retire(&upstream, true).await });
             }
         }
         Ok(())
     }
 
-    /// Sends one request again and again under new ids, at any node, and has others take the place of what it ends.
-    async fn repeat_deadly(&self, draw: u64) -> anyhow::Result<()> {
+    /// Sends the same deadly request repeatedly under new ids, to various nodes, and replaces the
+    /// upstreams that it crashes.
+    async fn send_deadly_requests(&self, draw: u64) -> anyhow::Result<()> {
         let kinds =
             [RequestKind::Safe, RequestKind::Once, RequestKind::Stream, RequestKind::Resume];
         let kind = kinds[draw as usize % kinds.len()];
-        let body = format!("{DEADLY}-{draw}");
-        for number in 0..DEADLY_REPEATS {
+        let body = format!("{DEADLY_PREFIX}-{draw}");
+        for number in 0..DEADLY_REQUESTS {
             let id = format!("{body}-{number}");
             let node = (draw as usize / 7 + number * 5) % self.nodes.count();
-            self.ledger.asked_deadly(&id, kind, node);
-            tokio::spawn(self.clone().ask_deadly(id, kind, node, body.clone()));
+            self.ledger.record_deadly_request(&id, kind, node);
+            tokio::spawn(self.clone().send_deadly_request(id, kind, node, body.clone()));
             sleep(DEADLY_PAUSE).await;
-            for ended in self.upstreams.take_ended() {
-                self.upstreams.add(ended.service).await?;
+            for crashed in self.upstreams.take_crashed() {
+                self.upstreams.add(crashed.service).await?;
                 let store = self.store.clone();
                 tokio::spawn(async move {
-                    sleep(LAPSE_TIME).await;
-                    store.list(&ended.instance, ended.service, ended.address, None);
+                    sleep(RECORD_EXPIRY).await;
+                    store.list(&crashed.instance, crashed.service, crashed.address, None);
                 });
             }
         }
         Ok(())
     }
 
-    async fn ask_deadly(self, id: String, kind: RequestKind, node: usize, body: String) {
+    async fn send_deadly_request(self, id: String, kind: RequestKind, node: usize, body: String) {
         let request = format!(
             "POST /{}/x HTTP/1.1\r\nHost: h.example\r\nRequest-Id: {id}\r\nDeadline-Remaining: 4000\r\n\
              Authorization: Bearer secret\r\nContent-Length: {}\r\n\r\n{body}",
             kind.name(),
             body.len()
         );
-        let asking = async {
-            let mut stream = TcpStream::connect(self.nodes.callers(node)).await.ok()?;
+        let exchange = async {
+            let mut stream = TcpStream::connect(self.nodes.caller_address(node)).await.ok()?;
             stream.write_all(request.as_bytes()).await.ok()?;
             read_message(&mut stream).await
         };
-        let answer = timeout(Duration::from_secs(5), asking).await.ok().flatten();
-        let end = match answer.map(|answer| answer.status()) {
-            Some(status @ (408 | 421 | 429 | 503)) => End::NotRun(status),
-            Some(status) => End::Failed(status),
-            None => End::Broken,
+        let answer = timeout(Duration::from_secs(5), exchange).await.ok().flatten();
+        let outcome = match answer.map(|answer| answer.status()) {
+            Some(status @ (408 | 421 | 429 | 503)) => Outcome::NotRun(status),
+            Some(status) => Outcome::Failed(status),
+            None => Outcome::Broken,
         };
-        self.ledger.ended(&id, end);
+        self.ledger.record_outcome(&id, outcome);
     }
 
-    async fn outage(&self, mode: Mode, time: Duration) -> anyhow::Result<()> {
-        // Nobody can learn of anything meanwhile.
-        (0..self.nodes.count()).for_each(|node| self.nodes.disturb(node, time));
+    async fn inject_store_outage(&self, mode: Mode, time: Duration) -> anyhow::Result<()> {
+        // Nodes can't read any record during the outage.
+        (0..self.nodes.count()).for_each(|node| self.nodes.mark_disturbed(node, time));
         self.store.set_mode(mode);
         sleep(time).await;
         self.store.set_mode(Mode::Up);
         Ok(())
     }
 
-    /// Puts a configuration in force and asks all nodes for its new route.
-    async fn configure(&self, version: u64) -> anyhow::Result<()> {
+    /// Writes a configuration and checks that all nodes serve its new route in time.
+    async fn change_config(&self, version: u64) -> anyhow::Result<()> {
         self.store.configure(version);
         let sent_at = Instant::now();
-        sleep(IN_FORCE_MAX).await;
+        sleep(CONFIG_IN_FORCE_MAX).await;
         for node in 0..self.nodes.count() {
             let status = self.status_of(node, &format!("/v{version}/x")).await;
             if status == Some(404) && !self.nodes.was_disturbed(node, sent_at) {
-                let late = sent_at.elapsed();
-                self.ledger
-                    .broken(format!("node {node} lacks configuration {version} {late:?} after"));
+                let elapsed = sent_at.elapsed();
+                self.ledger.record_violation(format!(
+                    "node {node} lacks configuration {version} {elapsed:?} after"
+                ));
             }
         }
         Ok(())
@@ -357,11 +374,11 @@
         let request = format!(
             "GET {path} HTTP/1.1\r\nHost: h.example\r\nAuthorization: Bearer secret\r\n\r\n"
         );
-        let asking = async {
-            let mut stream = TcpStream::connect(self.nodes.callers(node)).await.ok()?;
+        let exchange = async {
+            let mut stream = TcpStream::connect(self.nodes.caller_address(node)).await.ok()?;
             stream.write_all(request.as_bytes()).await.ok()?;
             read_message(&mut stream).await
         };
-        Some(timeout(Duration::from_secs(1), asking).await.ok()??.status())
+        Some(timeout(Duration::from_secs(1), exchange).await.ok()??.status())
     }
 }
--- a/crates/fernring-standins/examples/soak/main.rs
+++ b/crates/fernring-standins/examples/soak/main.rs
@@ -1,13 +1,13 @@
-//! A soak of the gateway under random faults: real `fernring gateway` processes before a store and upstreams
-//! that speak the platform's protocol, faults from outside, and promises checked from what callers
-//! and upstreams have seen, and nothing else.
+//! A soak test of the gateway under random faults: real `fernring gateway` processes, with
+//! stand-ins for the store and the upstreams that speak the platform's protocol. Faults are injected from
+//! outside, and guarantees are checked only from what callers and upstreams observed.
 //!
 //! ```text
 //! cargo build --release --workspace --all-targets
 //! target/release/examples/soak --seconds 60 --seed 1
 //! ```
 //!
-//! Ends with status 1 if a promise was broken; the nodes' logs are kept then.
+//! Exits with status 1 and keeps the nodes' logs if a guarantee was violated.
 
 mod callers;
 mod faults;
@@ -24,10 +24,10 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Longest that anything begun is waited for after the last request: its time and a little.
-const REST: Duration = Duration::from_millis(callers::DEADLINE_MS + 1_500);
-/// Least part of the requests that have to be served, so that promises aren't kept by serving nobody.
-const SERVED_MIN: f64 = 0.6;
+/// Time to wait after the last request for everything in flight: a request's deadline plus 1.5 s.
+const SETTLE_TIME: Duration = Duration::from_millis(callers::DEADLINE_MS + 1_500);
+/// Minimum share of requests that must be served, so that a gateway that refuses everything fails.
+const SERVED_SHARE_MIN: f64 = 0.6;
 
 /// Run nodes under faults and check what callers and upstreams saw.
 #[derive(Debug, Parser)]
@@ -46,7 +46,7 @@
     nodes: usize,
     /// Only this kind of fault; all if none is named
     #[arg(long)]
-    only: Option<faults::Kind>,
+    only: Option<faults::FaultKind>,
 }
 
 #[tokio::main]
@@ -57,23 +57,25 @@
     let upstreams = upstreams::Upstreams::start(store.clone(), ledger.clone()).await?;
     store.configure(1);
     let nodes = Arc::new(nodes::Nodes::start(args.nodes, store.address)?);
-    nodes.until_ready().await.context("the nodes did not get ready")?;
+    nodes.wait_until_ready().await.context("the nodes did not get ready")?;
     let end = tokio::time::Instant::now() + Duration::from_secs(args.seconds);
-    let world = faults::World { store, upstreams, nodes: nodes.clone(), ledger: ledger.clone() };
-    let has_limits = args.only.is_none_or(|kind| kind == faults::Kind::Limit);
+    let system =
+        faults::SystemUnderTest { store, upstreams, nodes: nodes.clone(), ledger: ledger.clone() };
+    let has_limits = args.only.is_none_or(|kind| kind == faults::FaultKind::Limit);
     let limits = async {
         if has_limits {
-            faults::run_limits(world.clone(), StdRng::seed_from_u64(!args.seed), end).await;
+            faults::announce_limits(system.clone(), StdRng::seed_from_u64(!args.seed), end).await;
         }
     };
-    let faults = faults::run(world.clone(), StdRng::seed_from_u64(args.seed), args.only, end);
-    let load = callers::run(nodes.clone(), ledger.clone(), args.seed, args.rate, end);
-    let has_rollouts = args.only.is_none_or(|kind| kind == faults::Kind::Rollout);
+    let faults =
+        faults::inject_faults(system.clone(), StdRng::seed_from_u64(args.seed), args.only, end);
+    let load = callers::generate_load(nodes.clone(), ledger.clone(), args.seed, args.rate, end);
+    let has_rollouts = args.only.is_none_or(|kind| kind == faults::FaultKind::Rollout);
     let rollouts = async {
         match has_rollouts {
             true => {
                 let random = StdRng::seed_from_u64(args.seed.rotate_left(1));
-                faults::run_rollouts(world.clone(), random, end).await
+                faults::order_rollouts(system.clone(), random, end).await
             }
             false => Ok(()),
         }
@@ -81,16 +83,20 @@
     let (faults, (), rollouts, ()) = tokio::join!(faults, limits, rollouts, load);
     faults?;
     rollouts?;
-    tokio::time::sleep(REST).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     let report = ledger
         .check(|node, since| !nodes.was_disturbed(node, since) && !nodes.was_stopping(node, since));
     println!("{}", report.summary);
-    if report.served_part() < SERVED_MIN {
-        bail!("only {:.2} of the requests were served", report.served_part());
+    if report.served_share() < SERVED_SHARE_MIN {
+        bail!("only {:.2} of the requests were served", report.served_share());
     }
-    if !report.broken.is_empty() {
-        report.broken.iter().for_each(|promise| println!("BROKEN {promise}"));
-        bail!("{} promises broken; logs in {}", report.broken.len(), nodes.keep_logs().display());
+    if !report.violations.is_empty() {
+        report.violations.iter().for_each(|violation| println!("BROKEN {violation}"));
+        bail!(
+            "{} promises broken; logs in {}",
+            report.violations.len(),
+            nodes.keep_logs().display()
+        );
     }
     Ok(())
 }
--- a/crates/fernring-standins/examples/soak/nodes.rs
+++ b/crates/fernring-standins/examples/soak/nodes.rs
@@ -1,4 +1,4 @@
-//! The nodes: real processes with settings of their own, and what was done to them.
+//! The nodes: real processes, each with its own settings file, and the faults injected into them.
 
 use {
     anyhow::Context,
@@ -15,42 +15,43 @@
     tempfile::TempDir,
 };
 
-/// Longest that a planned stop takes: the grace, and the start after it.
+/// Longest duration of a planned stop: the grace period and the start after it.
 const STOP_MAX: Duration = Duration::from_secs(15);
-/// Longest wait for the nodes to get ready.
+/// Longest wait until all nodes are ready.
 const READY_MAX: Duration = Duration::from_secs(30);
-/// Time after a disturbance in which a node may still suffer from it.
-const SETTLING: Duration = Duration::from_secs(4);
+/// Time after a disturbance in which a node may still be affected by it.
+const SETTLE_TIME: Duration = Duration::from_secs(4);
 
-/// Pause between two changes of a settings file.
+/// Pause between two rewrites of a settings file.
 const REWRITE_PAUSE: Duration = Duration::from_millis(60);
 
-/// Ports of nodes: above those of well-known services, below those that systems give to connections.
+/// Ports of nodes: above the well-known ports, below the ephemeral ports of outgoing connections.
 const PORTS: Range<u16> = 12_000..32_000;
-/// Parts of these ports, of which each run takes one: runs that start together would find the same ports free, and the nodes of one
-/// not start.
-const PORT_PARTS: u16 = 20;
-/// Ports that are tried at most.
+/// Number of slices of the port range. Each run uses one slice: otherwise runs that start together
+/// would find the same ports free, and the nodes of one of them would fail to start.
+const PORT_SLICES: u16 = 20;
+/// Most ports that are tried.
 const PORT_TRIES: usize = 200;
 
+/// One node.
 struct Node {
     name: String,
     settings: String,
     process: Process,
-    /// When a disturbance of it ended; in the future for one that goes on.
+    /// When its last disturbance ended; in the future if it still lasts.
     disturbed_until: Option<Instant>,
-    /// Whether a fault is being done to it; there is one at a time.
-    is_taken: bool,
-    /// When its last planned stop ended; in the future for one that goes on.
+    /// Whether a fault is being injected into it; only one is allowed at a time.
+    is_reserved: bool,
+    /// When its last planned stop ended; in the future if it still lasts.
     stopping_until: Option<Instant>,
-    /// Lines of its earlier processes.
-    lines: Vec<String>,
+    /// Log lines of its earlier processes.
+    earlier_lines: Vec<String>,
 }
 
 /// Addresses of a node.
 #[derive(Debug, Clone, Copy)]
 struct Addresses {
-    callers: SocketAddr,
+    caller: SocketAddr,
     ready: SocketAddr,
 }
 
@@ -58,18 +59,19 @@
 pub(crate) struct Nodes {
     nodes: Vec<Mutex<Node>>,
     addresses: Vec<Addresses>,
-    folder: TempDir,
+    directory: TempDir,
 }
 
-/// Finds ports that are free, below those that the system gives to connections: between their finding and the start of a node,
-/// or while one is down, a connection of another process would take one of these (`can't listen: Address already in use`).
+/// Finds free ports below the ephemeral range. An ephemeral port could be taken by a connection of
+/// another process before the node binds it or while the node is down (`can't listen: Address
+/// already in use`).
 fn free_addresses(count: usize) -> anyhow::Result<Vec<SocketAddr>> {
     let mut listeners = Vec::new();
-    let size = (PORTS.end - PORTS.start) / PORT_PARTS;
-    let part = (std::process::id() % u32::from(PORT_PARTS)) as u16;
-    let first = PORTS.start + part * size;
+    let slice_size = (PORTS.end - PORTS.start) / PORT_SLICES;
+    let slice = (std::process::id() % u32::from(PORT_SLICES)) as u16;
+    let first = PORTS.start + slice * slice_size;
     for _ in 0..PORT_TRIES {
-        let port = rand::rng().random_range(first..first + size);
+        let port = rand::rng().random_range(first..first + slice_size);
         let address = SocketAddr::from((Ipv4Addr::LOCALHOST, port));
         listeners.extend(TcpListener::bind(address));
         if listeners.len() == count {
@@ -80,38 +82,39 @@
 }
 
 impl Nodes {
-    /// Starts nodes before a store.
+    /// Starts nodes that use a store.
     pub(crate) fn start(count: usize, store: SocketAddr) -> anyhow::Result<Self> {
-        let folder = tempfile::tempdir()?;
+        let directory = tempfile::tempdir()?;
         let mut nodes = Vec::new();
         let mut addresses = Vec::new();
-        // All at once: what is found for one node while another hasn't bound its own may be the same.
+        // Found all at once: separate searches could find the same port for two nodes before the
+        // first one has bound it.
         let free = free_addresses(count * 3)?;
         for number in 0..count {
-            let [callers, ready, peers] = free[number * 3..][..3] else { unreachable!("three") };
+            let [caller, ready, peer] = free[number * 3..][..3] else { unreachable!("three") };
             let name = format!("node-{number}");
             let domain = ["a", "b", "c"][number % 3];
-            let text = format!(
-                "[node]\nname = \"{name}\"\nfailure_domain = \"{domain}\"\ncaller_address = \"{callers}\"\n\
-                 ready_address = \"{ready}\"\npeer_address = \"{peers}\"\n\n[store]\naddress = \"{store}\"\n\n\
+            let settings_text = format!(
+                "[node]\nname = \"{name}\"\nfailure_domain = \"{domain}\"\ncaller_address = \"{caller}\"\n\
+                 ready_address = \"{ready}\"\npeer_address = \"{peer}\"\n\n[store]\naddress = \"{store}\"\n\n\
                  [retries]\nratio = 0.2\nslack = 50\nwindow_s = 10\n\n[rollout]\nshare = 0.1\nslack = 50\n\n[shutdown]\ngrace_s = 8\nleave_s = 1\n"
             );
-            let path = folder.path().join(format!("{name}.toml"));
-            std::fs::write(&path, text)?;
-            let settings = path.to_str().context("the folder's name")?.to_owned();
+            let path = directory.path().join(format!("{name}.toml"));
+            std::fs::write(&path, settings_text)?;
+            let settings = path.to_str().context("the directory's name")?.to_owned();
             let process = Process::start(&name, "fernring", &["gateway", &settings])?;
             nodes.push(Mutex::new(Node {
                 name,
                 settings,
                 process,
                 disturbed_until: None,
-                is_taken: false,
+                is_reserved: false,
                 stopping_until: None,
-                lines: Vec::new(),
+                earlier_lines: Vec::new(),
             }));
-            addresses.push(Addresses { callers, ready });
+            addresses.push(Addresses { caller, ready });
         }
-        Ok(Self { nodes, addresses, folder })
+        Ok(Self { nodes, addresses, directory })
     }
 
     /// Returns the number of nodes.
@@ -119,13 +122,13 @@
         self.nodes.len()
     }
 
-    /// Returns where callers connect to a node.
-    pub(crate) fn callers(&self, number: usize) -> SocketAddr {
-        self.addresses[number].callers
+    /// Returns the address at which callers connect to a node.
+    pub(crate) fn caller_address(&self, number: usize) -> SocketAddr {
+        self.addresses[number].caller
     }
 
-    /// Waits until all are ready.
-    pub(crate) async fn until_ready(&self) -> anyhow::Result<()> {
+    /// Waits until all nodes are ready.
+    pub(crate) async fn wait_until_ready(&self) -> anyhow::Result<()> {
         let end = Instant::now() + READY_MAX;
         for addresses in &self.addresses {
             let url = format!("http://{}/fernring/readiness", addresses.ready);
@@ -141,30 +144,32 @@
         Ok(())
     }
 
-    /// Tells whether a node was disturbed, by anything but a planned stop, since some time.
+    /// Returns whether a node was disturbed since `since`, by anything but a planned stop.
     pub(crate) fn was_disturbed(&self, number: usize, since: Instant) -> bool {
         let until = self.lock(number).disturbed_until;
-        until.is_some_and(|until| until + SETTLING > since)
+        until.is_some_and(|until| until + SETTLE_TIME > since)
     }
 
-    /// Says that a node is disturbed for some time from now on.
-    pub(crate) fn disturb(&self, number: usize, time: Duration) {
+    /// Marks a node as disturbed from now on for `time`.
+    pub(crate) fn mark_disturbed(&self, number: usize, time: Duration) {
         let until = Instant::now() + time;
         let mut node = self.lock(number);
         node.disturbed_until = node.disturbed_until.max(Some(until));
     }
 
-    /// Takes a node for a fault, unless it is taken; [`Nodes::give_back`] ends that.
-    pub(crate) fn take(&self, number: usize) -> bool {
-        !std::mem::replace(&mut self.lock(number).is_taken, true)
+    /// Reserves a node for a fault until [`Nodes::release`]. Returns `false` if it is already
+    /// reserved.
+    pub(crate) fn reserve(&self, number: usize) -> bool {
+        !std::mem::replace(&mut self.lock(number).is_reserved, true)
     }
 
-    /// Says that the fault of a node is over.
-    pub(crate) fn give_back(&self, number: usize) {
-        self.lock(number).is_taken = false;
+    /// Ends the reservation of a node when its fault is over.
+    pub(crate) fn release(&self, number: usize) {
+        self.lock(number).is_reserved = false;
     }
 
-    /// Writes a node's settings file again, as it was, changed, broken, and as it was, and says so each time.
+    /// Rewrites a node's settings file unchanged, changed, invalid and unchanged again, and sends a
+    /// SIGHUP after each write.
     pub(crate) async fn rewrite_settings(&self, number: usize) -> anyhow::Result<()> {
         let path = self.lock(number).settings.clone();
         let text = std::fs::read_to_string(&path)?;
@@ -183,7 +188,7 @@
         self.lock(number).process.signal(signal)
     }
 
-    /// Stops a node as planned and starts it again.
+    /// Stops a node with SIGTERM and starts it again.
     pub(crate) async fn stop(&self, number: usize) -> anyhow::Result<()> {
         self.lock(number).stopping_until = Some(Instant::now() + STOP_MAX);
         self.signal(number, Signal::SIGTERM)?;
@@ -192,20 +197,20 @@
         Ok(())
     }
 
-    /// Tells whether a node was being stopped as planned at some time since `since`.
+    /// Returns whether a planned stop of a node was in progress at some time since `since`.
     pub(crate) fn was_stopping(&self, number: usize, since: Instant) -> bool {
         self.lock(number).stopping_until.is_some_and(|until| until > since)
     }
 
-    /// Waits for the end of a node's process and starts it again.
+    /// Waits until a node's process has ended and starts a new one.
     pub(crate) async fn restart(&self, number: usize) -> anyhow::Result<()> {
         while !self.has_ended(number)? {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         let mut node = self.lock(number);
         let process = Process::start(&node.name, "fernring", &["gateway", &node.settings])?;
-        let before = std::mem::replace(&mut node.process, process);
-        node.lines.extend(before.lines());
+        let earlier = std::mem::replace(&mut node.process, process);
+        node.earlier_lines.extend(earlier.lines());
         Ok(())
     }
 
@@ -213,17 +218,17 @@
         self.lock(number).process.has_ended()
     }
 
-    /// Writes the nodes' logs to a folder that stays, and returns it.
+    /// Writes the nodes' logs to a directory that is not removed, and returns its path.
     pub(crate) fn keep_logs(&self) -> PathBuf {
-        let kept = std::env::temp_dir().join(format!("fernring-soak-{}", std::process::id()));
-        // What can't be written is missing from the folder, which says enough.
-        let _ = std::fs::create_dir_all(&kept);
+        let directory = std::env::temp_dir().join(format!("fernring-soak-{}", std::process::id()));
+        // Errors are ignored: a log that can't be written is missing from the directory.
+        let _ = std::fs::create_dir_all(&directory);
         for number in 0..self.count() {
             let node = self.lock(number);
-            let lines = [node.lines.as_slice(), &node.process.lines()].concat();
-            let _ = std::fs::write(kept.join(format!("{}.log", node.name)), lines.join("\n"));
+            let lines = [node.earlier_lines.as_slice(), &node.process.lines()].concat();
+            let _ = std::fs::write(directory.join(format!("{}.log", node.name)), lines.join("\n"));
         }
-        kept
+        directory
     }
 
     fn lock(&self, number: usize) -> MutexGuard<'_, Node> {
@@ -233,6 +238,6 @@
 
 impl std::fmt::Debug for Nodes {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Nodes").field("folder", &self.folder).finish_non_exhaustive()
+        f.debug_struct("Nodes").field("directory", &self.directory).finish_non_exhaustive()
     }
 }
--- a/crates/fernring-standins/examples/soak/upstreams.rs
+++ b/crates/fernring-standins/examples/soak/upstreams.rs
@@ -1,5 +1,5 @@
-//! Upstreams that speak the platform's protocol: an application with plain answers and streams, and the
-//! makers of two stages. Each fails part of its answers.
+//! Upstreams that speak the platform's protocol: an application with plain answers and streams, and
+//! the workers of two stages. Each fails a share of its responses.
 
 use {
     crate::ledger::Ledger,
@@ -26,29 +26,29 @@
     },
 };
 
-/// Events of a stream.
+/// Number of events in a stream.
 pub(crate) const EVENTS: u64 = 12;
-/// Pause between them.
+/// Pause between two events.
 const EVENT_PAUSE: Duration = Duration::from_millis(15);
-/// Time that a plain answer takes.
-const WORK: Range<Duration> = Duration::from_millis(5)..Duration::from_millis(60);
-/// The services, each with its upstreams.
+/// Time that a plain response takes.
+const WORK_TIME: Range<Duration> = Duration::from_millis(5)..Duration::from_millis(60);
+/// The services, each with its number of upstreams.
 const SERVICES: [(&str, usize); 3] = [("app", 4), ("first", 3), ("second", 3)];
-/// Parts of the answers that are refused, lost, cut in the middle, or failures.
-const REFUSED_PART: f64 = 0.02;
-const LOST_PART: f64 = 0.01;
-const CUT_PART: f64 = 0.02;
-const FAILED_PART: f64 = 0.01;
+/// Shares of the responses that are refused, lost, truncated or failed.
+const REFUSED_SHARE: f64 = 0.02;
+const LOST_SHARE: f64 = 0.01;
+const TRUNCATED_SHARE: f64 = 0.02;
+const FAILED_SHARE: f64 = 0.01;
 
-/// The service of which versions are rolled out.
-pub(crate) const ROLLED_OUT: &str = "app";
-/// The version that all upstreams run at first.
+/// The service whose versions are rolled out.
+pub(crate) const ROLLOUT_SERVICE: &str = "app";
+/// The version that all upstreams run at the start.
 const FIRST_VERSION: &str = "v1";
 
-/// What the body of a request begins with that ends whoever begins to run it.
-pub(crate) const DEADLY: &str = "deadly";
+/// Prefix of the body of a deadly request, which crashes each upstream that begins to run it.
+pub(crate) const DEADLY_PREFIX: &str = "deadly";
 
-/// Returns the whole body of a plain answer.
+/// Returns the complete body of a plain response.
 pub(crate) fn plain_body(id: &str) -> String {
     format!("{id}:{}", "x".repeat(2_000))
 }
@@ -61,30 +61,30 @@
 /// One upstream.
 #[derive(Debug)]
 pub(crate) struct Upstream {
-    /// This run of it.
+    /// Its incarnation.
     pub(crate) instance: String,
     /// Its service.
     pub(crate) service: &'static str,
     /// Version of its software.
     pub(crate) version: String,
-    /// Whether its version fails every second answer.
+    /// Whether its version fails half of the requests, drawn at random.
     is_bad: bool,
     /// Its address.
     pub(crate) address: SocketAddr,
-    /// Set when it is gone: connections end at once.
-    gone: watch::Sender<bool>,
-    /// Requests a second that it says it takes from all nodes.
+    /// Set when it crashes: its connections then end at once.
+    crashed: watch::Sender<bool>,
+    /// The limit that it announces: requests per second from all nodes together.
     limit_per_s: Mutex<Option<f64>>,
     ledger: Arc<Ledger>,
-    made: AtomicU64,
+    results: AtomicU64,
 }
 
 /// All upstreams.
 #[derive(Debug)]
 pub(crate) struct Upstreams {
     live: Mutex<Vec<Arc<Upstream>>>,
-    next: AtomicU64,
-    /// The version that the application's upstreams run.
+    next_number: AtomicU64,
+    /// The version that new upstreams of the application run.
     version: Mutex<String>,
     store: Arc<StandinStore>,
     ledger: Arc<Ledger>,
@@ -98,7 +98,7 @@
     ) -> anyhow::Result<Arc<Self>> {
         let upstreams = Arc::new(Self {
             live: Mutex::default(),
-            next: AtomicU64::new(1),
+            next_number: AtomicU64::new(1),
             version: Mutex::new(FIRST_VERSION.to_owned()),
             store,
             ledger,
@@ -111,16 +111,16 @@
         Ok(upstreams)
     }
 
-    /// Starts one more upstream.
+    /// Starts another upstream of a service.
     pub(crate) async fn add(&self, service: &'static str) -> anyhow::Result<()> {
         let version = match service {
-            ROLLED_OUT => self.version.lock().unwrap_or_else(PoisonError::into_inner).clone(),
+            ROLLOUT_SERVICE => self.version.lock().unwrap_or_else(PoisonError::into_inner).clone(),
             _ => FIRST_VERSION.to_owned(),
         };
         self.add_version(service, version, false).await
     }
 
-    /// Starts one more upstream that runs a version.
+    /// Starts another upstream of a service that runs the given version.
     pub(crate) async fn add_version(
         &self,
         service: &'static str,
@@ -128,53 +128,54 @@
         is_bad: bool,
     ) -> anyhow::Result<()> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let number = self.next.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let upstream = Arc::new(Upstream {
             instance: format!("i-{number}"),
             service,
             version,
             is_bad,
             address: listener.local_addr()?,
-            gone: watch::Sender::new(false),
+            crashed: watch::Sender::new(false),
             limit_per_s: Mutex::default(),
             ledger: self.ledger.clone(),
-            made: AtomicU64::new(0),
+            results: AtomicU64::new(0),
         });
         let Upstream { instance, version, address, .. } = &*upstream;
-        self.ledger.starts(instance, service, version);
+        self.ledger.record_start(instance, service, version);
         self.store.list_version(version, instance, service, *address, Some("ready"));
         self.lock().push(upstream.clone());
         tokio::spawn(upstream.listen(listener));
         Ok(())
     }
 
-    /// Has upstreams of the application that start from now on run a version.
+    /// Sets the version that new upstreams of the application run.
     pub(crate) fn set_version(&self, version: &str) {
         version.clone_into(&mut self.version.lock().unwrap_or_else(PoisonError::into_inner));
     }
 
-    /// Takes those of the application out whose version is the one named, or isn't.
-    pub(crate) fn take_version(&self, version: &str, is_it: bool) -> Vec<Arc<Upstream>> {
-        let fits = |upstream: &mut Arc<Upstream>| {
-            upstream.service == ROLLED_OUT && (upstream.version == version) == is_it
+    /// Takes out the application's upstreams that run `version`, or all others if `is_match` is
+    /// `false`.
+    pub(crate) fn take_version(&self, version: &str, is_match: bool) -> Vec<Arc<Upstream>> {
+        let is_selected = |upstream: &mut Arc<Upstream>| {
+            upstream.service == ROLLOUT_SERVICE && (upstream.version == version) == is_match
         };
-        self.lock().extract_if(.., fits).collect()
+        self.lock().extract_if(.., is_selected).collect()
     }
 
-    /// Takes those out that have ended by what they ran.
-    pub(crate) fn take_ended(&self) -> Vec<Arc<Upstream>> {
-        self.lock().extract_if(.., |upstream| *upstream.gone.borrow()).collect()
+    /// Takes out the upstreams that crashed because of a request.
+    pub(crate) fn take_crashed(&self) -> Vec<Arc<Upstream>> {
+        self.lock().extract_if(.., |upstream| *upstream.crashed.borrow()).collect()
     }
 
-    /// Takes any upstream out of those that may be chosen again.
+    /// Takes out the upstream that `draw` selects.
     pub(crate) fn take_any(&self, draw: usize) -> Option<Arc<Upstream>> {
         let mut live = self.lock();
         let index = draw % live.len().max(1);
         (index < live.len()).then(|| live.swap_remove(index))
     }
 
-    /// Returns any upstream.
-    pub(crate) fn any(&self, draw: usize) -> Option<Arc<Upstream>> {
+    /// Returns the upstream that `draw` selects.
+    pub(crate) fn pick(&self, draw: usize) -> Option<Arc<Upstream>> {
         let live = self.lock();
         live.get(draw % live.len().max(1)).cloned()
     }
@@ -185,76 +186,76 @@
 }
 
 impl Upstream {
-    /// Names a limit from now on, or none any more.
-    pub(crate) fn name_limit(&self, per_s: Option<f64>) {
+    /// Announces a limit from now on, or withdraws it.
+    pub(crate) fn announce_limit(&self, per_s: Option<f64>) {
         *self.limit_per_s.lock().unwrap_or_else(PoisonError::into_inner) = per_s;
-        self.ledger.names_limit(&self.instance, per_s);
+        self.ledger.record_limit(&self.instance, per_s);
     }
 
-    /// Returns what its answers say of how much it takes.
+    /// Returns the response header that announces its limit, if it has one.
     fn limit_header(&self) -> String {
         let per_s = *self.limit_per_s.lock().unwrap_or_else(PoisonError::into_inner);
         per_s.map(|per_s| format!("Server-Limit: {per_s}\r\n")).unwrap_or_default()
     }
 
-    /// Ends it at once, with all its connections.
+    /// Ends it and all its connections at once.
     pub(crate) fn crash(&self) {
-        self.gone.send_replace(true);
+        self.crashed.send_replace(true);
     }
 
     async fn listen(self: Arc<Self>, listener: TcpListener) {
-        let mut gone = self.gone.subscribe();
+        let mut crashed = self.crashed.subscribe();
         loop {
             tokio::select! {
                 accepted = listener.accept() => {
                     let Ok((stream, _)) = accepted else { return };
                     tokio::spawn(self.clone().serve(stream));
                 }
-                _ = gone.wait_for(|gone| *gone) => return,
+                _ = crashed.wait_for(|crashed| *crashed) => return,
             }
         }
     }
 
     async fn serve(self: Arc<Self>, mut stream: TcpStream) {
-        let mut gone = self.gone.subscribe();
-        let serving = async {
+        let mut crashed = self.crashed.subscribe();
+        let connection = async {
             while let Some(request) = read_message(&mut stream).await {
-                if !self.reply(&request, &mut stream).await {
+                if !self.respond(&request, &mut stream).await {
                     return;
                 }
             }
         };
         tokio::select! {
-            () = serving => {}
-            _ = gone.wait_for(|gone| *gone) => {}
+            () = connection => {}
+            _ = crashed.wait_for(|crashed| *crashed) => {}
         }
     }
 
-    /// Answers a request; tells whether the connection is kept.
-    async fn reply(&self, request: &Message, stream: &mut TcpStream) -> bool {
+    /// Responds to a request. Returns whether the connection stays open.
+    async fn respond(&self, request: &Message, stream: &mut TcpStream) -> bool {
         let id = request.header("request-id").unwrap_or_default().to_owned();
         let limit = self.limit_header();
         if request.header("expect-instance") != Some(&self.instance) {
             let headers = format!("Request-Id: {id}\r\n{limit}");
-            return write(stream, "421 Misdirected", &headers, "").await;
+            return write_response(stream, "421 Misdirected", &headers, "").await;
         }
-        self.ledger.reached(&self.instance);
+        self.ledger.record_arrival(&self.instance);
         if request.path() == "/fernring/stage-free" {
-            return write(stream, "200 OK", &limit, "").await;
+            return write_response(stream, "200 OK", &limit, "").await;
         }
         let fate = rand::rng().random::<f64>();
         if self.is_bad && rand::rng().random_bool(0.5) {
-            self.ledger.runs(&id, request.path(), &self.instance);
+            self.ledger.record_run(&id, request.path(), &self.instance);
             let headers = format!("Request-Id: {id}\r\nServer-Stamp: {}\r\n{limit}", self.instance);
-            return write(stream, "500 Failed", &headers, "failed").await;
+            return write_response(stream, "500 Failed", &headers, "failed").await;
         }
-        if fate < REFUSED_PART {
+        if fate < REFUSED_SHARE {
             let headers = format!("Request-Id: {id}\r\nNot-Run: 1\r\n{limit}");
-            return write(stream, "503 Full", &headers, "").await;
+            return write_response(stream, "503 Full", &headers, "").await;
         }
-        let fate = fate - REFUSED_PART;
+        let fate = fate - REFUSED_SHARE;
         if request.path() == "/fernring/stage-run" {
-            return self.reply_pieces(request, fate, stream).await;
+            return self.respond_to_pieces(request, fate, stream).await;
         }
         let count = |stage: usize| {
             let counts = request.header("pieces").unwrap_or_default().split(',').nth(stage);
@@ -265,66 +266,71 @@
             let inputs: Vec<_> = inputs.map(|handle| handle.trim().to_owned()).collect();
             self.ledger.check_inputs(&id, 1, &inputs, count(1));
         }
-        self.ledger.runs(&id, request.path(), &self.instance);
+        self.ledger.record_run(&id, request.path(), &self.instance);
         let body = String::from_utf8_lossy(&request.body);
-        if body.starts_with(DEADLY) {
-            self.ledger.ended_under(&body, &id);
+        if body.starts_with(DEADLY_PREFIX) {
+            self.ledger.record_crash(&body, &id);
             self.crash();
             return false;
         }
-        if fate < LOST_PART {
+        if fate < LOST_SHARE {
             return false;
         }
         let headers = format!("Request-Id: {id}\r\nServer-Stamp: {}\r\n{limit}", self.instance);
-        if fate < LOST_PART + FAILED_PART {
-            return write(stream, "500 Failed", &headers, "failed").await;
+        if fate < LOST_SHARE + FAILED_SHARE {
+            return write_response(stream, "500 Failed", &headers, "failed").await;
         }
-        let is_cut = fate < LOST_PART + FAILED_PART + CUT_PART;
+        let is_truncated = fate < LOST_SHARE + FAILED_SHARE + TRUNCATED_SHARE;
         match request.path().split('/').nth(1) {
             Some("stream" | "resume" | "staged") => {
                 let after = request.header("last-event-id").and_then(|last| last.parse().ok());
-                stream_events(stream, &headers, &id, after.unwrap_or(0), is_cut).await
+                stream_events(stream, &headers, &id, after.unwrap_or(0), is_truncated).await
             }
             _ => {
-                let work = rand::rng().random_range(WORK);
-                sleep(work).await;
+                let work_time = rand::rng().random_range(WORK_TIME);
+                sleep(work_time).await;
                 let body = plain_body(&id);
-                if is_cut {
+                if is_truncated {
                     let head = format!(
                         "HTTP/1.1 200 OK\r\n{headers}Content-Length: {}\r\n\r\n",
                         body.len()
                     );
-                    // Whether the other side still reads doesn't matter.
+                    // An error is ignored: the connection ends anyway.
                     let _ = stream
                         .write_all(&[head.as_bytes(), &body.as_bytes()[..100]].concat())
                         .await;
                     return false;
                 }
-                write(stream, "200 OK", &headers, &body).await
+                write_response(stream, "200 OK", &headers, &body).await
             }
         }
     }
 
-    async fn reply_pieces(&self, request: &Message, fate: f64, stream: &mut TcpStream) -> bool {
-        let call: Value = serde_json::from_slice(&request.body).unwrap_or_default();
-        let items = call["items"].as_array().cloned().unwrap_or_default();
+    async fn respond_to_pieces(
+        &self,
+        request: &Message,
+        fate: f64,
+        stream: &mut TcpStream,
+    ) -> bool {
+        let batch: Value = serde_json::from_slice(&request.body).unwrap_or_default();
+        let items = batch["items"].as_array().cloned().unwrap_or_default();
         sleep(Duration::from_millis(30 + 2 * items.len() as u64)).await;
-        let results: Vec<Value> = items.iter().map(|item| self.make(item)).collect();
-        if fate < LOST_PART + FAILED_PART + CUT_PART {
+        let results: Vec<Value> = items.iter().map(|item| self.run_piece(item)).collect();
+        if fate < LOST_SHARE + FAILED_SHARE + TRUNCATED_SHARE {
             return false;
         }
         let limit = self.limit_header();
-        write(stream, "200 OK", &limit, &json!({"items": results}).to_string()).await
+        write_response(stream, "200 OK", &limit, &json!({"items": results}).to_string()).await
     }
 
-    fn make(&self, item: &Value) -> Value {
+    fn run_piece(&self, item: &Value) -> Value {
         let id = item["id"].as_str().unwrap_or_default();
         let number = |name: &str| item[name].as_u64().unwrap_or(0) as u32;
         let (stage, piece) = (number("stage"), number("piece"));
         let handle = format!(
             "{}/{id}-{stage}-{piece}-{}",
             self.address,
-            self.made.fetch_add(1, Ordering::Relaxed)
+            self.results.fetch_add(1, Ordering::Relaxed)
         );
         match (stage, item["key"].as_str()) {
             (0, Some(key)) if key == id => {}
@@ -332,22 +338,23 @@
                 let inputs = item["inputs"].as_array().cloned().unwrap_or_default();
                 let inputs: Vec<_> =
                     inputs.iter().filter_map(|input| Some(input.as_str()?.to_owned())).collect();
-                // Callers ask for two pieces of the first stage.
+                // Callers ask for two pieces of stage 0.
                 self.ledger.check_inputs(id, 0, &inputs, 2);
             }
             (_, key) => {
-                self.ledger.broken(format!("{id}: stage {stage} was given the key {key:?}"));
+                self.ledger
+                    .record_violation(format!("{id}: stage {stage} was given the key {key:?}"));
             }
         }
-        self.ledger.made(id, stage, piece, &handle);
+        self.ledger.record_result(id, stage, piece, &handle);
         json!({"handle": handle})
     }
 }
 
-async fn write(stream: &mut TcpStream, status: &str, headers: &str, body: &str) -> bool {
-    let answer =
+async fn write_response(stream: &mut TcpStream, status: &str, headers: &str, body: &str) -> bool {
+    let response =
         format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len());
-    stream.write_all(answer.as_bytes()).await.is_ok()
+    stream.write_all(response.as_bytes()).await.is_ok()
 }
 
 async fn stream_events(
@@ -355,7 +362,7 @@
     headers: &str,
     id: &str,
     after: u64,
-    is_cut: bool,
+    is_truncated: bool,
 ) -> bool {
     let head = format!("HTTP/1.1 200 OK\r\n{headers}Transfer-Encoding: chunked\r\n\r\n");
     if stream.write_all(head.as_bytes()).await.is_err() {
@@ -363,10 +370,10 @@
     }
     for number in after + 1..=EVENTS {
         let event = format!("id: {number}\ndata: {}\n\n", event_data(id, number));
-        if is_cut && number > EVENTS / 2 {
-            // The head of an event, and no more of it.
-            let part = format!("{:x}\r\n{}", event.len(), &event[..event.len() / 2]);
-            let _ = stream.write_all(part.as_bytes()).await;
+        if is_truncated && number > EVENTS / 2 {
+            // Sends only the first half of the event.
+            let partial = format!("{:x}\r\n{}", event.len(), &event[..event.len() / 2]);
+            let _ = stream.write_all(partial.as_bytes()).await;
             return false;
         }
         let chunk = format!("{:x}\r\n{event}\r\n", event.len());
