--- a/crates/fernring-standins/examples/burst.rs
+++ b/crates/fernring-standins/examples/burst.rs
@@ -143,7 +143,7 @@
     };
     let mut doomed = Doomed::default();
     if killed {
-        doomed.node = Some(cluster.nodes[0].process.take_killer());
+        doomed.node = Some(cluster.nodes[0].process.killer());
     }
     if args.fault == Fault::ThirdGone {
         doomed.engines = cluster.take_processes("engines", 3);
@@ -198,7 +198,7 @@
         }
         Fault::DomainCut => {
             for other in ["b", "c"] {
-                cluster.cuts.cut(domain_ip("a"), domain_ip(other));
+                cluster.partitions.partition(domain_ip("a"), domain_ip(other));
             }
             let cut = Control { cut: vec![domain_ip("a")], ..Control::default() };
             cluster.control_platform(&cut).await
--- a/crates/fernring-standins/examples/promises/config.rs
+++ b/crates/fernring-standins/examples/promises/config.rs
@@ -1,7 +1,7 @@
 //! How soon a change is in force on all nodes.
 
 use {
-    crate::{LOOK_EVERY, start},
+    crate::{POLL_INTERVAL, start},
     fernring_core::change::Operation,
     fernring_standins::{
         cluster::{Cluster, domain_ip},
@@ -19,11 +19,11 @@
     let begin = Instant::now();
     for node in nodes {
         loop {
-            let view = cluster.view(*node).await;
+            let view = cluster.status(*node).await;
             if view.is_ok_and(|view| view.config_version >= cluster.version) {
                 break;
             }
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
     begin.elapsed()
@@ -50,7 +50,7 @@
         healthy[healthy.len() - 1]
     );
     for other in &DOMAINS[1..] {
-        cluster.cuts.cut(domain_ip("a"), domain_ip(other));
+        cluster.partitions.partition(domain_ip("a"), domain_ip(other));
     }
     let cut = Control { cut: vec![domain_ip("a")], ..Control::default() };
     cluster.control_platform(&cut).await?;
@@ -58,7 +58,7 @@
     let others = in_force(&cluster, &all[3..]).await;
     // Long enough that every read of the cut nodes has run into its timeout.
     tokio::time::sleep(Duration::from_secs(3)).await;
-    cluster.cuts.heal();
+    cluster.partitions.heal();
     cluster.control_platform(&Control::default()).await?;
     let healed = in_force(&cluster, &all[..3]).await;
     println!("domain a cut off: in force in the others after {others:?}, in a {healed:?} after");
--- a/crates/fernring-standins/examples/promises/faults.rs
+++ b/crates/fernring-standins/examples/promises/faults.rs
@@ -134,12 +134,12 @@
         6 => {
             let domain = DOMAINS[rng.random_range(0..DOMAINS.len())];
             for other in DOMAINS.iter().filter(|other| **other != domain) {
-                cluster.cuts.cut(domain_ip(domain), domain_ip(other));
+                cluster.partitions.partition(domain_ip(domain), domain_ip(other));
             }
             let cut = Control { cut: vec![domain_ip(domain)], ..Control::default() };
             cluster.control_platform(&cut).await?;
             tokio::time::sleep(pause).await;
-            cluster.cuts.heal();
+            cluster.partitions.heal();
             "cut"
         }
         _ => {
--- a/crates/fernring-standins/examples/promises/leaving.rs
+++ b/crates/fernring-standins/examples/promises/leaving.rs
@@ -1,7 +1,7 @@
 //! How soon an upstream that leaves gets its last new request.
 
 use {
-    crate::{LOOK_EVERY, start},
+    crate::{POLL_INTERVAL, start},
     fernring_platform::VmState,
     fernring_standins::{
         caller::{Call, Caller},
@@ -61,7 +61,7 @@
             known = now;
             last = begin.elapsed();
         }
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     Ok(last)
 }
@@ -80,7 +80,7 @@
         let begin = Instant::now();
         let usual = cluster.upstreams[name].spec.behaviour.clone();
         match way {
-            "VM list" => cluster.list_upstream(name, VmState::Leaving).await?,
+            "VM list" => cluster.set_vm_state(name, VmState::Leaving).await?,
             // The report tells; the stand-in still takes what it is given.
             "own report" => {
                 let tells = Behaviour { leaving_report: true, ..usual };
--- a/crates/fernring-standins/examples/promises/main.rs
+++ b/crates/fernring-standins/examples/promises/main.rs
@@ -20,7 +20,7 @@
 };
 
 /// Pause between two looks at something that is measured.
-const LOOK_EVERY: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Window of a letter in the long run, in milliseconds.
 const LETTER_WINDOW_MS: u64 = 3_000;
 
--- a/crates/fernring-standins/examples/soak/callers.rs
+++ b/crates/fernring-standins/examples/soak/callers.rs
@@ -6,7 +6,7 @@
         nodes::Nodes,
         upstreams::{EVENTS, event_data, plain_body},
     },
-    fernring_standins::message::{Message, read_part},
+    fernring_standins::message::{Message, read_partial_message},
     rand::{RngExt, SeedableRng, rngs::StdRng},
     std::{
         sync::Arc,
@@ -62,7 +62,7 @@
         let outcome = match stream.write_all(self.request(&id).as_bytes()).await {
             Ok(()) => {
                 let patience = Duration::from_millis(DEADLINE_MS + 500);
-                let answer = timeout(patience, read_part(&mut stream)).await.ok().flatten();
+                let answer = timeout(patience, read_partial_message(&mut stream)).await.ok().flatten();
                 self.classify(&id, answer)
             }
             Err(_) => Outcome::Broken,
--- a/crates/fernring-standins/examples/soak/faults.rs
+++ b/crates/fernring-standins/examples/soak/faults.rs
@@ -242,7 +242,7 @@
     async fn retire(&self, upstream: &Upstream, is_planned: bool) {
         let write_record = |state| {
             let Upstream { instance, service, version, address, .. } = upstream;
-            self.store.list_version(version, instance, service, *address, state);
+            self.store.put_upstream_version(version, instance, service, *address, state);
             self.ledger.record_leaving(instance);
         };
         if is_planned {
@@ -259,7 +259,7 @@
     /// Orders a version and, once the order has ended, ends the upstreams of the version that lost,
     /// as the platform does.
     async fn roll_out(&self, version: &str, time: Duration, is_bad: bool) -> anyhow::Result<()> {
-        self.store.order(ROLLOUT_SERVICE, version, time);
+        self.store.order_rollout(ROLLOUT_SERVICE, version, time);
         self.ledger.record_order(version, time, is_bad);
         for _ in 0..ROLLED_OUT_UPSTREAMS {
             self.upstreams.add_version(ROLLOUT_SERVICE, version.to_owned(), is_bad).await?;
@@ -283,7 +283,7 @@
             if is_completed {
                 // The platform stops upstreams of the old version without draining them.
                 upstream.crash();
-                self.store.list_version(
+                self.store.put_upstream_version(
                     &upstream.version,
                     &upstream.instance,
                     ROLLOUT_SERVICE,
@@ -316,7 +316,7 @@
                 let store = self.store.clone();
                 tokio::spawn(async move {
                     sleep(RECORD_EXPIRY).await;
-                    store.list(&crashed.instance, crashed.service, crashed.address, None);
+                    store.put_upstream(&crashed.instance, crashed.service, crashed.address, None);
                 });
             }
         }
@@ -355,7 +355,7 @@
 
     /// Writes a configuration and checks that all nodes serve its new route in time.
     async fn change_config(&self, version: u64) -> anyhow::Result<()> {
-        self.store.configure(version);
+        self.store.put_config(version);
         let sent_at = Instant::now();
         sleep(CONFIG_IN_FORCE_MAX).await;
         for node in 0..self.nodes.count() {
--- a/crates/fernring-standins/examples/soak/main.rs
+++ b/crates/fernring-standins/examples/soak/main.rs
@@ -55,7 +55,7 @@
     let ledger = Arc::new(Ledger::default());
     let store = StandinStore::start().await?;
     let upstreams = upstreams::Upstreams::start(store.clone(), ledger.clone()).await?;
-    store.configure(1);
+    store.put_config(1);
     let nodes = Arc::new(nodes::Nodes::start(args.nodes, store.address)?);
     nodes.wait_until_ready().await.context("the nodes did not get ready")?;
     let end = tokio::time::Instant::now() + Duration::from_secs(args.seconds);
--- a/crates/fernring-standins/examples/soak/upstreams.rs
+++ b/crates/fernring-standins/examples/soak/upstreams.rs
@@ -142,7 +142,7 @@
         });
         let Upstream { instance, version, address, .. } = &*upstream;
         self.ledger.record_start(instance, service, version);
-        self.store.list_version(version, instance, service, *address, Some("ready"));
+        self.store.put_upstream_version(version, instance, service, *address, Some("ready"));
         self.lock().push(upstream.clone());
         tokio::spawn(upstream.listen(listener));
         Ok(())
--- a/crates/fernring-standins/examples/tour.rs
+++ b/crates/fernring-standins/examples/tour.rs
@@ -8,7 +8,7 @@
         caller::Call,
         cluster::{Cluster, ClusterSpec, nodes_per_domain},
         deployment::teifi,
-        process::find,
+        process::find_program,
     },
     std::{fs, net::SocketAddr, path::Path, process::Command, time::Duration},
     tempfile::TempDir,
@@ -25,7 +25,7 @@
 
 fn fernctl(platform: SocketAddr, folder: &Path, args: &[&str]) -> anyhow::Result<()> {
     println!("\n$ fernctl {}", args.join(" "));
-    let mut command = Command::new(find("fernctl")?);
+    let mut command = Command::new(find_program("fernctl")?);
     command.args(args).current_dir(folder).env("FERNRING_LOG", platform.to_string());
     let status = command.status().context("could not start fernctl")?;
     ensure!(status.success(), "fernctl ended with {status}");
--- a/crates/fernring-standins/src/burst.rs
+++ b/crates/fernring-standins/src/burst.rs
@@ -1,10 +1,10 @@
-//! An open-loop load driver: arrivals by a seeded schedule, time measured from the intended
-//! arrival, so that a system that falls behind can't slow its own measurement down.
+//! An open-loop load driver. Arrivals follow a seeded schedule, and latency is measured from the
+//! intended arrival, so that a slow system can't reduce the load that it is measured with.
 
 use {
     crate::{
         caller::{Answer, Call, Caller},
-        cluster::{Cluster, CostView, NodeView},
+        cluster::{Cluster, CostRow, NodeStatus},
         deployment::{Deployment, PipelineSpec, WorkspaceSpec},
     },
     hdrhistogram::Histogram,
@@ -19,33 +19,33 @@
     uuid::Uuid,
 };
 
-/// Longest latency that is told apart, in microseconds.
+/// Upper bound of recorded latencies, in microseconds.
 const LATENCY_MAX_US: u64 = 120_000_000;
-/// Part of the peak rate that arrives before the event starts.
-const BEFORE_START: f64 = 0.2;
-/// Part of the run that lies before the event's start.
-const START_AT: f64 = 0.2;
-/// Part of the run after which the crowd thins out.
-const THINS_AT: f64 = 0.8;
-/// Part of the peak rate that arrives once the crowd has thinned out.
-const AFTER_THINNING: f64 = 0.4;
-/// Class of a request that no node answered.
+/// Share of the peak rate that arrives before the event starts.
+const EARLY_RATE_SHARE: f64 = 0.2;
+/// Share of the run before the event starts.
+const CROWD_START: f64 = 0.2;
+/// Share of the run after which the rate decreases.
+const CROWD_END: f64 = 0.8;
+/// Share of the peak rate that arrives after the decrease.
+const LATE_RATE_SHARE: f64 = 0.4;
+/// Class of a request that got no answer.
 pub const NO_ANSWER: &str = "NO_ANSWER";
 
-/// What is sent.
+/// Description of a burst.
 #[derive(Debug, Clone)]
 pub struct BurstSpec {
-    /// Rate at the peak, in requests a second.
+    /// Rate at the peak, in requests per second.
     pub peak_per_s: f64,
     /// Length of the run.
     pub length: Duration,
     /// Seed of the schedule.
     pub seed: u64,
-    /// Workspace whose traffic is multiplied, and by how much.
+    /// A workspace that sends more than usual.
     pub flood: Option<Flood>,
 }
 
-/// A workspace that sends far more than usual.
+/// A workspace whose traffic is multiplied.
 #[derive(Debug, Clone)]
 pub struct Flood {
     /// Its name.
@@ -54,7 +54,7 @@
     pub multiple: f64,
 }
 
-/// One arrival.
+/// One scheduled request.
 #[derive(Debug, Clone)]
 struct Arrival {
     at: Duration,
@@ -68,16 +68,16 @@
 /// Outcomes of a group of requests.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Outcomes {
-    /// Requests sent.
+    /// Number of requests sent.
     pub sent: u64,
-    /// Answered whole within the window, measured from the intended arrival.
+    /// Number of complete answers within the window, measured from the intended arrival.
     pub attained: u64,
-    /// Answers by class.
+    /// Number of answers by class.
     pub classes: BTreeMap<String, u64>,
 }
 
 impl Outcomes {
-    /// Returns the share of requests answered whole within the window.
+    /// Returns the share of requests with a complete answer within the window.
     pub fn attainment(&self) -> f64 {
         if self.sent == 0 { 0.0 } else { self.attained as f64 / self.sent as f64 }
     }
@@ -89,16 +89,16 @@
     }
 }
 
-/// Upstream time by stage, in milliseconds.
+/// Upstream time of a stage, by what became of its result.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub struct StageCost {
-    /// Its result was used.
+    /// Time of attempts whose result was used, in milliseconds.
     pub useful_ms: f64,
-    /// It failed.
+    /// Time of attempts that failed, in milliseconds.
     pub failed_ms: f64,
-    /// It lost against its twin.
+    /// Time of attempts that lost against their hedge or original, in milliseconds.
     pub hedged_ms: f64,
-    /// Its request had ended.
+    /// Time of attempts whose request had ended, in milliseconds.
     pub abandoned_ms: f64,
 }
 
@@ -108,7 +108,7 @@
         self.failed_ms + self.hedged_ms + self.abandoned_ms
     }
 
-    fn add(&mut self, row: &CostView) {
+    fn add(&mut self, row: &CostRow) {
         self.useful_ms += row.useful_ms;
         self.failed_ms += row.failed_ms;
         self.hedged_ms += row.hedged_ms;
@@ -116,7 +116,7 @@
     }
 }
 
-/// What a run gave.
+/// Result of a burst.
 #[derive(Debug, Clone, Serialize)]
 pub struct BurstReport {
     /// All requests.
@@ -125,15 +125,15 @@
     pub workspaces: BTreeMap<String, Outcomes>,
     /// Requests by pipeline.
     pub pipelines: BTreeMap<String, Outcomes>,
-    /// Median time to a whole answer, from the intended arrival, in milliseconds.
+    /// Median time from the intended arrival to a complete answer, in milliseconds.
     pub median_ms: f64,
-    /// 99th percentile of the same, in milliseconds.
+    /// 99th percentile of that time, in milliseconds.
     pub p99_ms: f64,
-    /// Longest time to a refusal, in milliseconds.
+    /// 99th percentile of the time to a refusal, in milliseconds.
     pub refusal_p99_ms: f64,
-    /// Answers attained in each second of the crowd.
+    /// Complete answers within the window per second at the peak rate.
     pub goodput_per_s: f64,
-    /// Retries and hedges in percent of first attempts.
+    /// Retries and hedges as a percentage of first attempts.
     pub extra_percent: f64,
     /// Costs by stage.
     pub stages: BTreeMap<String, StageCost>,
@@ -146,7 +146,7 @@
     latency: Duration,
 }
 
-/// Draws the schedule. Two runs of one seed send the same requests at the same times.
+/// Draws the schedule. Two runs with the same seed send the same requests at the same times.
 fn schedule(deployment: &Deployment, spec: &BurstSpec) -> Vec<Arrival> {
     let mut rng = SmallRng::seed_from_u64(spec.seed);
     let length_s = spec.length.as_secs_f64();
@@ -154,18 +154,18 @@
         Some(flood) if flood.workspace == workspace.name => flood.multiple,
         _ => 1.0,
     };
-    let usual: f64 = deployment.workspaces.iter().map(|w| f64::from(w.traffic)).sum();
+    let usual_traffic: f64 = deployment.workspaces.iter().map(|w| f64::from(w.traffic)).sum();
     let weighted = |w: &WorkspaceSpec| f64::from(w.traffic) * multiple(w);
-    let flooded: f64 = deployment.workspaces.iter().map(weighted).sum();
-    let peak_per_s = spec.peak_per_s * flooded / usual;
+    let actual_traffic: f64 = deployment.workspaces.iter().map(weighted).sum();
+    let peak_per_s = spec.peak_per_s * actual_traffic / usual_traffic;
     let mut list = Vec::new();
     let mut at_s = 0.0;
     loop {
         let progress = at_s / length_s;
         let share = match progress {
-            p if p < START_AT => BEFORE_START,
-            p if p < THINS_AT => 1.0,
-            _ => AFTER_THINNING,
+            p if p < CROWD_START => EARLY_RATE_SHARE,
+            p if p < CROWD_END => 1.0,
+            _ => LATE_RATE_SHARE,
         };
         let draw: f64 = rng.random_range(f64::EPSILON..1.0);
         at_s -= draw.ln() / (peak_per_s * share);
@@ -173,8 +173,8 @@
             return list;
         }
         let pipeline =
-            pick(&deployment.pipelines, |p: &PipelineSpec| f64::from(p.traffic), &mut rng);
-        let workspace = pick(&deployment.workspaces, weighted, &mut rng);
+            pick_weighted(&deployment.pipelines, |p: &PipelineSpec| f64::from(p.traffic), &mut rng);
+        let workspace = pick_weighted(&deployment.workspaces, weighted, &mut rng);
         list.push(Arrival {
             at: Duration::from_secs_f64(at_s),
             pipeline: pipeline.name,
@@ -186,20 +186,20 @@
     }
 }
 
-fn pick<'a, T>(list: &'a [T], weight: impl Fn(&T) -> f64, rng: &mut SmallRng) -> &'a T {
+fn pick_weighted<'a, T>(list: &'a [T], weight: impl Fn(&T) -> f64, rng: &mut SmallRng) -> &'a T {
     let total: f64 = list.iter().map(&weight).sum();
-    let mut left = rng.random_range(0.0..total);
+    let mut remaining = rng.random_range(0.0..total);
     for item in list {
-        left -= weight(item);
-        if left < 0.0 {
+        remaining -= weight(item);
+        if remaining < 0.0 {
             return item;
         }
     }
     &list[list.len() - 1]
 }
 
-/// Sends a burst to the nodes of a cluster. `alive` tells which of them the balancer uses, by
-/// the time since the start of the run.
+/// Sends a burst to the nodes of a cluster. `alive` returns the nodes that the balancer uses at a
+/// time since the start of the run.
 pub async fn run(
     cluster: &Cluster,
     deployment: &Deployment,
@@ -207,7 +207,7 @@
     alive: impl Fn(Duration) -> Vec<SocketAddr>,
 ) -> BurstReport {
     let arrivals = schedule(deployment, spec);
-    let before = views(cluster).await;
+    let before = node_statuses(cluster).await;
     let (sender, mut receiver) = mpsc::unbounded_channel();
     let start = Instant::now();
     let mut tasks = JoinSet::new();
@@ -226,13 +226,13 @@
     while let Some(outcome) = receiver.recv().await {
         outcomes.push(outcome);
     }
-    let after = views(cluster).await;
+    let after = node_statuses(cluster).await;
     report(spec, &outcomes, &before, &after)
 }
 
 async fn send(caller: Caller, node: SocketAddr, arrival: Arrival, start: Instant) -> Outcome {
     let input = format!("{} of {} at {:?}", arrival.pipeline, arrival.workspace, arrival.at);
-    let key = arrival.keyed.then(|| fresh_key().to_string());
+    let key = arrival.keyed.then(|| new_key().to_string());
     let call = Call { workspace: arrival.workspace.to_owned(), key, input, ..Call::default() };
     let answer: anyhow::Result<Answer> = caller.call(node, arrival.pipeline, &call).await;
     let latency = start.elapsed().saturating_sub(arrival.at);
@@ -240,16 +240,16 @@
     Outcome { arrival, class, latency }
 }
 
-fn fresh_key() -> Uuid {
+fn new_key() -> Uuid {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let at = uuid::Timestamp::from_unix(uuid::NoContext, now.as_secs(), now.subsec_nanos());
     Uuid::new_v7(at)
 }
 
-async fn views(cluster: &Cluster) -> Vec<Option<NodeView>> {
+async fn node_statuses(cluster: &Cluster) -> Vec<Option<NodeStatus>> {
     let mut list = Vec::new();
     for index in 0..cluster.nodes.len() {
-        list.push(cluster.view(index).await.ok());
+        list.push(cluster.status(index).await.ok());
     }
     list
 }
@@ -257,11 +257,11 @@
 fn report(
     spec: &BurstSpec,
     outcomes: &[Outcome],
-    before: &[Option<NodeView>],
-    after: &[Option<NodeView>],
+    before: &[Option<NodeStatus>],
+    after: &[Option<NodeStatus>],
 ) -> BurstReport {
-    let fresh = || Histogram::<u64>::new_with_max(LATENCY_MAX_US, 3).expect("valid bounds");
-    let (mut answered, mut refused) = (fresh(), fresh());
+    let new_histogram = || Histogram::<u64>::new_with_max(LATENCY_MAX_US, 3).expect("valid bounds");
+    let (mut answered, mut refused) = (new_histogram(), new_histogram());
     let mut total = Outcomes::default();
     let mut workspaces: BTreeMap<String, Outcomes> = BTreeMap::new();
     let mut pipelines: BTreeMap<String, Outcomes> = BTreeMap::new();
@@ -280,7 +280,7 @@
             _ => {}
         }
         let progress = arrival.at.as_secs_f64() / crowd_s;
-        in_crowd += u64::from(attained && (START_AT..THINS_AT).contains(&progress));
+        in_crowd += u64::from(attained && (CROWD_START..CROWD_END).contains(&progress));
     }
     let ms =
         |histogram: &Histogram<u64>, share| histogram.value_at_quantile(share) as f64 / 1_000.0;
@@ -291,33 +291,33 @@
         median_ms: ms(&answered, 0.5),
         p99_ms: ms(&answered, 0.99),
         refusal_p99_ms: ms(&refused, 0.99),
-        goodput_per_s: in_crowd as f64 / (crowd_s * (THINS_AT - START_AT)),
+        goodput_per_s: in_crowd as f64 / (crowd_s * (CROWD_END - CROWD_START)),
         extra_percent: extra_percent(before, after),
         stages: stage_costs(before, after),
     }
 }
 
-/// Pairs of views of the nodes that answered both times.
+/// Returns pairs of statuses of the nodes that responded both before and after the run.
 fn pairs<'a>(
-    before: &'a [Option<NodeView>],
-    after: &'a [Option<NodeView>],
-) -> impl Iterator<Item = (&'a NodeView, &'a NodeView)> {
+    before: &'a [Option<NodeStatus>],
+    after: &'a [Option<NodeStatus>],
+) -> impl Iterator<Item = (&'a NodeStatus, &'a NodeStatus)> {
     before.iter().zip(after).filter_map(|(before, after)| before.as_ref().zip(after.as_ref()))
 }
 
-fn extra_percent(before: &[Option<NodeView>], after: &[Option<NodeView>]) -> f64 {
+fn extra_percent(before: &[Option<NodeStatus>], after: &[Option<NodeStatus>]) -> f64 {
     let (mut first, mut extra) = (0, 0);
     for (before, after) in pairs(before, after) {
-        let grown = |name: &str| after.counters[name] - before.counters[name];
-        first += grown("first_attempts");
-        extra += grown("retries") + grown("hedges");
+        let increase = |name: &str| after.counters[name] - before.counters[name];
+        first += increase("first_attempts");
+        extra += increase("retries") + increase("hedges");
     }
     extra as f64 * 100.0 / first.max(1) as f64
 }
 
 fn stage_costs(
-    before: &[Option<NodeView>],
-    after: &[Option<NodeView>],
+    before: &[Option<NodeStatus>],
+    after: &[Option<NodeStatus>],
 ) -> BTreeMap<String, StageCost> {
     let mut stages: BTreeMap<String, StageCost> = BTreeMap::new();
     for (before, after) in pairs(before, after) {
@@ -325,7 +325,7 @@
             stages.entry(row.stage.clone()).or_default().add(row);
         }
         for row in &before.costs {
-            let negative = CostView {
+            let negative = CostRow {
                 useful_ms: -row.useful_ms,
                 failed_ms: -row.failed_ms,
                 hedged_ms: -row.hedged_ms,
--- a/crates/fernring-standins/src/caller.rs
+++ b/crates/fernring-standins/src/caller.rs
@@ -12,7 +12,7 @@
 pub struct Call {
     /// Name of the workspace.
     pub workspace: String,
-    /// Key by which a repeat is recognised.
+    /// Key by which a repeated request is recognised.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub key: Option<String>,
     /// Window, in milliseconds.
@@ -20,9 +20,9 @@
     pub window_ms: Option<u64>,
     /// Input of the first stage.
     pub input: String,
-    /// Whether nothing of it may run twice.
+    /// Whether no stage of it may run twice.
     pub non_idempotent: bool,
-    /// Whether parts are wanted as they come.
+    /// Whether the answer is streamed in parts.
     pub stream: bool,
 }
 
@@ -33,23 +33,23 @@
     pub code: u16,
     /// Class of the result code.
     pub class: String,
-    /// The whole output.
+    /// The complete output.
     #[serde(default)]
     pub output: Option<String>,
-    /// What to do next.
+    /// Advice on what to do next.
     #[serde(default)]
     pub advice: Option<String>,
-    /// When to come back, in milliseconds.
+    /// When to retry, in milliseconds.
     #[serde(default)]
     pub retry_after_ms: Option<u64>,
 }
 
 /// A streamed answer.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Streamed {
-    /// The parts in the order they came.
+pub struct StreamedAnswer {
+    /// The parts in the order of arrival.
     pub parts: Vec<String>,
-    /// The final answer, if the stream got that far.
+    /// The final answer, if the stream reached it.
     pub answer: Option<Answer>,
 }
 
@@ -58,7 +58,7 @@
     text: String,
 }
 
-/// A caller.
+/// An HTTP client of nodes and stand-ins.
 #[derive(Debug, Clone)]
 pub struct Caller {
     client: Client,
@@ -80,7 +80,7 @@
     /// Sends a request to a node and waits for the final answer.
     ///
     /// # Errors
-    /// If the node does not answer.
+    /// If the node does not respond.
     pub async fn call(
         &self,
         node: SocketAddr,
@@ -94,7 +94,7 @@
     /// Sends a request and returns the raw response.
     ///
     /// # Errors
-    /// If the node does not answer.
+    /// If the node does not respond.
     pub async fn send(
         &self,
         node: SocketAddr,
@@ -105,16 +105,16 @@
         Ok(self.client.post(url).json(call).send().await?)
     }
 
-    /// Sends a request and reads its parts as they come.
+    /// Sends a request and reads the parts of its streamed answer.
     ///
     /// # Errors
-    /// If the node does not answer.
+    /// If the node does not respond.
     pub async fn stream(
         &self,
         node: SocketAddr,
         pipeline: &str,
         call: &Call,
-    ) -> anyhow::Result<Streamed> {
+    ) -> anyhow::Result<StreamedAnswer> {
         let call = Call { stream: true, ..call.clone() };
         let response = self.send(node, pipeline, &call).await?;
         let is_stream = response
@@ -124,15 +124,15 @@
         let text = response.text().await?;
         if !is_stream {
             let answer = serde_json::from_str(&text)?;
-            return Ok(Streamed { parts: Vec::new(), answer: Some(answer) });
+            return Ok(StreamedAnswer { parts: Vec::new(), answer: Some(answer) });
         }
         parse_events(&text)
     }
 
-    /// Asks for JSON.
+    /// Gets a JSON document.
     ///
     /// # Errors
-    /// If there is no answer or it is not of this form.
+    /// If there is no response or its body can't be decoded.
     pub async fn get<T: DeserializeOwned>(
         &self,
         address: SocketAddr,
@@ -142,10 +142,10 @@
         response.json().await.with_context(|| format!("GET {path}"))
     }
 
-    /// Sends JSON to a stand-in's control, or to any other path.
+    /// Posts a JSON document to a path, such as the control of a stand-in.
     ///
     /// # Errors
-    /// If it is not taken.
+    /// If there is no response.
     pub async fn post(
         &self,
         address: SocketAddr,
@@ -156,10 +156,10 @@
         Ok(request.send().await?)
     }
 
-    /// Replaces something.
+    /// Puts a JSON document at a path.
     ///
     /// # Errors
-    /// If it is not taken.
+    /// If there is no response or its status is an error.
     pub async fn put(
         &self,
         address: SocketAddr,
@@ -172,8 +172,8 @@
     }
 }
 
-fn parse_events(text: &str) -> anyhow::Result<Streamed> {
-    let mut streamed = Streamed::default();
+fn parse_events(text: &str) -> anyhow::Result<StreamedAnswer> {
+    let mut streamed = StreamedAnswer::default();
     for event in text.split("\n\n") {
         let field = |name: &str| {
             event.lines().find_map(|line| line.strip_prefix(name)).map(str::trim_start)
--- a/crates/fernring-standins/src/cluster.rs
+++ b/crates/fernring-standins/src/cluster.rs
@@ -1,16 +1,16 @@
-//! A whole deployment of processes on this machine.
+//! A complete deployment of processes on this machine.
 //!
 //! Every failure domain has its own loopback address, from which its nodes connect, so that the
-//! platform and the links between nodes can cut a domain off by source address.
+//! platform and the links between nodes can partition a domain by source address.
 
 use {
     crate::{
         caller::Caller,
         deployment::{DOMAINS, Deployment, UpstreamSpec},
-        link::{self, Cuts, Target},
+        link::{self, Partitions, Target},
         platform::Control,
-        process::{PATIENCE, Process, value_of},
-        upstream::{Behaviour, OrderTaken, Run},
+        process::{EVENT_TIMEOUT, Process, value_of},
+        upstream::{Behaviour, ReceivedOrder, Run},
     },
     anyhow::{Context, bail},
     fernring_core::{
@@ -30,18 +30,18 @@
     uuid::Uuid,
 };
 
-/// Clusters started by this process.
-static CLUSTERS: AtomicU32 = AtomicU32::new(0);
+/// Number of clusters started by this process.
+static CLUSTERS_STARTED: AtomicU32 = AtomicU32::new(0);
 
-/// Pause between two looks at something that is waited for.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// Pause between two polls of a condition that is waited for.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a deployment is made of.
+/// Description of a deployment to start.
 #[derive(Debug, Clone)]
 pub struct ClusterSpec {
     /// Pools, pipelines and workspaces.
     pub deployment: Deployment,
-    /// Failure domains that get nodes, each with a number of them.
+    /// Nodes to start.
     pub nodes: Vec<NodeSpec>,
     /// Lines added to every node's settings file.
     pub extra_settings: String,
@@ -56,7 +56,7 @@
     pub failure_domain: &'static str,
 }
 
-/// One node in each failure domain, times `count`.
+/// Returns `count` nodes for each failure domain.
 pub fn nodes_per_domain(count: usize) -> Vec<NodeSpec> {
     let domains = DOMAINS.iter().flat_map(|domain| std::iter::repeat_n(*domain, count));
     domains.map(|failure_domain| NodeSpec { failure_domain }).collect()
@@ -71,48 +71,48 @@
     pub failure_domain: &'static str,
     /// Its address for callers.
     pub caller_address: SocketAddr,
-    /// The address that other nodes reach it under.
+    /// Its address for other nodes.
     pub peer_address: SocketAddr,
 }
 
 /// An upstream that was started.
 #[derive(Debug, Clone)]
 pub struct UpstreamHandle {
-    /// What it is.
+    /// Its description.
     pub spec: UpstreamSpec,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
 }
 
-/// The part of `/v1/status` that is looked at here.
+/// The fields of `/v1/status` that tests and measurements read.
 #[derive(Debug, Clone, Deserialize)]
-pub struct NodeView {
-    /// Whether it takes requests.
+pub struct NodeStatus {
+    /// Whether it accepts requests.
     pub ready: bool,
     /// Version of the configuration in force.
     pub config_version: Version,
     /// Live nodes of its failure domain.
     pub live_nodes: u32,
-    /// Its numbers.
+    /// Its counters by name.
     pub counters: BTreeMap<String, u64>,
     /// Costs by stage.
-    pub costs: Vec<CostView>,
+    pub costs: Vec<CostRow>,
 }
 
-/// One row of costs.
+/// Costs of one stage for one pipeline and workspace.
 #[derive(Debug, Clone, Deserialize)]
-pub struct CostView {
+pub struct CostRow {
     /// Name of the pipeline.
     pub pipeline: String,
     /// Name of the workspace.
     pub workspace: String,
     /// Name of the stage.
     pub stage: String,
-    /// Time whose result was used, in milliseconds.
+    /// Time of attempts whose result was used, in milliseconds.
     pub useful_ms: f64,
     /// Time of attempts that failed, in milliseconds.
     pub failed_ms: f64,
-    /// Time of attempts that lost against their twin, in milliseconds.
+    /// Time of attempts that lost against their hedge or original, in milliseconds.
     pub hedged_ms: f64,
     /// Time of attempts whose request had ended, in milliseconds.
     pub abandoned_ms: f64,
@@ -127,14 +127,14 @@
     pub upstreams: BTreeMap<String, UpstreamHandle>,
     /// Address of the platform.
     pub platform: SocketAddr,
-    /// Cuts between nodes.
-    pub cuts: Cuts,
+    /// Network partitions between nodes.
+    pub partitions: Partitions,
     /// The caller used by tests.
     pub caller: Caller,
-    /// Version after the last change published here.
+    /// Configuration version after the last published change.
     pub version: Version,
     spec: ClusterSpec,
-    folder: TempDir,
+    directory: TempDir,
     node_count: usize,
     vms: Vec<VmEntry>,
     upstream_processes: BTreeMap<String, Process>,
@@ -147,17 +147,17 @@
     IpAddr::V4(Ipv4Addr::new(127, 0, index as u8 + 1, 1))
 }
 
-/// Returns a loopback address that no other cluster of this process uses for its upstreams. A
-/// port of an upstream that was killed may be given out again, and the nodes of one test must
-/// not reach the upstreams of another under it.
-fn fresh_upstream_ip() -> IpAddr {
-    let number = CLUSTERS.fetch_add(1, Ordering::Relaxed);
+/// Returns a loopback address that no other cluster of this process uses for its upstreams. The
+/// system may reuse the port of a killed upstream, and the nodes of one test must not reach the
+/// upstreams of another test through it.
+fn unused_upstream_ip() -> IpAddr {
+    let number = CLUSTERS_STARTED.fetch_add(1, Ordering::Relaxed);
     let process = std::process::id();
     let (high, low) = ((process / 250 % 250) as u8, (process % 250) as u8);
     IpAddr::V4(Ipv4Addr::new(127, 64 + (number % 128) as u8, high, 1 + low))
 }
 
-fn parse_listening(process: &Process, name: &str) -> anyhow::Result<SocketAddr> {
+fn wait_for_address(process: &Process, name: &str) -> anyhow::Result<SocketAddr> {
     let line = process.wait_line("listening", |line| {
         line.starts_with("listening") && value_of(line, "name") == Some(name)
     });
@@ -169,18 +169,18 @@
     /// has it in force.
     ///
     /// # Errors
-    /// If something can't be started.
+    /// If a process can't be started or a node does not get ready.
     pub async fn start(spec: ClusterSpec) -> anyhow::Result<Self> {
         let platform_process = Process::start("platform", "standin_platform", &[])?;
-        let platform = parse_listening(&platform_process, "platform")?;
+        let platform = wait_for_address(&platform_process, "platform")?;
         let mut cluster = Self {
             nodes: Vec::new(),
             upstreams: BTreeMap::new(),
             platform,
-            cuts: Cuts::default(),
+            partitions: Partitions::default(),
             caller: Caller::new(),
             version: 0,
-            folder: TempDir::new()?,
+            directory: TempDir::new()?,
             node_count: 0,
             vms: Vec::new(),
             upstream_processes: BTreeMap::new(),
@@ -200,11 +200,11 @@
     }
 
     fn start_upstreams(&mut self) -> anyhow::Result<()> {
-        let upstream_ip = fresh_upstream_ip();
+        let upstream_ip = unused_upstream_ip();
         let mut groups: BTreeMap<String, Vec<UpstreamSpec>> = BTreeMap::new();
         for spec in self.spec.deployment.upstreams() {
-            let alone = self.spec.process_per_upstream;
-            let group = if alone { spec.name.clone() } else { spec.pool.clone() };
+            let own_process = self.spec.process_per_upstream;
+            let group = if own_process { spec.name.clone() } else { spec.pool.clone() };
             groups.entry(group).or_default().push(spec);
         }
         for (group, specs) in groups {
@@ -218,7 +218,7 @@
             let args: Vec<&str> = args.map(String::as_str).collect();
             let process = Process::start(&group, "standin_upstream", &args)?;
             for spec in specs {
-                let address = parse_listening(&process, &spec.name)?;
+                let address = wait_for_address(&process, &spec.name)?;
                 self.upstreams.insert(spec.name.clone(), UpstreamHandle { spec, address });
             }
             self.upstream_processes.insert(group, process);
@@ -226,14 +226,14 @@
         Ok(())
     }
 
-    /// Starts one more node and tells the VM list of it.
+    /// Starts another node and adds it to the VM list.
     ///
     /// # Errors
     /// If it can't be started.
     pub async fn start_node(&mut self, node: NodeSpec) -> anyhow::Result<usize> {
         let ip = domain_ip(node.failure_domain);
         let target = Target::default();
-        let peer_address = link::start(ip, target.clone(), self.cuts.clone()).await?;
+        let peer_address = link::start(ip, target.clone(), self.partitions.clone()).await?;
         let platform = self.platform;
         let settings = format!(
             "[node]\nfailure_domain = \"{}\"\ncaller_address = \"127.0.0.1:0\"\n\
@@ -244,7 +244,7 @@
         );
         self.node_count += 1;
         let name = format!("{}{}", node.failure_domain, self.node_count);
-        let path = self.folder.path().join(format!("{name}.toml"));
+        let path = self.directory.path().join(format!("{name}.toml"));
         fs::write(&path, settings)?;
         let path = path.to_str().context("the path is not text")?;
         let process = Process::start(&name, "fernring", &["serve", path])?;
@@ -263,15 +263,15 @@
             role: VmRole::Entry,
             state: VmState::Live,
         });
-        self.put_vms().await?;
+        self.put_vm_list().await?;
         Ok(self.nodes.len() - 1)
     }
 
-    /// Shows an upstream as leaving, or again as live, in the VM list.
+    /// Sets the state of an upstream, such as leaving, in the VM list.
     ///
     /// # Errors
-    /// If the platform does not take it.
-    pub async fn list_upstream(&mut self, name: &str, state: VmState) -> anyhow::Result<()> {
+    /// If the platform refuses it.
+    pub async fn set_vm_state(&mut self, name: &str, state: VmState) -> anyhow::Result<()> {
         let handle = self.upstreams.get(name).context("no such upstream")?;
         let entry = VmEntry {
             vm: name.to_owned(),
@@ -282,22 +282,22 @@
         };
         self.vms.retain(|vm| vm.vm != name);
         self.vms.push(entry);
-        self.put_vms().await
+        self.put_vm_list().await
     }
 
-    async fn put_vms(&self) -> anyhow::Result<()> {
+    async fn put_vm_list(&self) -> anyhow::Result<()> {
         self.caller.put(self.platform, "/control/vms", &self.vms).await
     }
 
-    /// Publishes a change and returns its version. It must be accepted.
+    /// Publishes a change, which must be valid, and returns its version.
     ///
     /// # Errors
-    /// If the log does not take it.
+    /// If the log refuses it.
     pub async fn publish(&mut self, operations: Vec<Operation>) -> anyhow::Result<Version> {
         let change =
             Change { base: self.version, id: Uuid::now_v7(), author: "test".into(), operations };
         let data = serde_json::to_vec(&ConfigRecord::Change(change))?;
-        let log = HttpLog::new(self.platform, PATIENCE, None);
+        let log = HttpLog::new(self.platform, EVENT_TIMEOUT, None);
         self.version = log.append(CONFIG_STREAM, &data).await?.offset + 1;
         Ok(self.version)
     }
@@ -305,7 +305,7 @@
     /// Waits until every node is ready and has the last published version in force.
     ///
     /// # Errors
-    /// If one does not get there.
+    /// If this takes one node longer than [`EVENT_TIMEOUT`].
     pub async fn settle(&self) -> anyhow::Result<()> {
         for index in 0..self.nodes.len() {
             self.settle_node(index).await?;
@@ -316,50 +316,51 @@
     /// Waits until a node is ready and has the last published version in force.
     ///
     /// # Errors
-    /// If it does not get there.
+    /// If this takes longer than [`EVENT_TIMEOUT`].
     pub async fn settle_node(&self, index: usize) -> anyhow::Result<()> {
         let version = self.version;
-        let in_force = |view: &NodeView| view.ready && view.config_version >= version;
+        let in_force = |status: &NodeStatus| status.ready && status.config_version >= version;
         self.wait_node(index, "the configuration in force", in_force).await?;
         Ok(())
     }
 
-    /// Returns what a node tells of itself.
+    /// Returns the status of a node.
     ///
     /// # Errors
-    /// If it does not answer.
-    pub async fn view(&self, index: usize) -> anyhow::Result<NodeView> {
+    /// If it does not respond.
+    pub async fn status(&self, index: usize) -> anyhow::Result<NodeStatus> {
         self.caller.get(self.nodes[index].caller_address, "/v1/status").await
     }
 
-    /// Waits until a node's view is as wanted.
+    /// Waits until `is_expected` accepts the status of a node. `what` names the condition in the
+    /// error.
     ///
     /// # Errors
-    /// If it does not get there.
+    /// If this takes longer than [`EVENT_TIMEOUT`].
     pub async fn wait_node(
         &self,
         index: usize,
         what: &str,
-        wanted: impl Fn(&NodeView) -> bool,
-    ) -> anyhow::Result<NodeView> {
-        let end = Instant::now() + PATIENCE;
+        is_expected: impl Fn(&NodeStatus) -> bool,
+    ) -> anyhow::Result<NodeStatus> {
+        let end = Instant::now() + EVENT_TIMEOUT;
         loop {
-            if let Ok(view) = self.view(index).await
-                && wanted(&view)
+            if let Ok(status) = self.status(index).await
+                && is_expected(&status)
             {
-                return Ok(view);
+                return Ok(status);
             }
             if Instant::now() >= end {
-                bail!("node {index}: {what} did not come");
+                bail!("node {index}: timed out waiting for {what}");
             }
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
     /// Changes the platform's behaviour.
     ///
     /// # Errors
-    /// If it does not take it.
+    /// If the request is refused.
     pub async fn control_platform(&self, control: &Control) -> anyhow::Result<()> {
         self.caller.post(self.platform, "/control", control).await?.error_for_status()?;
         Ok(())
@@ -368,7 +369,7 @@
     /// Changes an upstream's behaviour.
     ///
     /// # Errors
-    /// If it does not take it.
+    /// If the request is refused.
     pub async fn control_upstream(&self, name: &str, behaviour: &Behaviour) -> anyhow::Result<()> {
         let address = self.upstreams.get(name).context("no such upstream")?.address;
         self.caller.post(address, "/control", behaviour).await?.error_for_status()?;
@@ -378,7 +379,7 @@
     /// Returns what an upstream has run.
     ///
     /// # Errors
-    /// If it does not answer.
+    /// If it does not respond.
     pub async fn runs(&self, name: &str) -> anyhow::Result<Vec<Run>> {
         let address = self.upstreams.get(name).context("no such upstream")?.address;
         self.caller.get(address, "/control/runs").await
@@ -387,7 +388,7 @@
     /// Returns what all upstreams of a pool have run.
     ///
     /// # Errors
-    /// If one does not answer.
+    /// If one does not respond.
     pub async fn pool_runs(&self, pool: &str) -> anyhow::Result<Vec<Run>> {
         let mut all = Vec::new();
         for (name, handle) in &self.upstreams {
@@ -398,79 +399,80 @@
         Ok(all)
     }
 
-    /// Waits until the runs of a pool are as wanted, and returns them.
+    /// Waits until `is_expected` accepts the runs of a pool, and returns them.
     ///
     /// # Errors
-    /// If they do not get there.
+    /// If this takes longer than [`EVENT_TIMEOUT`].
     pub async fn wait_runs(
         &self,
         pool: &str,
-        wanted: impl Fn(&[Run]) -> bool,
+        is_expected: impl Fn(&[Run]) -> bool,
     ) -> anyhow::Result<Vec<Run>> {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + EVENT_TIMEOUT;
         loop {
             let runs = self.pool_runs(pool).await?;
-            if wanted(&runs) {
+            if is_expected(&runs) {
                 return Ok(runs);
             }
             if Instant::now() >= end {
-                bail!("pool {pool}: the wanted runs did not come");
+                bail!("pool {pool}: timed out waiting for runs");
             }
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Waits until an engine has taken an order, and returns the first one taken.
+    /// Waits until an engine has accepted an order, and returns the first accepted one.
     ///
     /// # Errors
-    /// If none comes.
-    pub async fn wait_order(&self, name: &str) -> anyhow::Result<OrderTaken> {
+    /// If this takes longer than [`EVENT_TIMEOUT`].
+    pub async fn wait_order(&self, name: &str) -> anyhow::Result<ReceivedOrder> {
         let address = self.upstreams.get(name).context("no such upstream")?.address;
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + EVENT_TIMEOUT;
         while Instant::now() < end {
-            let orders: Vec<OrderTaken> = self.caller.get(address, "/control/orders").await?;
+            let orders: Vec<ReceivedOrder> = self.caller.get(address, "/control/orders").await?;
             if let Some(order) = orders.into_iter().find(|order| order.taken) {
                 return Ok(order);
             }
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        bail!("no order came to {name}");
+        bail!("timed out waiting for an order at {name}");
     }
 
-    /// Waits until a page of a stream, read from its start, is as wanted.
+    /// Waits until `is_expected` accepts the first page of a stream. `what` names the condition in
+    /// the error.
     ///
     /// # Errors
-    /// If it does not get there.
+    /// If this takes longer than [`EVENT_TIMEOUT`].
     pub async fn wait_log(
         &self,
         stream: &str,
         what: &str,
-        wanted: impl Fn(&LogPage) -> bool,
+        is_expected: impl Fn(&LogPage) -> bool,
     ) -> anyhow::Result<()> {
-        let log = HttpLog::new(self.platform, PATIENCE, None);
-        let end = Instant::now() + PATIENCE;
+        let log = HttpLog::new(self.platform, EVENT_TIMEOUT, None);
+        let end = Instant::now() + EVENT_TIMEOUT;
         while Instant::now() < end {
-            if wanted(&log.read(stream, 0, Duration::ZERO).await?) {
+            if is_expected(&log.read(stream, 0, Duration::ZERO).await?) {
                 return Ok(());
             }
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        bail!("stream {stream}: {what} did not come");
+        bail!("stream {stream}: timed out waiting for {what}");
     }
 
-    /// Waits until the log has dropped every record of a stream.
+    /// Waits until all records of a stream have expired.
     ///
     /// # Errors
-    /// If it does not.
+    /// If this takes longer than [`EVENT_TIMEOUT`].
     pub async fn wait_log_expired(&self, stream: &str) -> anyhow::Result<()> {
-        let expired = |page: &LogPage| page.records.is_empty() && page.first_offset > 0;
-        self.wait_log(stream, "the end of its records", expired).await
+        let is_expired = |page: &LogPage| page.records.is_empty() && page.first_offset > 0;
+        self.wait_log(stream, "its records to expire", is_expired).await
     }
 
-    /// Waits until the configuration stream holds a snapshot.
+    /// Waits until the configuration stream contains a snapshot.
     ///
     /// # Errors
-    /// If none comes.
+    /// If this takes longer than [`EVENT_TIMEOUT`].
     pub async fn wait_snapshot(&self) -> anyhow::Result<()> {
         let is_snapshot = |record: &LogRecord| {
             matches!(serde_json::from_slice(&record.data), Ok(ConfigRecord::Snapshot(_)))
@@ -479,19 +481,21 @@
         self.wait_log(CONFIG_STREAM, "a snapshot", holds).await
     }
 
-    /// Hands over the process of every `each`-th upstream of a pool, to be killed elsewhere.
-    pub fn take_processes(&mut self, pool: &str, each: usize) -> Vec<Process> {
+    /// Takes out the process of every `step`-th upstream of a pool, so that the caller can kill it
+    /// by dropping it.
+    pub fn take_processes(&mut self, pool: &str, step: usize) -> Vec<Process> {
         let names: Vec<_> = self
             .upstreams
             .values()
             .filter(|u| u.spec.pool == pool)
             .map(|u| u.spec.name.clone())
             .collect();
-        let doomed = names.into_iter().step_by(each);
-        doomed.filter_map(|name| self.upstream_processes.remove(&name)).collect()
+        let selected = names.into_iter().step_by(step);
+        selected.filter_map(|name| self.upstream_processes.remove(&name)).collect()
     }
 
-    /// Kills the process that holds an upstream.
+    /// Kills the process of a group of upstreams: a pool, or one upstream if each has its own
+    /// process.
     pub fn kill_upstream(&mut self, group: &str) {
         self.upstream_processes.remove(group);
     }
--- a/crates/fernring-standins/src/deployment.rs
+++ b/crates/fernring-standins/src/deployment.rs
@@ -1,4 +1,4 @@
-//! Configurations shaped on the deployments that fernring serves.
+//! Configurations modelled on the deployments that fernring serves.
 
 use {
     crate::upstream::Behaviour,
@@ -12,40 +12,40 @@
 /// Failure domains of every deployment.
 pub const DOMAINS: [&str; 3] = ["a", "b", "c"];
 
-/// A pool of like upstreams.
+/// A pool of identical upstreams.
 #[derive(Debug, Clone)]
 pub struct PoolSpec {
     /// Name of the pool.
     pub pool: &'static str,
     /// Number of upstreams, spread over the failure domains in turn.
     pub count: usize,
-    /// How each behaves.
+    /// Behaviour of each upstream.
     pub behaviour: Behaviour,
 }
 
-/// A pipeline and its part of the traffic.
+/// A pipeline and its share of the traffic.
 #[derive(Debug, Clone)]
 pub struct PipelineSpec {
     /// Name of the pipeline.
     pub name: &'static str,
     /// Its declaration.
     pub pipeline: Pipeline,
-    /// Part of the arrivals, relative to the other pipelines.
+    /// Weight of its arrivals, relative to the other pipelines.
     pub traffic: u32,
 }
 
-/// A workspace and its part of the traffic.
+/// A workspace and its share of the traffic.
 #[derive(Debug, Clone)]
 pub struct WorkspaceSpec {
     /// Name of the workspace.
     pub name: &'static str,
     /// Its declaration.
     pub workspace: Workspace,
-    /// Part of the arrivals, relative to the other workspaces.
+    /// Weight of its arrivals, relative to the other workspaces.
     pub traffic: u32,
 }
 
-/// A whole deployment.
+/// A complete deployment.
 #[derive(Debug, Clone)]
 pub struct Deployment {
     /// Its name.
@@ -58,7 +58,7 @@
     pub workspaces: Vec<WorkspaceSpec>,
 }
 
-/// An upstream to be started.
+/// An upstream to start.
 #[derive(Debug, Clone)]
 pub struct UpstreamSpec {
     /// Its name.
@@ -67,12 +67,12 @@
     pub pool: String,
     /// Its failure domain.
     pub failure_domain: &'static str,
-    /// How it behaves.
+    /// Its behaviour.
     pub behaviour: Behaviour,
 }
 
 impl UpstreamSpec {
-    /// Returns the declaration of the upstream at an address.
+    /// Returns the operation that declares the upstream at an address.
     pub fn declare(&self, address: SocketAddr) -> Operation {
         let kind = if self.behaviour.engine { UpstreamKind::Engine } else { UpstreamKind::Plain };
         let upstream = Upstream {
@@ -89,7 +89,7 @@
 }
 
 impl Deployment {
-    /// Lists the upstreams to start.
+    /// Returns the upstreams to start.
     pub fn upstreams(&self) -> Vec<UpstreamSpec> {
         let mut list = Vec::new();
         for pool in &self.pools {
@@ -105,7 +105,7 @@
         list
     }
 
-    /// Returns the declarations of pipelines and workspaces.
+    /// Returns the operations that declare the pipelines and workspaces.
     pub fn declare(&self) -> Vec<Operation> {
         let pipelines = self.pipelines.iter().map(|spec| Operation::PutPipeline {
             name: spec.name.to_owned(),
@@ -150,7 +150,7 @@
     PoolSpec { pool, count, behaviour }
 }
 
-fn engines(count: usize, service_ms: f64, parts: u32) -> PoolSpec {
+fn engine_pool(count: usize, service_ms: f64, parts: u32) -> PoolSpec {
     let behaviour = Behaviour {
         engine: true,
         service_ms,
@@ -163,15 +163,16 @@
     PoolSpec { pool: "engines", count, behaviour }
 }
 
-fn entry(name: &'static str, traffic: u32, pipeline: Pipeline) -> PipelineSpec {
+fn pipeline_spec(name: &'static str, traffic: u32, pipeline: Pipeline) -> PipelineSpec {
     PipelineSpec { name, pipeline, traffic }
 }
 
-fn customer(name: &'static str, traffic: u32, weight: u32) -> WorkspaceSpec {
+fn workspace_spec(name: &'static str, traffic: u32, weight: u32) -> WorkspaceSpec {
     WorkspaceSpec { name, workspace: workspace(weight), traffic }
 }
 
-/// Pension statements: 20 engines, 3 record services, three services of 5.
+/// Pension statements: 20 engines, three services with 3 upstreams each, among them the records,
+/// and three with 5 each.
 pub fn qazyna() -> Deployment {
     let encode = || stage("encode", "encoders", 8, 2);
     let records = || stage("retrieve", "records", 15, 4);
@@ -180,7 +181,7 @@
     Deployment {
         name: "qazyna",
         pools: vec![
-            engines(20, 400.0, 8),
+            engine_pool(20, 400.0, 8),
             pool("records", 3, 15.0, 8),
             pool("encoders", 3, 8.0, 8),
             pool("rerankers", 3, 10.0, 8),
@@ -189,23 +190,23 @@
             pool("letter-dispatch", 5, 12.0, 8),
         ],
         pipelines: vec![
-            entry(
+            pipeline_spec(
                 "statement-line",
                 5,
                 pipeline(vec![encode(), records(), rerank(), generate(400)], 2_000),
             ),
-            entry("balance-query", 4, pipeline(vec![records(), generate(400)], 2_000)),
-            entry(
+            pipeline_spec("balance-query", 4, pipeline(vec![records(), generate(400)], 2_000)),
+            pipeline_spec(
                 "clerk-case",
                 2,
                 pipeline(vec![stage("open", "clerk-front", 6, 1), records(), generate(400)], 2_000),
             ),
-            entry(
+            pipeline_spec(
                 "payroll-check",
                 2,
                 pipeline(vec![stage("gateway", "payroll-gateway", 10, 1), generate(400)], 2_000),
             ),
-            entry(
+            pipeline_spec(
                 "correction-letter",
                 1,
                 pipeline(
@@ -215,22 +216,23 @@
             ),
         ],
         workspaces: vec![
-            customer("members", 50, 2),
-            customer("branches", 25, 2),
-            customer("employers", 15, 1),
-            customer("audit", 5, 1),
-            customer("press", 5, 1),
+            workspace_spec("members", 50, 2),
+            workspace_spec("branches", 25, 2),
+            workspace_spec("employers", 15, 1),
+            workspace_spec("audit", 5, 1),
+            workspace_spec("press", 5, 1),
         ],
     }
 }
 
-/// Milk collection: 12 engines, 3 rounds applications, 3 ledgers, two services of 5.
+/// Milk collection: 12 engines, three services with 3 upstreams each, among them the rounds
+/// application and the payments ledger, and two with 5 each.
 pub fn teifi() -> Deployment {
     let generate = |ms| stage("generate", "engines", ms, 40);
     Deployment {
         name: "teifi",
         pools: vec![
-            engines(12, 400.0, 6),
+            engine_pool(12, 400.0, 6),
             pool("rounds-app", 3, 12.0, 8),
             pool("payments-ledger", 3, 15.0, 4),
             pool("lab-records", 5, 20.0, 4),
@@ -238,7 +240,7 @@
             pool("rerankers", 3, 10.0, 8),
         ],
         pipelines: vec![
-            entry(
+            pipeline_spec(
                 "round-plan",
                 4,
                 pipeline(
@@ -250,17 +252,17 @@
                     2_000,
                 ),
             ),
-            entry(
+            pipeline_spec(
                 "sampling-summary",
                 3,
                 pipeline(vec![stage("retrieve", "lab-records", 20, 2), generate(400)], 2_000),
             ),
-            entry(
+            pipeline_spec(
                 "collection-due",
                 3,
                 pipeline(vec![stage("gate", "depot-gate", 8, 1), generate(400)], 2_000),
             ),
-            entry(
+            pipeline_spec(
                 "payment-note",
                 1,
                 pipeline(
@@ -274,17 +276,17 @@
             ),
         ],
         workspaces: vec![
-            customer("drivers-day", 45, 2),
-            customer("drivers-late", 25, 2),
-            customer("dispatch", 15, 1),
-            customer("lab", 10, 1),
-            customer("farms", 5, 1),
+            workspace_spec("drivers-day", 45, 2),
+            workspace_spec("drivers-late", 25, 2),
+            workspace_spec("dispatch", 15, 1),
+            workspace_spec("lab", 10, 1),
+            workspace_spec("farms", 5, 1),
         ],
     }
 }
 
 /// A small deployment for tests and measurements: a pure pipeline of four stages (`answer`) and
-/// one that ends in a side effect (`letter`), with `count` upstreams in each pool.
+/// one whose last stage is a side effect (`letter`), with `count` upstreams in each pool.
 pub fn letters(count: usize, plain: Behaviour, engine: Behaviour, window_ms: u64) -> Deployment {
     let pool = |pool, behaviour: &Behaviour| PoolSpec { pool, count, behaviour: behaviour.clone() };
     let plain_stage = |name, pool| stage(name, pool, 5, 1);
@@ -307,9 +309,9 @@
             pool("letters", &plain),
         ],
         pipelines: vec![
-            entry("answer", 1, pipeline(answer, window_ms)),
-            entry("letter", 1, pipeline(letter, window_ms)),
+            pipeline_spec("answer", 1, pipeline(answer, window_ms)),
+            pipeline_spec("letter", 1, pipeline(letter, window_ms)),
         ],
-        workspaces: vec![customer("members", 1, 1)],
+        workspaces: vec![workspace_spec("members", 1, 1)],
     }
 }
--- a/crates/fernring-standins/src/lib.rs
+++ b/crates/fernring-standins/src/lib.rs
@@ -1,13 +1,15 @@
-//! Stand-ins for what fernring runs beside, and what tests and measurements share.
+//! Stand-ins for the systems that fernring depends on, and helpers shared by tests and
+//! measurements.
 //!
-//! Nothing here ships. The programs are `examples/`; the tests are `tests/testsuite`.
+//! Nothing here is part of a release. The programs are in `examples/`, the tests in
+//! `tests/testsuite`.
 //!
-//! - [`platform`]: the append-only log and the VM list, with outages, lost and late answers;
+//! - [`platform`]: the append-only log and the VM list, with outages, lost and late responses;
 //! - [`upstream`]: engines and plain services that keep their own record of what they ran;
-//! - [`link`]: a TCP link between nodes that can be cut by source address;
-//! - [`process`]: starting the real programs and reading their log lines;
+//! - [`link`]: a TCP link between nodes that can be partitioned by source address;
+//! - [`process`]: starts the real programs and reads their log lines;
 //! - [`cluster`]: a whole deployment of processes, for tests and examples;
-//! - [`deployment`]: configurations shaped on the two deployments that fernring serves today;
+//! - [`deployment`]: configurations modelled on the two deployments that fernring serves today;
 //! - [`caller`]: a caller of the HTTP interface;
 //! - [`burst`]: an open-loop load driver.
 
--- a/crates/fernring-standins/src/link.rs
+++ b/crates/fernring-standins/src/link.rs
@@ -1,4 +1,4 @@
-//! A TCP link to a node that can be cut by source address.
+//! A TCP link to a node that can be partitioned by source address.
 
 use {
     std::{
@@ -13,10 +13,10 @@
     },
 };
 
-/// Sources that are cut off, shared by all links of a test.
+/// Pairs of addresses that are partitioned from each other, shared by all links of a test.
 #[derive(Debug, Clone)]
-pub struct Cuts {
-    state: Arc<Mutex<HashSet<Pair>>>,
+pub struct Partitions {
+    pairs: Arc<Mutex<HashSet<Pair>>>,
     changed: watch::Sender<u64>,
 }
 
@@ -27,39 +27,39 @@
     to: IpAddr,
 }
 
-impl Default for Cuts {
+impl Default for Partitions {
     fn default() -> Self {
-        Self { state: Arc::default(), changed: watch::Sender::new(0) }
+        Self { pairs: Arc::default(), changed: watch::Sender::new(0) }
     }
 }
 
-impl Cuts {
-    /// Cuts two addresses off from each other, in both directions; connections break.
-    pub fn cut(&self, a: IpAddr, b: IpAddr) {
-        let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        state.insert(Pair { from: a, to: b });
-        state.insert(Pair { from: b, to: a });
-        drop(state);
+impl Partitions {
+    /// Partitions two addresses from each other in both directions. Existing connections are closed.
+    pub fn partition(&self, a: IpAddr, b: IpAddr) {
+        let mut pairs = self.pairs.lock().unwrap_or_else(PoisonError::into_inner);
+        pairs.insert(Pair { from: a, to: b });
+        pairs.insert(Pair { from: b, to: a });
+        drop(pairs);
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Heals every cut.
+    /// Removes all partitions.
     pub fn heal(&self) {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner).clear();
+        self.pairs.lock().unwrap_or_else(PoisonError::into_inner).clear();
         self.changed.send_modify(|count| *count += 1);
     }
 
-    fn is_cut(&self, pair: Pair) -> bool {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner).contains(&pair)
+    fn is_partitioned(&self, pair: Pair) -> bool {
+        self.pairs.lock().unwrap_or_else(PoisonError::into_inner).contains(&pair)
     }
 }
 
-/// Where a link leads; set once the node's own address is known.
+/// Destination of a link; set once the address of the node is known.
 #[derive(Debug, Clone, Default)]
 pub struct Target(Arc<Mutex<Option<SocketAddr>>>);
 
 impl Target {
-    /// Points the link at a node.
+    /// Sets the address of the node.
     pub fn set(&self, address: SocketAddr) {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = Some(address);
     }
@@ -72,22 +72,26 @@
 /// Starts a link on a free port of `ip` and returns its address.
 ///
 /// # Errors
-/// If it can't listen there.
-pub async fn start(ip: IpAddr, target: Target, cuts: Cuts) -> std::io::Result<SocketAddr> {
+/// If it can't listen on `ip`.
+pub async fn start(
+    ip: IpAddr,
+    target: Target,
+    partitions: Partitions,
+) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind(SocketAddr::new(ip, 0)).await?;
     let address = listener.local_addr()?;
     tokio::spawn(async move {
         while let Ok((stream, source)) = listener.accept().await {
             let pair = Pair { from: source.ip(), to: ip };
-            tokio::spawn(carry(stream, pair, target.clone(), cuts.clone()));
+            tokio::spawn(forward(stream, pair, target.clone(), partitions.clone()));
         }
     });
     Ok(address)
 }
 
-async fn carry(mut inbound: TcpStream, pair: Pair, target: Target, cuts: Cuts) {
-    let mut changed = cuts.changed.subscribe();
-    let Some(address) = target.get().filter(|_| !cuts.is_cut(pair)) else {
+async fn forward(mut inbound: TcpStream, pair: Pair, target: Target, partitions: Partitions) {
+    let mut changed = partitions.changed.subscribe();
+    let Some(address) = target.get().filter(|_| !partitions.is_partitioned(pair)) else {
         return;
     };
     let Ok(socket) = TcpSocket::new_v4() else { return };
@@ -98,7 +102,7 @@
         tokio::select! {
             _ = &mut copy => return,
             _ = changed.changed() => {
-                if cuts.is_cut(pair) {
+                if partitions.is_partitioned(pair) {
                     return;
                 }
             }
--- a/crates/fernring-standins/src/message.rs
+++ b/crates/fernring-standins/src/message.rs
@@ -1,12 +1,12 @@
-//! HTTP messages read off a socket, byte for byte, for stand-ins and tests that have to see or write
-//! what a library would tidy up.
+//! Reads raw HTTP messages from a socket, for stand-ins and tests that must see or write details
+//! that an HTTP library would normalise.
 
 use tokio::{io::AsyncReadExt, net::TcpStream};
 
-/// A request as an upstream sees it, or an answer as a caller does: the head, line by line, and the body.
+/// An HTTP message: a request as an upstream receives it, or a response as a caller does.
 #[derive(Debug, Clone, Default)]
 pub struct Message {
-    /// The first line.
+    /// The start line.
     pub start: String,
     /// The headers, in order.
     pub headers: Vec<(String, String)>,
@@ -15,31 +15,32 @@
 }
 
 impl Message {
-    /// Returns the first header of a name, in any case.
+    /// Returns the first header with a name, ignoring case.
     pub fn header(&self, name: &str) -> Option<&str> {
         let found = self.headers.iter().find(|(other, _)| other.eq_ignore_ascii_case(name));
         found.map(|(_, value)| value.as_str())
     }
 
-    /// Returns an answer's status; 0 if its first line has none.
+    /// Returns the status of a response, or 0 if the start line has none.
     pub fn status(&self) -> u16 {
         self.start.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
     }
 
-    /// Returns a request's path.
+    /// Returns the path of a request.
     pub fn path(&self) -> &str {
         self.start.split(' ').nth(1).unwrap_or_default()
     }
 }
 
-/// Reads one message; `None` if the connection ends or breaks first.
+/// Reads one message. Returns `None` if the connection ends or breaks before its end.
 pub async fn read_message(stream: &mut TcpStream) -> Option<Message> {
-    let (message, is_whole) = read_part(stream).await?;
-    is_whole.then_some(message)
+    let (message, is_complete) = read_partial_message(stream).await?;
+    is_complete.then_some(message)
 }
 
-/// Reads one message as far as it comes; tells whether it is whole. `None` if not even its head is.
-pub async fn read_part(stream: &mut TcpStream) -> Option<(Message, bool)> {
+/// Reads one message, or its beginning if the connection ends early, and returns it with whether it
+/// is complete. Returns `None` if not even its head is complete.
+pub async fn read_partial_message(stream: &mut TcpStream) -> Option<(Message, bool)> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         head.push(stream.read_u8().await.ok()?);
@@ -50,7 +51,7 @@
     let headers = lines.filter_map(|line| line.split_once(':'));
     let headers = headers.map(|(name, value)| (name.to_owned(), value.trim().to_owned()));
     let mut message = Message { start, headers: headers.collect(), body: Vec::new() };
-    let is_whole = if message.header("transfer-encoding").is_some() {
+    let is_complete = if message.header("transfer-encoding").is_some() {
         read_chunks(stream, &mut message.body).await.is_some()
     } else {
         let length = message.header("content-length").and_then(|length| length.parse().ok());
@@ -58,7 +59,7 @@
         let read = rest.read_to_end(&mut message.body).await;
         read.is_ok() && message.body.len() as u64 == length.unwrap_or(0)
     };
-    Some((message, is_whole))
+    Some((message, is_complete))
 }
 
 async fn read_chunks(stream: &mut TcpStream, body: &mut Vec<u8>) -> Option<()> {
--- a/crates/fernring-standins/src/platform.rs
+++ b/crates/fernring-standins/src/platform.rs
@@ -1,7 +1,7 @@
 //! A stand-in for the platform: an append-only log with offsets, limited retention, a rate limit
-//! and outages; a lagging VM list; a rate-limited weight store.
+//! and outages; a VM list that lags; a weight store with limited throughput.
 //!
-//! `POST /control` changes its behaviour; `GET /control` shows it.
+//! `POST /control` changes its behaviour; `GET /control` returns it.
 
 use {
     crate::server::{Server, start},
@@ -20,8 +20,8 @@
     tokio::sync::watch,
 };
 
-/// Longest that a request without an answer is held.
-const HOLD: Duration = Duration::from_secs(120);
+/// How long a request is held that gets no response.
+const UNANSWERED_HOLD: Duration = Duration::from_secs(120);
 /// Most records in one page.
 const PAGE_MAX_RECORDS: usize = 1_000;
 
@@ -29,14 +29,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Default)]
 #[serde(rename_all = "snake_case")]
 pub enum AppendFault {
-    /// They take effect and are answered.
+    /// They take effect and get a response.
     #[default]
     None,
-    /// They take effect, and the answer never comes.
+    /// They take effect, but get no response.
     AnswerLost,
-    /// They don't take effect, and no answer comes.
+    /// They don't take effect and get no response.
     Dropped,
-    /// They take effect after `delay_ms`, long after the caller may have given up.
+    /// They take effect after `delay_ms`, when the caller may have stopped waiting.
     Late,
 }
 
@@ -44,23 +44,23 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Control {
-    /// Whether the log answers at all.
+    /// Whether the log refuses all requests.
     pub log_down: bool,
-    /// Pause before each answer of the log, in milliseconds.
+    /// Delay before each response of the log, in milliseconds.
     pub delay_ms: u64,
     /// What happens to appends.
     pub append_fault: AppendFault,
-    /// Appends that the fault applies to; then it ends.
+    /// Number of appends that the fault applies to.
     pub append_fault_count: u64,
-    /// Appends taken in a second.
+    /// Appends accepted per second.
     pub appends_per_s: u64,
     /// How long records are kept, in milliseconds.
     pub retention_ms: u64,
-    /// How far the VM list lags, in milliseconds.
+    /// How far the VM list lags behind, in milliseconds.
     pub vm_lag_ms: u64,
-    /// Source addresses that get no answer of any kind.
+    /// Source addresses that get no response from any service.
     pub cut: Vec<IpAddr>,
-    /// Bytes a second that the weight store hands out.
+    /// Throughput of the weight store, in bytes per second.
     pub weight_bytes_per_s: u64,
 }
 
@@ -99,7 +99,7 @@
     streams: HashMap<String, Stream>,
     vms: Vec<VmVersion>,
     tokens: f64,
-    filled_at: Instant,
+    refilled_at: Instant,
     weights_free_at: Instant,
 }
 
@@ -110,7 +110,7 @@
     appended: watch::Sender<u64>,
 }
 
-/// Appends that each stream has taken.
+/// Number of appends that a stream has accepted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StreamCount {
     /// Name of the stream.
@@ -127,7 +127,7 @@
             streams: HashMap::new(),
             vms: Vec::new(),
             tokens: 50.0,
-            filled_at: now,
+            refilled_at: now,
             weights_free_at: now,
         };
         Self { inner: Mutex::new(inner), appended: watch::Sender::new(0) }
@@ -155,8 +155,8 @@
         let retention_ms = inner.control.retention_ms;
         let stream = inner.streams.entry(stream.to_owned()).or_default();
         let time_ms = unix_ms();
-        let old = |record: &LogRecord| record.time_ms + retention_ms < time_ms;
-        let expired = stream.records.iter().take_while(|record| old(record)).count();
+        let is_expired = |record: &LogRecord| record.time_ms + retention_ms < time_ms;
+        let expired = stream.records.iter().take_while(|record| is_expired(record)).count();
         stream.records.drain(..expired);
         stream.first_offset += expired as u64;
         let skip = from.saturating_sub(stream.first_offset) as usize;
@@ -172,8 +172,8 @@
     fn take_token(&self) -> bool {
         let mut inner = self.lock();
         let rate = inner.control.appends_per_s as f64;
-        let elapsed_s = inner.filled_at.elapsed().as_secs_f64();
-        inner.filled_at = Instant::now();
+        let elapsed_s = inner.refilled_at.elapsed().as_secs_f64();
+        inner.refilled_at = Instant::now();
         inner.tokens = (inner.tokens + elapsed_s * rate).min((rate / 10.0).max(1.0));
         if inner.tokens < 1.0 {
             return false;
@@ -191,20 +191,21 @@
         inner.control.append_fault
     }
 
-    /// Holds a request back if its source is cut off or the log is down; refuses it then.
-    async fn gate(&self, source: IpAddr, log: bool) -> Result<(), Status> {
-        let (cut, down, delay_ms) = {
+    /// Refuses a request if its source is partitioned, after holding it, or if the log is down.
+    /// Otherwise delays requests to the log.
+    async fn check_access(&self, source: IpAddr, is_log_call: bool) -> Result<(), Status> {
+        let (is_cut, is_down, delay_ms) = {
             let inner = self.lock();
             let control = &inner.control;
-            (control.cut.contains(&source), log && control.log_down, control.delay_ms)
+            (control.cut.contains(&source), is_log_call && control.log_down, control.delay_ms)
         };
-        if cut {
-            tokio::time::sleep(HOLD).await;
+        if is_cut {
+            tokio::time::sleep(UNANSWERED_HOLD).await;
         }
-        if down || cut {
+        if is_down || is_cut {
             return Err(Status::ServiceUnavailable);
         }
-        if log && delay_ms > 0 {
+        if is_log_call && delay_ms > 0 {
             tokio::time::sleep(Duration::from_millis(delay_ms)).await;
         }
         Ok(())
@@ -223,7 +224,7 @@
     source: IpAddr,
     platform: &State<Arc<Platform>>,
 ) -> Result<Json<AppendAnswer>, Status> {
-    platform.gate(source, true).await?;
+    platform.check_access(source, true).await?;
     let data = data.open(16.mebibytes()).into_bytes().await;
     let data = data.map_err(|_| Status::BadRequest)?.into_inner();
     if !platform.take_token() {
@@ -233,17 +234,17 @@
         AppendFault::None => Ok(Json(platform.append(stream, data))),
         AppendFault::AnswerLost => {
             platform.append(stream, data);
-            tokio::time::sleep(HOLD).await;
+            tokio::time::sleep(UNANSWERED_HOLD).await;
             Err(Status::GatewayTimeout)
         }
         AppendFault::Dropped => {
-            tokio::time::sleep(HOLD).await;
+            tokio::time::sleep(UNANSWERED_HOLD).await;
             Err(Status::GatewayTimeout)
         }
         AppendFault::Late => {
             let delay_ms = platform.lock().control.delay_ms;
             let (platform, stream) = (platform.inner().clone(), stream.to_owned());
-            // The append goes on even if the caller hangs up.
+            // The append continues even if the caller disconnects.
             let late = tokio::spawn(async move {
                 tokio::time::sleep(Duration::from_millis(delay_ms)).await;
                 platform.append(&stream, data)
@@ -261,15 +262,15 @@
     source: IpAddr,
     platform: &State<Arc<Platform>>,
 ) -> Result<Json<LogPage>, Status> {
-    platform.gate(source, true).await?;
+    platform.check_access(source, true).await?;
     let mut appended = platform.appended.subscribe();
     let end = tokio::time::Instant::now() + Duration::from_millis(wait_ms.unwrap_or(0));
     loop {
         let page = platform.page(stream, from);
         let waiting = page.records.is_empty() && page.first_offset <= from;
         if !waiting || tokio::time::timeout_at(end, appended.changed()).await.is_err() {
-            // An outage that began meanwhile takes the answer with it.
-            platform.gate(source, true).await?;
+            // If an outage has begun meanwhile, the response is lost.
+            platform.check_access(source, true).await?;
             return Ok(Json(page));
         }
     }
@@ -280,7 +281,7 @@
     source: IpAddr,
     platform: &State<Arc<Platform>>,
 ) -> Result<Json<Vec<VmEntry>>, Status> {
-    platform.gate(source, false).await?;
+    platform.check_access(source, false).await?;
     let inner = platform.lock();
     let lag = Duration::from_millis(inner.control.vm_lag_ms);
     let shown = inner.vms.iter().rev().find(|version| version.at.elapsed() >= lag);
@@ -293,7 +294,7 @@
     platform.lock().vms.push(version);
 }
 
-/// Hands out a model's weights: the answer comes when the store's rate allows it.
+/// Serves the weights of a model: responds when the throughput of the store allows it.
 #[get("/weights/<_model>?<bytes>")]
 async fn weights(_model: &str, bytes: u64, platform: &State<Arc<Platform>>) -> &'static str {
     let wait = {
@@ -331,7 +332,7 @@
 /// Starts the platform on a free port of `ip`.
 ///
 /// # Errors
-/// If it can't listen there.
+/// If it can't listen on `ip`.
 pub async fn serve(ip: IpAddr) -> anyhow::Result<Server> {
     let platform = Arc::new(Platform::new());
     start(ip, |rocket| {
--- a/crates/fernring-standins/src/process.rs
+++ b/crates/fernring-standins/src/process.rs
@@ -1,4 +1,4 @@
-//! Starting the real programs, reading their log lines and sending them signals.
+//! Starts the real programs, reads their log lines and sends them signals.
 
 use {
     anyhow::{Context, bail},
@@ -15,22 +15,22 @@
     },
 };
 
-/// Longest wait for an event that must come; far above what any takes, so that only a fault
+/// Longest wait for an expected event. It is far longer than any event takes, so that only a fault
 /// reaches it.
-pub const PATIENCE: Duration = Duration::from_secs(60);
-/// Lines shown when an awaited one does not come.
-const SHOWN_LINES: usize = 15;
+pub const EVENT_TIMEOUT: Duration = Duration::from_secs(60);
+/// Most log lines shown when an expected line is missing.
+const SHOWN_LINES_MAX: usize = 15;
 
 #[derive(Debug, Default)]
 struct Output {
     lines: Vec<String>,
-    ended: bool,
+    is_closed: bool,
 }
 
 #[derive(Debug, Default)]
 struct Shared {
     output: Mutex<Output>,
-    grown: Condvar,
+    changed: Condvar,
 }
 
 impl Shared {
@@ -39,7 +39,7 @@
     }
 }
 
-/// A program that was started here. It is killed when this is dropped.
+/// A running program. It is killed when this is dropped.
 #[derive(Debug)]
 pub struct Process {
     name: String,
@@ -48,14 +48,14 @@
 }
 
 /// Finds a program of this workspace next to the running one, which may be a test, an example or
-/// a program itself.
+/// another program.
 ///
 /// # Errors
 /// If it was not built.
-pub fn find(program: &str) -> anyhow::Result<PathBuf> {
-    let own = std::env::current_exe().context("could not learn the own path")?;
-    for folder in own.ancestors().skip(1).take(3) {
-        for candidate in [folder.join(program), folder.join("examples").join(program)] {
+pub fn find_program(program: &str) -> anyhow::Result<PathBuf> {
+    let own = std::env::current_exe().context("could not get the path of the running program")?;
+    for directory in own.ancestors().skip(1).take(3) {
+        for candidate in [directory.join(program), directory.join("examples").join(program)] {
             if candidate.is_file() {
                 return Ok(candidate);
             }
@@ -76,7 +76,7 @@
     /// # Errors
     /// If it was not built or can't be started.
     pub fn start(name: &str, program: &str, args: &[&str]) -> anyhow::Result<Self> {
-        let path = find(program)?;
+        let path = find_program(program)?;
         let mut command = Command::new(&path);
         command.args(args).stdin(Stdio::null()).stdout(Stdio::piped());
         let mut child =
@@ -87,10 +87,10 @@
         std::thread::spawn(move || {
             for line in BufReader::new(stdout).lines().map_while(Result::ok) {
                 writer.lock().lines.push(line);
-                writer.grown.notify_all();
+                writer.changed.notify_all();
             }
-            writer.lock().ended = true;
-            writer.grown.notify_all();
+            writer.lock().is_closed = true;
+            writer.changed.notify_all();
         });
         Ok(Self { name: name.to_owned(), child, shared })
     }
@@ -107,64 +107,64 @@
 
     /// Returns the log lines of an event so far.
     pub fn events(&self, event: &str) -> Vec<String> {
-        let wanted = |line: &String| value_of(line, "event") == Some(event);
-        self.shared.lock().lines.iter().filter(|line| wanted(line)).cloned().collect()
+        let is_wanted = |line: &String| value_of(line, "event") == Some(event);
+        self.shared.lock().lines.iter().filter(|line| is_wanted(line)).cloned().collect()
     }
 
-    /// Waits for the first line, from the start on, that `wanted` accepts.
+    /// Waits for the first log line since the start that `is_wanted` accepts.
     ///
     /// # Panics
-    /// If the program ends without it, or it does not come within [`PATIENCE`].
-    pub fn wait_line(&self, what: &str, wanted: impl Fn(&str) -> bool) -> String {
-        let end = Instant::now() + PATIENCE;
+    /// If the program ends without such a line, or none is logged within [`EVENT_TIMEOUT`].
+    pub fn wait_line(&self, what: &str, is_wanted: impl Fn(&str) -> bool) -> String {
+        let end = Instant::now() + EVENT_TIMEOUT;
         let mut output = self.shared.lock();
-        let mut looked_at = 0;
+        let mut checked = 0;
         loop {
-            let fresh = output.lines[looked_at..].iter().find(|line| wanted(line));
-            if let Some(line) = fresh {
+            let found = output.lines[checked..].iter().find(|line| is_wanted(line));
+            if let Some(line) = found {
                 return line.clone();
             }
-            looked_at = output.lines.len();
+            checked = output.lines.len();
             let now = Instant::now();
-            if output.ended || now >= end {
-                let tail = output.lines.iter().rev().take(SHOWN_LINES).rev().cloned();
+            if output.is_closed || now >= end {
+                let tail = output.lines.iter().rev().take(SHOWN_LINES_MAX).rev().cloned();
                 let tail = tail.collect::<Vec<_>>().join("\n");
-                panic!("{}: {what} did not come; last lines:\n{tail}", self.name);
+                panic!("{}: no line for {what}; last lines:\n{tail}", self.name);
             }
-            let waited = self.shared.grown.wait_timeout(output, end - now);
+            let waited = self.shared.changed.wait_timeout(output, end - now);
             output = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
 
-    /// Waits for the first line of an event.
+    /// Waits for the first log line of an event.
     ///
     /// # Panics
-    /// As [`Process::wait_line`] does.
+    /// In the same cases as [`Process::wait_line`].
     pub fn wait_event(&self, event: &str) -> String {
         self.wait_line(event, |line| value_of(line, "event") == Some(event))
     }
 
-    /// Sends a signal to this process and no other.
+    /// Sends a signal to this process only.
     ///
     /// # Errors
-    /// If the process is gone.
+    /// If the process has ended.
     pub fn signal(&self, signal: Signal) -> anyhow::Result<()> {
         let pid = Pid::from_raw(i32::try_from(self.pid()).context("process id")?);
         kill(pid, signal).with_context(|| format!("could not signal {}", self.name))
     }
 
-    /// Returns something that kills this process while it is borrowed elsewhere.
-    pub fn take_killer(&self) -> Killer {
+    /// Returns a handle that can kill this process while it is borrowed elsewhere.
+    pub fn killer(&self) -> Killer {
         Killer { pid: self.pid() }
     }
 
-    /// Tells whether the program has ended.
+    /// Returns whether the program has ended.
     ///
     /// # Errors
-    /// If that can't be learnt.
+    /// If its status can't be read.
     pub fn has_ended(&mut self) -> anyhow::Result<bool> {
         let status = self.child.try_wait();
-        Ok(status.with_context(|| format!("could not look at {}", self.name))?.is_some())
+        Ok(status.with_context(|| format!("could not read the status of {}", self.name))?.is_some())
     }
 
     /// Waits for the program to end.
@@ -175,14 +175,14 @@
         self.child.wait().with_context(|| format!("could not wait for {}", self.name))
     }
 
-    /// Kills the program at once and waits for its end.
+    /// Kills the program with SIGKILL and waits until it has ended.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
     /// Returns the processor time used so far, in milliseconds, and the resident memory, in
-    /// kilobytes, from the proc file system.
+    /// kilobytes, as read from `/proc`.
     pub fn usage(&self) -> Option<Usage> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.pid())).ok()?;
         let after_name = stat.rsplit_once(')')?.1;
@@ -197,23 +197,23 @@
     }
 }
 
-/// Kills one process that was started here.
+/// Handle that kills one process.
 #[derive(Debug)]
 pub struct Killer {
     pid: u32,
 }
 
 impl Killer {
-    /// Kills it at once.
+    /// Kills the process with SIGKILL.
     pub fn kill(self) {
         if let Ok(pid) = i32::try_from(self.pid) {
-            // It may have ended by itself.
+            // An error is ignored: the process may have ended already.
             let _ = kill(Pid::from_raw(pid), Signal::SIGKILL);
         }
     }
 }
 
-/// What a process has used.
+/// Resource usage of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Usage {
     /// Processor time, in milliseconds.
@@ -224,7 +224,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // A stopped process is killed all the same.
+        // SIGKILL also ends a process that is paused.
         self.kill();
     }
 }
--- a/crates/fernring-standins/src/server.rs
+++ b/crates/fernring-standins/src/server.rs
@@ -1,4 +1,4 @@
-//! Starting a stand-in's HTTP server.
+//! Starts the HTTP server of a stand-in.
 
 use {
     anyhow::{Context, anyhow},
@@ -14,13 +14,13 @@
 /// A running server.
 #[derive(Debug, Clone)]
 pub struct Server {
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
     shutdown: Shutdown,
 }
 
 impl Server {
-    /// Stops it.
+    /// Stops the server.
     pub fn stop(&self) {
         self.shutdown.clone().notify();
     }
@@ -29,7 +29,7 @@
 /// Starts a server on a free port of `ip`, in the current runtime.
 ///
 /// # Errors
-/// If it can't listen there.
+/// If it can't listen on `ip`.
 pub async fn start(
     ip: IpAddr,
     build: impl FnOnce(Rocket<Build>) -> Rocket<Build>,
--- a/crates/fernring-standins/src/store.rs
+++ b/crates/fernring-standins/src/store.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the platform's store, as the gateway uses it: keyed topics over HTTP by the published
-//! protocol, with outages and lost history by command.
+//! A stand-in for the platform's store as the gateway uses it: keyed topics over HTTP in the
+//! published protocol. Tests can cause outages and the loss of history.
 
 use {
     crate::message::{Message, read_message},
@@ -22,39 +22,39 @@
     },
 };
 
-/// Most newest records of one answer, by the published protocol.
-const PAGE_RECORDS: usize = 500;
-/// Bytes before the records of a page: the end, and the first number that is kept.
-const ENDS_BYTES: usize = 16;
+/// Most records in one response to a call for the newest records, by the published protocol.
+const PAGE_RECORDS_MAX: usize = 500;
+/// Bytes before the records of a page: the end offset and the first offset that is kept.
+const PAGE_HEADER_BYTES: usize = 16;
 
-/// What the store does with calls.
+/// How the store responds to calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mode {
-    /// It answers.
+    /// It responds.
     Up,
-    /// It refuses.
+    /// It refuses calls with status 503.
     Busy,
-    /// It doesn't answer.
+    /// It does not respond.
     Silent,
-    /// Its answers come bit by bit, as over a slow link: each takes [`SLOW_PIECES`] times
-    /// [`SLOW_PAUSE`].
+    /// It sends responses in chunks, as over a slow link: each response takes [`SLOW_CHUNKS`]
+    /// times [`SLOW_PAUSE`].
     Slow,
-    /// Its answers begin and never end.
-    Stuck,
+    /// It sends the first half of each response and then nothing more.
+    Stalled,
 }
 
-/// Pieces of a slow answer.
-pub const SLOW_PIECES: usize = 12;
-/// Pause before each of them.
+/// Number of chunks of a slow response.
+pub const SLOW_CHUNKS: usize = 12;
+/// Pause before each chunk of a slow response.
 pub const SLOW_PAUSE: Duration = Duration::from_millis(100);
 
-/// A topic: its records from `first` on.
+/// A topic: the records from offset `first` on.
 #[derive(Debug, Default, Clone)]
 struct Topic {
     first: u64,
     records: Vec<Record>,
-    /// Newest records of the keys that were written before `first`, with their numbers.
-    kept: BTreeMap<String, (u64, Vec<u8>)>,
+    /// Newest record before `first` of each key, with its offset.
+    compacted: BTreeMap<String, (u64, Vec<u8>)>,
 }
 
 impl Topic {
@@ -63,7 +63,7 @@
     }
 
     fn newest(&self) -> BTreeMap<String, (u64, Vec<u8>)> {
-        let mut newest = self.kept.clone();
+        let mut newest = self.compacted.clone();
         for (offset, record) in (self.first..).zip(&self.records) {
             if let Record::Keyed { key, value } = record {
                 newest.insert(key.clone(), (offset, value.clone()));
@@ -77,13 +77,13 @@
 enum Record {
     /// A key and its value.
     Keyed { key: String, value: Vec<u8> },
-    /// Bytes of another writer that hold no readable key.
+    /// Bytes of another writer that contain no readable key.
     Raw(Vec<u8>),
 }
 
 impl Record {
-    /// Returns what the log holds of it after its length.
-    fn content(&self) -> Vec<u8> {
+    /// Returns the encoded record, without the length that precedes it in a page.
+    fn encoded(&self) -> Vec<u8> {
         match self {
             Self::Keyed { key, value } => [&[key.len() as u8], key.as_bytes(), value].concat(),
             Self::Raw(content) => content.clone(),
@@ -91,21 +91,22 @@
     }
 }
 
-/// What the store held at some moment.
+/// A backup of all topics of a store.
 #[derive(Debug, Clone)]
-pub struct StoreCopy(HashMap<String, Topic>);
+pub struct StoreBackup(HashMap<String, Topic>);
 
-/// The store.
+/// A stand-in store.
 #[derive(Debug)]
 pub struct StandinStore {
     /// Where it listens.
     pub address: SocketAddr,
     topics: Mutex<HashMap<String, Topic>>,
-    /// How often it has come back from a copy, as its answers say; nothing if they don't.
+    /// Era that responses name: how often the store was restored from a backup. `None` if they name
+    /// no era.
     era: Mutex<Option<String>>,
     mode: watch::Sender<Mode>,
     appended: watch::Sender<u64>,
-    /// Most newest records of one answer.
+    /// Most records in one response to a call for the newest records.
     page_records: AtomicUsize,
 }
 
@@ -122,32 +123,33 @@
             era: Mutex::default(),
             mode: watch::Sender::new(Mode::Up),
             appended: watch::Sender::new(0),
-            page_records: AtomicUsize::new(PAGE_RECORDS),
+            page_records: AtomicUsize::new(PAGE_RECORDS_MAX),
         });
-        let serving = store.clone();
+        let server = store.clone();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(serving.clone().serve(stream));
+                tokio::spawn(server.clone().serve(stream));
             }
         });
         Ok(store)
     }
 
-    /// Sets how many newest records one answer holds at most.
-    pub fn set_page_records(&self, most: usize) {
-        self.page_records.store(most, Ordering::Relaxed);
+    /// Sets the most records in one response to a call for the newest records.
+    pub fn set_page_records(&self, max_records: usize) {
+        self.page_records.store(max_records, Ordering::Relaxed);
     }
 
-    /// Sets what it does with calls.
+    /// Sets how it responds to calls.
     pub fn set_mode(&self, mode: Mode) {
         self.mode.send_replace(mode);
     }
 
-    /// Writes a configuration; version `n` has the routes `/v2/` to `/vn/` besides the others.
-    pub fn configure(&self, version: u64) {
-        let route = |name: &str, kind: &str, more: &str| {
+    /// Writes a configuration. Version `n` has the routes `/v2/` to `/vn/` in addition to the fixed
+    /// ones.
+    pub fn put_config(&self, version: u64) {
+        let route = |name: &str, kind: &str, extra_fields: &str| {
             format!(
-                r#"{{"name":"{name}","host":"h.example","pathPrefix":"/{name}/","kind":"{kind}","timeoutMs":4000,"targetLatencyMs":1000,"service":"app","attempts":2{more}}}"#
+                r#"{{"name":"{name}","host":"h.example","pathPrefix":"/{name}/","kind":"{kind}","timeoutMs":4000,"targetLatencyMs":1000,"service":"app","attempts":2{extra_fields}}}"#
             )
         };
         let resumable = r#","resumable":true"#;
@@ -168,13 +170,19 @@
         self.put("keyed.op", "config", config.into_bytes());
     }
 
-    /// Writes an upstream's record; without a state it is removed.
-    pub fn list(&self, instance: &str, service: &str, address: SocketAddr, state: Option<&str>) {
-        self.list_version("v1", instance, service, address, state);
+    /// Writes the record of an upstream that runs version `v1`, or removes it if `state` is `None`.
+    pub fn put_upstream(
+        &self,
+        instance: &str,
+        service: &str,
+        address: SocketAddr,
+        state: Option<&str>,
+    ) {
+        self.put_upstream_version("v1", instance, service, address, state);
     }
 
-    /// Writes the record of an upstream that runs a version; without a state it is removed.
-    pub fn list_version(
+    /// Writes the record of an upstream that runs `version`, or removes it if `state` is `None`.
+    pub fn put_upstream_version(
         &self,
         version: &str,
         instance: &str,
@@ -190,50 +198,50 @@
         self.put("keyed.servers", instance, value);
     }
 
-    /// Orders that a version of a service be rolled out.
-    pub fn order(&self, service: &str, destination: &str, time: Duration) {
+    /// Writes an order to roll out a version of a service.
+    pub fn order_rollout(&self, service: &str, destination: &str, time: Duration) {
         let order = json!({"service": service, "destination": destination,
             "durationS": time.as_secs_f64()});
         self.put("keyed.op", &format!("rollout/{service}"), order.to_string().into_bytes());
     }
 
-    /// Returns what is said of the roll-out of a version: its state.
+    /// Returns the reported state of the roll-out of a version.
     pub fn rollout_state(&self, service: &str, destination: &str) -> Option<String> {
         let newest = self.lock().get("keyed.status")?.newest();
         let (_, value) = newest.get(&format!("rollout/{service}"))?;
         let status: Value = serde_json::from_slice(value).ok()?;
-        let is_asked_for = status["destination"] == destination;
-        is_asked_for.then(|| status["state"].as_str().unwrap_or_default().to_owned())
+        let is_ordered_version = status["destination"] == destination;
+        is_ordered_version.then(|| status["state"].as_str().unwrap_or_default().to_owned())
     }
 
-    /// Takes a copy of what it holds.
-    pub fn copy(&self) -> StoreCopy {
-        StoreCopy(self.lock().clone())
+    /// Takes a backup of all topics.
+    pub fn backup(&self) -> StoreBackup {
+        StoreBackup(self.lock().clone())
     }
 
-    /// Comes back from a copy: what was written since is lost, and its numbers are given out again.
-    pub fn come_back(&self, copy: StoreCopy, era: u64) {
-        *self.lock() = copy.0;
-        self.say_era(&era.to_string());
+    /// Restores a backup: records written since are lost, and their offsets are assigned again.
+    pub fn restore(&self, backup: StoreBackup, era: u64) {
+        *self.lock() = backup.0;
+        self.set_era(&era.to_string());
     }
 
-    /// Sets the era that answers name from now on, whatever it is.
-    pub fn say_era(&self, era: &str) {
+    /// Sets the era that responses name from now on; any text is allowed.
+    pub fn set_era(&self, era: &str) {
         *self.era.lock().unwrap_or_else(PoisonError::into_inner) = Some(era.to_owned());
     }
 
-    /// Forgets the history of a topic: the newest record of each key is kept, and the records from
-    /// before have no number any more.
-    pub fn forget_history(&self, topic: &str) {
+    /// Compacts a topic: only the newest record of each key is kept, and the offsets before the end
+    /// can't be read any more.
+    pub fn compact(&self, topic: &str) {
         if let Some(topic) = self.lock().get_mut(topic) {
             let newest = topic.newest();
             topic.first = topic.end();
-            topic.kept = newest;
+            topic.compacted = newest;
             topic.records.clear();
         }
     }
 
-    /// Writes a record that holds no readable key.
+    /// Writes a record that contains no readable key.
     pub fn put_raw(&self, topic: &str, content: &[u8]) {
         self.push(topic, Record::Raw(content.to_vec()));
     }
@@ -259,16 +267,16 @@
     async fn serve(self: Arc<Self>, mut stream: TcpStream) {
         while let Some(call) = read_message(&mut stream).await {
             let mode = *self.mode.borrow();
-            let answer = match mode {
-                Mode::Up | Mode::Slow | Mode::Stuck => self.answer(&call).await,
+            let response = match mode {
+                Mode::Up | Mode::Slow | Mode::Stalled => self.handle_call(&call).await,
                 Mode::Busy => (503, Vec::new()),
-                Mode::Silent => return self.until(Mode::Silent).await,
+                Mode::Silent => return self.hold_during(Mode::Silent).await,
             };
-            // An outage that began meanwhile takes the answer with it.
+            // If an outage has begun meanwhile, the response is lost.
             if *self.mode.borrow() == Mode::Silent {
-                return self.until(Mode::Silent).await;
+                return self.hold_during(Mode::Silent).await;
             }
-            let (status, body) = answer;
+            let (status, body) = response;
             let era = self.era.lock().unwrap_or_else(PoisonError::into_inner).clone();
             let era = era.map_or_else(String::new, |era| format!("Store-Era: {era}\r\n"));
             let length = body.len();
@@ -276,10 +284,10 @@
             let bytes = [head.into_bytes(), body].concat();
             let written = match mode {
                 Mode::Slow => write_slowly(&mut stream, &bytes).await,
-                Mode::Stuck => {
-                    // Whether the caller is still there shows at the end of the outage.
+                Mode::Stalled => {
+                    // An error is ignored: the connection ends after the outage anyway.
                     let _ = stream.write_all(&bytes[..bytes.len() / 2]).await;
-                    return self.until(Mode::Stuck).await;
+                    return self.hold_during(Mode::Stalled).await;
                 }
                 _ => stream.write_all(&bytes).await,
             };
@@ -289,14 +297,14 @@
         }
     }
 
-    /// Keeps a connection without an answer until an outage is over; then it ends.
-    async fn until(&self, outage: Mode) {
+    /// Holds a connection without a response until an outage is over; the connection then ends.
+    async fn hold_during(&self, outage: Mode) {
         let mut mode = self.mode.subscribe();
-        // The sender lives as long as the store.
+        // This can't fail: the sender lives as long as the store.
         let _ = mode.wait_for(|mode| *mode != outage).await;
     }
 
-    async fn answer(&self, call: &Message) -> (u16, Vec<u8>) {
+    async fn handle_call(&self, call: &Message) -> (u16, Vec<u8>) {
         let (path, query) = call.path().split_once('?').unwrap_or((call.path(), ""));
         let query: HashMap<_, _> =
             query.split('&').filter_map(|pair| pair.split_once('=')).collect();
@@ -321,14 +329,14 @@
     fn newest(&self, topic: &str, after: Option<&str>) -> Vec<u8> {
         let topics = self.lock();
         let (newest, end) = topics.get(topic).map(|t| (t.newest(), t.end())).unwrap_or_default();
-        let is_asked_for = |key: &str| after.is_none_or(|after| key > after);
+        let is_after = |key: &str| after.is_none_or(|after| key > after);
         let items = newest.into_iter().filter(|(_, (_, value))| !value.is_empty());
-        let items = items.filter(|(key, _)| is_asked_for(key));
+        let items = items.filter(|(key, _)| is_after(key));
         let item = |(key, (offset, value)): (String, (u64, Vec<u8>))| json!({"key": key, "value": BASE64_STANDARD.encode(&value), "offset": offset});
         let mut items: Vec<Value> = items.map(item).collect();
-        let most = self.page_records.load(Ordering::Relaxed);
-        let has_more = items.len() > most;
-        items.truncate(most);
+        let max_records = self.page_records.load(Ordering::Relaxed);
+        let has_more = items.len() > max_records;
+        items.truncate(max_records);
         json!({"items": items, "hasMore": has_more, "end": end}).to_string().into_bytes()
     }
 
@@ -339,14 +347,14 @@
             let Some(page) = self.page(topic, from) else {
                 return (410, Vec::new());
             };
-            let has_records = page.len() > ENDS_BYTES;
+            let has_records = page.len() > PAGE_HEADER_BYTES;
             if has_records || tokio::time::timeout_at(end, appended.changed()).await.is_err() {
                 return (200, page);
             }
         }
     }
 
-    /// Returns the records from a number on; `None` if they are not kept any more.
+    /// Returns the records from an offset on, or `None` if they are not kept any more.
     fn page(&self, topic: &str, from: u64) -> Option<Vec<u8>> {
         let mut topics = self.lock();
         let topic = topics.entry(topic.to_owned()).or_default();
@@ -355,18 +363,18 @@
         page.extend(topic.end().to_be_bytes());
         page.extend(topic.first.to_be_bytes());
         for record in topic.records.get(skip as usize..)? {
-            let content = record.content();
-            page.extend((content.len() as u32).to_be_bytes());
-            page.extend(content);
+            let encoded = record.encoded();
+            page.extend((encoded.len() as u32).to_be_bytes());
+            page.extend(encoded);
         }
         Some(page)
     }
 
-    /// Appends a record, if the topic ends where a condition says.
+    /// Appends a record, but only if the topic ends at `end` when that is given.
     fn append_if(&self, topic: &str, body: &[u8], end: Option<u64>) -> (u16, Vec<u8>) {
-        let known = self.lock().get(topic).map_or(0, Topic::end);
-        if end.is_some_and(|end| end != known) {
-            return (412, json!({"end": known}).to_string().into_bytes());
+        let current_end = self.lock().get(topic).map_or(0, Topic::end);
+        if end.is_some_and(|end| end != current_end) {
+            return (412, json!({"end": current_end}).to_string().into_bytes());
         }
         (200, self.append(topic, body))
     }
@@ -381,9 +389,9 @@
 }
 
 async fn write_slowly(stream: &mut TcpStream, bytes: &[u8]) -> std::io::Result<()> {
-    for piece in bytes.chunks(bytes.len().div_ceil(SLOW_PIECES)) {
+    for chunk in bytes.chunks(bytes.len().div_ceil(SLOW_CHUNKS)) {
         tokio::time::sleep(SLOW_PAUSE).await;
-        stream.write_all(piece).await?;
+        stream.write_all(chunk).await?;
     }
     Ok(())
 }
--- a/crates/fernring-standins/src/upstream.rs
+++ b/crates/fernring-standins/src/upstream.rs
@@ -1,8 +1,8 @@
-//! Stand-ins for upstreams: engines with batching, a prefix cache, lagging load and orders; and
-//! plain services. Each keeps its own record of what it ran.
+//! Stand-ins for upstreams: engines with batching, a prefix cache, load reports that lag, and
+//! orders; and plain services. Each records the attempts that it ran.
 //!
-//! An attempt's output is the stage's name around its input, so that a test can say what the
-//! whole answer must be. `POST /control` changes the behaviour.
+//! The output of an attempt is the name of the stage around its input, so that a test can compute
+//! the expected answer. `POST /control` changes the behaviour.
 
 use {
     crate::server::{Server, start},
@@ -29,36 +29,36 @@
     uuid::Uuid,
 };
 
-/// Longest that a stalled attempt is held.
-const STALL: Duration = Duration::from_secs(120);
-/// Prefixes that an engine's cache holds.
+/// How long a stalled attempt is held.
+const STALL_TIME: Duration = Duration::from_secs(120);
+/// Number of prefixes in an engine's cache.
 const CACHED_PREFIXES: usize = 8;
-/// Part of the first step's time that a cached prefix saves.
-const CACHE_SAVES: f64 = 0.6;
-/// At a full batch a step takes this much longer than alone.
+/// Share of the prefill time that a cached prefix saves.
+const CACHED_PREFIX_SAVING: f64 = 0.6;
+/// By which factor a step takes longer in a full batch than alone: 0.5 means 1.5 times as long.
 const BATCH_SLOWDOWN: f64 = 0.5;
-/// Records of runs that are kept.
+/// Largest index of a recorded run.
 const RUNS_MAX: usize = 1_000_000;
 
-/// What kind of service a stand-in is and how it behaves.
+/// Kind and behaviour of a stand-in.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Behaviour {
     /// Whether it is a model engine.
     pub engine: bool,
-    /// Mean time of an attempt alone, in milliseconds.
+    /// Mean duration of an attempt that runs alone, in milliseconds.
     pub service_ms: f64,
-    /// Spread of the time: each attempt's is multiplied by 1 plus or minus up to this.
+    /// Spread of the duration: that of each attempt is multiplied by 1 plus or minus up to this.
     pub spread: f64,
-    /// Attempts run at once; others wait.
+    /// Number of attempts that run at once; others wait.
     pub concurrency: u32,
-    /// Parts that an answer is sent in.
+    /// Number of parts that a response is sent in.
     pub parts: u32,
-    /// Whether parts are sent in a random order.
+    /// Whether parts are sent in reverse order.
     pub shuffle: bool,
     /// Whether each part is sent twice.
     pub duplicate: bool,
-    /// Whether parts echo another attempt's number first.
+    /// Whether a part with the number of another attempt is sent first.
     pub misdirect: bool,
     /// Whether the last part is left out.
     pub truncate: bool,
@@ -68,15 +68,15 @@
     pub fail_share: f64,
     /// Whether a failing attempt has run before it fails.
     pub fail_after_run: bool,
-    /// Whether it is leaving and refuses new attempts.
+    /// Whether it is leaving, so that it refuses new attempts.
     pub leaving: bool,
-    /// Whether its report does not tell that it is leaving.
+    /// Whether its report omits that it is leaving.
     pub silent: bool,
-    /// Whether its report tells that it is leaving, while it still takes what it is given.
+    /// Whether its report says that it is leaving, although it still accepts attempts.
     pub leaving_report: bool,
     /// How far its reported load lags, in milliseconds.
     pub report_lag_ms: u64,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it refuses orders with an old fencing token.
     pub checks_fencing: bool,
 }
 
@@ -104,7 +104,7 @@
     }
 }
 
-/// One attempt that a stand-in took on.
+/// One attempt that a stand-in began to run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Run {
     /// Identity of the request.
@@ -117,18 +117,18 @@
     pub input: String,
     /// When it began, in milliseconds since the stand-in started.
     pub began_ms: u64,
-    /// Whether it ran to its end, as far as the stand-in can tell.
+    /// Whether it ran to its end.
     pub completed: bool,
 }
 
-/// An order that a stand-in was given.
+/// An order that a stand-in received.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OrderTaken {
-    /// Its fencing number.
+pub struct ReceivedOrder {
+    /// Its fencing token.
     pub fence: u64,
     /// Its models.
     pub models: Vec<String>,
-    /// Whether it was taken.
+    /// Whether it was accepted.
     pub taken: bool,
 }
 
@@ -136,7 +136,7 @@
 struct Inner {
     behaviour: Behaviour,
     runs: Vec<Run>,
-    orders: Vec<OrderTaken>,
+    orders: Vec<ReceivedOrder>,
     models: Vec<String>,
     highest_fence: u64,
     active: u32,
@@ -157,44 +157,45 @@
     }
 }
 
-/// Counts an attempt for as long as it lasts, also when its caller hangs up.
-struct Load(Arc<Service>);
+/// Counts an attempt towards the load until it is dropped, also if the caller disconnects.
+struct WaitingGuard(Arc<Service>);
 
-impl Load {
+impl WaitingGuard {
     fn new(service: &Arc<Service>) -> Self {
         service.lock().waiting += 1;
         Self(service.clone())
     }
 }
 
-impl Drop for Load {
+impl Drop for WaitingGuard {
     fn drop(&mut self) {
         self.0.lock().waiting -= 1;
     }
 }
 
-struct Active(Arc<Service>);
+/// Counts an attempt as running until it is dropped.
+struct ActiveGuard(Arc<Service>);
 
-impl Active {
+impl ActiveGuard {
     fn new(service: &Arc<Service>) -> Self {
         service.lock().active += 1;
         Self(service.clone())
     }
 }
 
-impl Drop for Active {
+impl Drop for ActiveGuard {
     fn drop(&mut self) {
         self.0.lock().active -= 1;
     }
 }
 
-enum RunReply {
+enum RunResponse {
     Refused(&'static str),
     Error,
     Lines(BoxStream<'static, String>),
 }
 
-impl<'r> Responder<'r, 'r> for RunReply {
+impl<'r> Responder<'r, 'r> for RunResponse {
     fn respond_to(self, request: &'r Request<'_>) -> rocket::response::Result<'r> {
         match self {
             Self::Refused(why) => Response::build()
@@ -208,38 +209,38 @@
 }
 
 #[post("/v1/run", data = "<run>")]
-async fn run(run: Json<RunRequest>, service: &State<Arc<Service>>) -> RunReply {
+async fn run(run: Json<RunRequest>, service: &State<Arc<Service>>) -> RunResponse {
     let service = service.inner().clone();
     let run = run.into_inner();
     if service.lock().behaviour.leaving {
-        return RunReply::Refused(NOT_RUN_LEAVING);
+        return RunResponse::Refused(NOT_RUN_LEAVING);
     }
-    let load = Load::new(&service);
+    let waiting = WaitingGuard::new(&service);
     let Ok(slot) = service.slots.clone().acquire_owned().await else {
-        return RunReply::Error;
+        return RunResponse::Error;
     };
-    let active = Active::new(&service);
-    let (index, behaviour) = begin(&service, &run);
+    let active = ActiveGuard::new(&service);
+    let (index, behaviour) = record_run(&service, &run);
     if behaviour.stall {
-        tokio::time::sleep(STALL).await;
-        return RunReply::Error;
+        tokio::time::sleep(STALL_TIME).await;
+        return RunResponse::Error;
     }
     let fails = rand::rng().random_bool(behaviour.fail_share.clamp(0.0, 1.0));
     if fails && !behaviour.fail_after_run {
-        return RunReply::Error;
+        return RunResponse::Error;
     }
     let step = step_time(&service, &behaviour, run.prefix);
     let first = step.first;
     tokio::time::sleep(first).await;
     if fails {
         service.lock().runs[index].completed = true;
-        return RunReply::Error;
+        return RunResponse::Error;
     }
-    let lines = answer_lines(&run, &behaviour);
+    let lines = response_lines(&run, &behaviour);
     let last = lines.len().saturating_sub(1);
-    let held = Arc::new((load, slot, active));
+    let guards = Arc::new((waiting, slot, active));
     let rest = stream::iter(lines.into_iter().enumerate()).then(move |(position, line)| {
-        let (service, held) = (service.clone(), held.clone());
+        let (service, guards) = (service.clone(), guards.clone());
         async move {
             if position > 0 {
                 tokio::time::sleep(step.each).await;
@@ -247,14 +248,14 @@
             if position == last {
                 service.lock().runs[index].completed = true;
             }
-            drop(held);
+            drop(guards);
             line
         }
     });
-    RunReply::Lines(rest.boxed())
+    RunResponse::Lines(rest.boxed())
 }
 
-fn begin(service: &Arc<Service>, run: &RunRequest) -> (usize, Behaviour) {
+fn record_run(service: &Arc<Service>, run: &RunRequest) -> (usize, Behaviour) {
     let began_ms = service.started.elapsed().as_millis() as u64;
     let mut inner = service.lock();
     let index = inner.runs.len().min(RUNS_MAX);
@@ -271,9 +272,9 @@
 
 #[derive(Debug, Clone, Copy)]
 struct StepTime {
-    /// Until the first part.
+    /// Time until the first part.
     first: Duration,
-    /// Between parts.
+    /// Time between parts.
     each: Duration,
 }
 
@@ -293,8 +294,8 @@
     if inner.prefixes.len() > CACHED_PREFIXES {
         inner.prefixes.pop_front();
     }
-    // Half of the time goes into reading the prompt, of which a cached prefix saves a part.
-    let prompt_ms = total_ms / 2.0 * if cached { 1.0 - CACHE_SAVES } else { 1.0 };
+    // Half of the time is prefill, of which a cached prefix saves a share.
+    let prompt_ms = total_ms / 2.0 * if cached { 1.0 - CACHED_PREFIX_SAVING } else { 1.0 };
     let each_ms = total_ms / 2.0 / f64::from(behaviour.parts.max(1));
     StepTime { first: ms(prompt_ms + each_ms), each: ms(each_ms) }
 }
@@ -303,12 +304,12 @@
     Duration::from_secs_f64(value.max(0.0) / 1_000.0)
 }
 
-/// The output of a stage for an input.
+/// Returns the output of a stage for an input.
 pub fn output_of(stage: &str, input: &str) -> String {
     format!("{stage}({input})")
 }
 
-fn answer_lines(run: &RunRequest, behaviour: &Behaviour) -> Vec<String> {
+fn response_lines(run: &RunRequest, behaviour: &Behaviour) -> Vec<String> {
     let text = output_of(&run.stage, &run.input);
     let chars: Vec<char> = text.chars().collect();
     let count = (behaviour.parts.max(1) as usize).min(chars.len().max(1));
@@ -363,7 +364,7 @@
     let Order { fence, mut models } = order.into_inner();
     let mut inner = service.lock();
     let taken = !inner.behaviour.checks_fencing || fence >= inner.highest_fence;
-    inner.orders.push(OrderTaken { fence, models: models.clone(), taken });
+    inner.orders.push(ReceivedOrder { fence, models: models.clone(), taken });
     if !taken {
         return Status::Conflict;
     }
@@ -389,14 +390,14 @@
 }
 
 #[get("/control/orders")]
-fn orders_taken(service: &State<Arc<Service>>) -> Json<Vec<OrderTaken>> {
+fn received_orders(service: &State<Arc<Service>>) -> Json<Vec<ReceivedOrder>> {
     Json(service.lock().orders.clone())
 }
 
 /// Starts an upstream on a free port of `ip`.
 ///
 /// # Errors
-/// If it can't listen there.
+/// If it can't listen on `ip`.
 pub async fn serve(ip: IpAddr, behaviour: Behaviour) -> anyhow::Result<Server> {
     let slots = Arc::new(Semaphore::new(behaviour.concurrency.max(1) as usize));
     let inner = Inner {
@@ -414,7 +415,7 @@
     start(ip, |rocket| {
         rocket
             .manage(service)
-            .mount("/", routes![run, report, orders, control, set_control, runs, orders_taken,])
+            .mount("/", routes![run, report, orders, control, set_control, runs, received_orders,])
     })
     .await
 }
--- a/crates/fernring-standins/tests/testsuite/bad_input.rs
+++ b/crates/fernring-standins/tests/testsuite/bad_input.rs
@@ -4,7 +4,7 @@
     crate::builder::{Builder, call, keyed},
     fernring_standins::{
         caller::{Answer, Call},
-        process::find,
+        process::find_program,
     },
     std::{fs, process::Command},
     tempfile::TempDir,
@@ -49,7 +49,7 @@
     assert_eq!(response.status(), 404);
     assert!(response.headers().contains_key("retry-after"));
     assert_eq!(response.json::<Answer>().await.unwrap().code, 2009);
-    assert_eq!(cluster.view(0).await.unwrap().counters["accepted"], 1);
+    assert_eq!(cluster.status(0).await.unwrap().counters["accepted"], 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -81,7 +81,7 @@
 
 fn check(folder: &TempDir, text: &str) -> (Option<i32>, String) {
     fs::write(folder.path().join("node.toml"), text).unwrap();
-    let mut command = Command::new(find("fernring").unwrap());
+    let mut command = Command::new(find_program("fernring").unwrap());
     let output = command.args(["check", "node.toml"]).current_dir(folder.path()).output().unwrap();
     (output.status.code(), String::from_utf8(output.stderr).unwrap())
 }
@@ -119,7 +119,7 @@
     let fernctl = ["", "plan", "confirm", "publish", "pipelines", "drain", "status", "explain"];
     let all = fernring.iter().map(|sub| ("fernring", *sub));
     for (program, subcommand) in all.chain(fernctl.iter().map(|sub| ("fernctl", *sub))) {
-        let mut command = Command::new(find(program).unwrap());
+        let mut command = Command::new(find_program(program).unwrap());
         let command = command.args((!subcommand.is_empty()).then_some(subcommand)).arg("--help");
         let output =
             command.env_remove("FERNRING_LOG").env_remove("FERNRING_BOOT").output().unwrap();
--- a/crates/fernring-standins/tests/testsuite/cuts.rs
+++ b/crates/fernring-standins/tests/testsuite/cuts.rs
@@ -24,7 +24,7 @@
 
 fn cut_domain_off(cluster: &Cluster, domain: &str) {
     for other in ["a", "b", "c"].iter().filter(|other| **other != domain) {
-        cluster.cuts.cut(domain_ip(domain), domain_ip(other));
+        cluster.partitions.partition(domain_ip(domain), domain_ip(other));
     }
 }
 
@@ -38,16 +38,16 @@
     cluster.publish(vec![new_workspace("late")]).await.unwrap();
     for node in 2..6 {
         let version = cluster.version;
-        let in_force = |view: &fernring_standins::cluster::NodeView| view.config_version == version;
+        let in_force = |view: &fernring_standins::cluster::NodeStatus| view.config_version == version;
         cluster.wait_node(node, "the change", in_force).await.unwrap();
     }
     for node in 0..2 {
-        assert_eq!(cluster.view(node).await.unwrap().config_version, before);
+        assert_eq!(cluster.status(node).await.unwrap().config_version, before);
         let address = cluster.nodes[node].caller_address;
         let answer = cluster.caller.call(address, "answer", &call("x")).await.unwrap();
         assert_eq!(answer.output, Some(whole_answer("x")));
     }
-    cluster.cuts.heal();
+    cluster.partitions.heal();
     cluster.control_platform(&Control::default()).await.unwrap();
     cluster.settle().await.unwrap();
     let letter = keyed("after");
@@ -98,7 +98,7 @@
         .await
         .unwrap();
     let version = cluster.version;
-    let in_force = |view: &fernring_standins::cluster::NodeView| view.config_version >= version;
+    let in_force = |view: &fernring_standins::cluster::NodeStatus| view.config_version >= version;
     cluster.wait_node(node, "the configuration", in_force).await.unwrap();
     let address = cluster.nodes[node].caller_address;
     let answer = cluster.caller.call(address, "answer", &call("x")).await.unwrap();
@@ -167,7 +167,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_upstream_that_the_vm_list_shows_as_leaving_gets_no_new_work() {
     let mut cluster = Builder::new().settings(FAST).start().await;
-    cluster.list_upstream("retrievers-0", VmState::Leaving).await.unwrap();
+    cluster.set_vm_state("retrievers-0", VmState::Leaving).await.unwrap();
     for node in &cluster.nodes {
         node.process.wait_event("vms_leaving");
     }
--- a/crates/fernring-standins/tests/testsuite/drain.rs
+++ b/crates/fernring-standins/tests/testsuite/drain.rs
@@ -74,7 +74,7 @@
             }));
         }
         let accepted =
-            |view: &fernring_standins::cluster::NodeView| view.counters["accepted"] >= 10;
+            |view: &fernring_standins::cluster::NodeStatus| view.counters["accepted"] >= 10;
         cluster.wait_node(old, "ten requests", accepted).await.unwrap();
         cluster.nodes[old].process.signal(Signal::SIGTERM).unwrap();
         assert!(cluster.nodes[old].process.wait().unwrap().success());
--- a/crates/fernring-standins/tests/testsuite/effects.rs
+++ b/crates/fernring-standins/tests/testsuite/effects.rs
@@ -220,7 +220,7 @@
     assert_eq!(runs.len(), answered.len(), "letters run and letters answered differ");
     let mut effects = 0;
     for node in 0..cluster.nodes.len() {
-        effects += cluster.view(node).await.unwrap().counters["effects"];
+        effects += cluster.status(node).await.unwrap().counters["effects"];
     }
     assert_eq!(effects as usize, runs.len(), "letters run and letters reported differ");
 }
--- a/crates/fernring-standins/tests/testsuite/operators.rs
+++ b/crates/fernring-standins/tests/testsuite/operators.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::builder::Builder,
-    fernring_standins::{cluster::Cluster, process::find, upstream::Behaviour},
+    fernring_standins::{cluster::Cluster, process::find_program, upstream::Behaviour},
     serde_json::Value,
     std::{fs, path::Path, process::Output},
     tempfile::TempDir,
@@ -13,7 +13,7 @@
                      duration_s = 600\ncrowd = 6000\ndeadline_ms = 4000\n";
 
 async fn fernctl(cluster: &Cluster, folder: &Path, args: &[&str]) -> Output {
-    let mut command = Command::new(find("fernctl").unwrap());
+    let mut command = Command::new(find_program("fernctl").unwrap());
     command.args(args).current_dir(folder).env("FERNRING_LOG", cluster.platform.to_string());
     command.output().await.unwrap()
 }
--- a/crates/fernring-standins/tests/testsuite/path.rs
+++ b/crates/fernring-standins/tests/testsuite/path.rs
@@ -44,7 +44,7 @@
     let answer = streamed.answer.unwrap();
     assert_eq!(answer.code, 1000);
     assert_eq!(answer.output, Some(whole_answer("hello")));
-    let view = cluster.view(1).await.unwrap();
+    let view = cluster.status(1).await.unwrap();
     assert!(view.counters["parts_misdirected"] >= 1);
     assert!(view.counters["parts_duplicate"] >= 1);
 }
