--- a/crates/fernring-standins/examples/burst.rs
+++ b/crates/fernring-standins/examples/burst.rs
@@ -1,5 +1,5 @@
-//! Measures the policy: a burst against real nodes and stand-ins, once under the plain baseline
-//! and once under the whole policy (or other settings), in one run.
+//! Measures the policy: sends a burst to real nodes with stand-ins, once with the baseline policy
+//! and once with the full policy, or with other settings.
 
 use {
     anyhow::Context,
@@ -15,17 +15,17 @@
     std::{collections::BTreeMap, fs, net::SocketAddr, path::PathBuf, time::Duration},
 };
 
-/// When a fault begins, as a part of the run.
+/// Share of the run after which the fault begins.
 const FAULT_AT: f64 = 0.4;
 
-/// A deployment's shape.
+/// Shape of the deployment.
 #[derive(Debug, Clone, Copy, ValueEnum)]
 enum Shape {
     Qazyna,
     Teifi,
 }
 
-/// What goes wrong while the crowd is there.
+/// Fault that is injected during the peak.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 enum Fault {
     None,
@@ -134,23 +134,23 @@
     let spec = BurstSpec { peak_per_s: args.peak, length, seed: args.seed, flood };
     let fault_at = length.mul_f64(FAULT_AT);
     let all: Vec<SocketAddr> = cluster.nodes.iter().map(|node| node.caller_address).collect();
-    // The balancer notices a node that is gone after a second.
-    let noticed = fault_at + Duration::from_secs(1);
-    let killed = args.fault == Fault::NodeKilled;
-    let alive = |at: Duration| match killed && at > noticed {
+    // The balancer notices a killed node after 1 s.
+    let noticed_at = fault_at + Duration::from_secs(1);
+    let kills_node = args.fault == Fault::NodeKilled;
+    let alive = |at: Duration| match kills_node && at > noticed_at {
         true => all[1..].to_vec(),
         false => all.clone(),
     };
-    let mut doomed = Doomed::default();
-    if killed {
-        doomed.node = Some(cluster.nodes[0].process.killer());
+    let mut victims = Victims::default();
+    if kills_node {
+        victims.node = Some(cluster.nodes[0].process.killer());
     }
     if args.fault == Fault::ThirdGone {
-        doomed.engines = cluster.take_processes("engines", 3);
+        victims.engines = cluster.take_processes("engines", 3);
     }
     let (report, fault) = tokio::join!(run(&cluster, &deployment, &spec, alive), async {
         tokio::time::sleep(fault_at).await;
-        break_something(args.fault, &cluster, &deployment, doomed).await
+        inject_fault(args.fault, &cluster, &deployment, victims).await
     });
     fault?;
     Ok(report)
@@ -158,18 +158,18 @@
 
 /// Processes that a fault kills.
 #[derive(Default)]
-struct Doomed {
+struct Victims {
     node: Option<fernring_standins::process::Killer>,
     engines: Vec<fernring_standins::process::Process>,
 }
 
-async fn break_something(
+async fn inject_fault(
     fault: Fault,
     cluster: &Cluster,
     deployment: &Deployment,
-    doomed: Doomed,
+    victims: Victims,
 ) -> anyhow::Result<()> {
-    let change = |pool: &'static str, change: fn(Behaviour) -> Behaviour| async move {
+    let change_pool = |pool: &'static str, change: fn(Behaviour) -> Behaviour| async move {
         for (name, handle) in &cluster.upstreams {
             if handle.spec.pool == pool {
                 cluster.control_upstream(name, &change(handle.spec.behaviour.clone())).await?;
@@ -180,9 +180,9 @@
     match fault {
         Fault::None | Fault::Flood => Ok(()),
         Fault::SlowStage => {
-            let plain = deployment.pools.iter().find(|pool| !pool.behaviour.engine);
-            let pool = plain.context("no plain pool")?.pool;
-            change(pool, |b| Behaviour { service_ms: b.service_ms * 10.0, ..b }).await
+            let plain_pool = deployment.pools.iter().find(|pool| !pool.behaviour.engine);
+            let pool = plain_pool.context("no plain pool")?.pool;
+            change_pool(pool, |b| Behaviour { service_ms: b.service_ms * 10.0, ..b }).await
         }
         Fault::StallOne => {
             let handle = &cluster.upstreams["engines-0"];
@@ -190,11 +190,11 @@
             cluster.control_upstream("engines-0", &stalled).await
         }
         Fault::ThirdGone => {
-            drop(doomed.engines);
+            drop(victims.engines);
             Ok(())
         }
         Fault::FrozenReports => {
-            change("engines", |b| Behaviour { report_lag_ms: u64::MAX / 2, ..b }).await
+            change_pool("engines", |b| Behaviour { report_lag_ms: u64::MAX / 2, ..b }).await
         }
         Fault::DomainCut => {
             for other in ["b", "c"] {
@@ -204,7 +204,7 @@
             cluster.control_platform(&cut).await
         }
         Fault::NodeKilled => {
-            doomed.node.context("no node")?.kill();
+            victims.node.context("no node")?.kill();
             Ok(())
         }
     }
--- a/crates/fernring-standins/examples/overhead.rs
+++ b/crates/fernring-standins/examples/overhead.rs
@@ -1,5 +1,6 @@
-//! What a node adds to a request of four stages, against calling the stand-ins directly in the
-//! same run; requests a second per core; resident memory idle and under load.
+//! Measures the latency that a node adds to a request of four stages, compared with direct calls to
+//! the stand-ins in the same run; requests per second per core; resident memory idle and under
+//! load.
 
 use {
     clap::Parser,
@@ -54,7 +55,7 @@
     }
 }
 
-async fn direct(client: &reqwest::Client, stages: &[SocketAddr]) -> anyhow::Result<()> {
+async fn call_directly(client: &reqwest::Client, stages: &[SocketAddr]) -> anyhow::Result<()> {
     let mut input = "x".to_owned();
     for (index, address) in stages.iter().enumerate() {
         let body = RunRequest {
@@ -73,7 +74,7 @@
     Ok(())
 }
 
-fn us(histogram: &Histogram<u64>, share: f64) -> u64 {
+fn quantile_us(histogram: &Histogram<u64>, share: f64) -> u64 {
     histogram.value_at_quantile(share)
 }
 
@@ -93,23 +94,31 @@
     let call = Call { workspace: "members".into(), input: "x".into(), ..Call::default() };
     let client = reqwest::Client::builder().no_proxy().build()?;
     let idle = node.process.usage();
-    let mut through = Histogram::<u64>::new(3)?;
-    let mut beside = Histogram::<u64>::new(3)?;
+    let mut via_node = Histogram::<u64>::new(3)?;
+    let mut direct = Histogram::<u64>::new(3)?;
     for _ in 0..args.requests {
         let begin = Instant::now();
-        direct(&client, &stages).await?;
-        beside.record(begin.elapsed().as_micros() as u64)?;
+        call_directly(&client, &stages).await?;
+        direct.record(begin.elapsed().as_micros() as u64)?;
         let begin = Instant::now();
         cluster.caller.call(node.caller_address, "four", &call).await?;
-        through.record(begin.elapsed().as_micros() as u64)?;
+        via_node.record(begin.elapsed().as_micros() as u64)?;
     }
     println!("one at a time, {} requests of four stages each way:", args.requests);
-    println!("  direct     median {} us, p99 {} us", us(&beside, 0.5), us(&beside, 0.99));
-    println!("  fernring   median {} us, p99 {} us", us(&through, 0.5), us(&through, 0.99));
+    println!(
+        "  direct     median {} us, p99 {} us",
+        quantile_us(&direct, 0.5),
+        quantile_us(&direct, 0.99)
+    );
+    println!(
+        "  fernring   median {} us, p99 {} us",
+        quantile_us(&via_node, 0.5),
+        quantile_us(&via_node, 0.99)
+    );
     println!(
         "  added      median {} us, p99 {} us",
-        us(&through, 0.5).saturating_sub(us(&beside, 0.5)),
-        us(&through, 0.99).saturating_sub(us(&beside, 0.99))
+        quantile_us(&via_node, 0.5).saturating_sub(quantile_us(&direct, 0.5)),
+        quantile_us(&via_node, 0.99).saturating_sub(quantile_us(&direct, 0.99))
     );
 
     let before = node.process.usage();
--- a/crates/fernring-standins/examples/promises/faults.rs
+++ b/crates/fernring-standins/examples/promises/faults.rs
@@ -1,7 +1,7 @@
 //! A long run under random faults, after which the records of upstreams and callers must agree.
 
 use {
-    crate::{letter, start},
+    crate::{letter, start_cluster},
     anyhow::{Context, ensure},
     fernring_standins::{
         caller::{Answer, Caller},
@@ -22,10 +22,10 @@
     uuid::Uuid,
 };
 
-/// Times that a caller sends a letter before it leaves it at what it was told.
+/// Times that a caller sends a letter before it accepts the last answer.
 const SENDS_MAX: u32 = 8;
 
-fn whole_letter(text: &str) -> String {
+fn expected_letter(text: &str) -> String {
     let stages = ["retrieve", "generate", "dispatch"];
     stages.iter().fold(text.to_owned(), |text, stage| output_of(stage, &text))
 }
@@ -33,25 +33,30 @@
 /// Addresses of the nodes that the balancer knows.
 type Nodes = Arc<Mutex<Vec<SocketAddr>>>;
 
-/// What a caller was told of a letter in the end.
+/// Final result of a letter for its caller.
 #[derive(Debug)]
-struct Told {
+struct LetterResult {
     text: String,
     answer: Option<Answer>,
     sends: u32,
-    /// Whether every submission was answered with a word that leaves nothing open, and no
-    /// duplicate was sent: then NOT_RUN of the last submission speaks for all of them.
-    clean: bool,
+    /// Whether every submission got a definite answer and no duplicate was sent: then NOT_RUN for
+    /// the last submission holds for all of them.
+    is_settled: bool,
 }
 
-/// Sends a letter as a caller does who follows the advice: again under the same key, or under a
-/// new one if told so; and now and then twice at once.
-async fn send_until_told(caller: Caller, nodes: Nodes, text: String, seed: u64) -> Told {
+/// Sends a letter like a caller that follows the advice: retries with the same key, or with a new
+/// one if the answer advises that. Sometimes a duplicate is sent as well.
+async fn send_until_answered(
+    caller: Caller,
+    nodes: Nodes,
+    text: String,
+    seed: u64,
+) -> LetterResult {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut key = Uuid::now_v7().to_string();
     let mut last = None;
     let mut sends = 0;
-    let mut clean = true;
+    let mut is_settled = true;
     while sends < SENDS_MAX {
         sends += 1;
         let call = letter(key.clone(), &text);
@@ -61,8 +66,8 @@
         };
         let (first, second) = (pick(&mut rng), pick(&mut rng));
         if rng.random_bool(0.2) {
-            // A delayed duplicate, whose answer nobody reads.
-            clean = false;
+            // A delayed duplicate; its answer is ignored.
+            is_settled = false;
             let (caller, call) = (caller.clone(), call.clone());
             let delay = Duration::from_millis(rng.random_range(0..2_000));
             tokio::spawn(async move {
@@ -73,10 +78,10 @@
         let answer = caller.call(first, "letter", &call).await.ok();
         let advice = answer.as_ref().and_then(|answer| answer.advice.clone());
         let wait_ms = answer.as_ref().and_then(|answer| answer.retry_after_ms).unwrap_or(200);
-        let done = answer.as_ref().is_some_and(|answer| answer.class == "ANSWERED");
-        clean &= answer.as_ref().is_some_and(|answer| answer.class != "UNKNOWN");
+        let is_done = answer.as_ref().is_some_and(|answer| answer.class == "ANSWERED");
+        is_settled &= answer.as_ref().is_some_and(|answer| answer.class != "UNKNOWN");
         last = answer.or(last);
-        if done {
+        if is_done {
             break;
         }
         if advice.as_deref() == Some("new_key") {
@@ -84,28 +89,28 @@
         }
         tokio::time::sleep(Duration::from_millis(wait_ms.clamp(50, 1_000))).await;
     }
-    Told { text, answer: last, sends, clean }
+    LetterResult { text, answer: last, sends, is_settled }
 }
 
-/// Does one random thing to the cluster and undoes what can be undone.
-async fn break_something(
+/// Injects one random fault into the cluster and reverts it where possible.
+async fn inject_fault(
     cluster: &mut Cluster,
     nodes: &Nodes,
     rng: &mut SmallRng,
 ) -> anyhow::Result<&'static str> {
-    // Nodes that were replaced stand behind those that the balancer knows.
+    // Replaced nodes come after those that the balancer knows.
     let known = nodes.lock().unwrap_or_else(PoisonError::into_inner).len();
     let victim = rng.random_range(0..known);
     let pause = Duration::from_millis(rng.random_range(200..2_000));
     let what = match rng.random_range(0..8) {
         0 => {
             cluster.nodes[victim].process.kill();
-            replace(cluster, nodes, victim).await?;
+            replace_node(cluster, nodes, victim).await?;
             "kill"
         }
         1 => {
             cluster.nodes[victim].process.signal(Signal::SIGTERM)?;
-            replace(cluster, nodes, victim).await?;
+            replace_node(cluster, nodes, victim).await?;
             "replace"
         }
         2 | 3 => {
@@ -157,8 +162,8 @@
     Ok(what)
 }
 
-/// Starts a node in place of one that is gone.
-async fn replace(cluster: &mut Cluster, nodes: &Nodes, victim: usize) -> anyhow::Result<()> {
+/// Starts a node in place of one that was killed or stopped.
+async fn replace_node(cluster: &mut Cluster, nodes: &Nodes, victim: usize) -> anyhow::Result<()> {
     let failure_domain = cluster.nodes[victim].failure_domain;
     let old = cluster.nodes[victim].caller_address;
     let fresh = cluster.start_node(NodeSpec { failure_domain }).await?;
@@ -169,12 +174,12 @@
     }
     drop(nodes);
     cluster.nodes.swap(victim, fresh);
-    // The old process is left to end by itself, if it was told to, and is killed with the rest.
+    // The old process may still be draining; it is killed at the end of the run like all others.
     Ok(())
 }
 
 pub(crate) async fn measure(seconds: u64, seed: u64, rate: f64) -> anyhow::Result<()> {
-    let mut cluster = start().await?;
+    let mut cluster = start_cluster().await?;
     let first = cluster.nodes.iter().map(|node| node.caller_address).collect();
     let nodes: Nodes = Arc::new(Mutex::new(first));
     let begin = Instant::now();
@@ -187,25 +192,25 @@
             let at = begin + Duration::from_secs_f64(number as f64 / rate);
             tokio::time::sleep_until(at.into()).await;
             let text = format!("letter {number}");
-            tasks.spawn(send_until_told(caller.clone(), known.clone(), text, seed ^ number));
+            tasks.spawn(send_until_answered(caller.clone(), known.clone(), text, seed ^ number));
             number += 1;
         }
         tasks.join_all().await
     });
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut done: BTreeMap<&str, u32> = BTreeMap::new();
+    let mut faults: BTreeMap<&str, u32> = BTreeMap::new();
     while Instant::now() < end {
-        let what = break_something(&mut cluster, &nodes, &mut rng).await?;
-        *done.entry(what).or_default() += 1;
+        let what = inject_fault(&mut cluster, &nodes, &mut rng).await?;
+        *faults.entry(what).or_default() += 1;
         tokio::time::sleep(Duration::from_millis(rng.random_range(100..600))).await;
     }
-    let told = load.await.context("the load failed")?;
-    println!("seed {seed}, {seconds} s, faults {done:?}");
-    compare(&cluster, &told).await
+    let results = load.await.context("the load failed")?;
+    println!("seed {seed}, {seconds} s, faults {faults:?}");
+    compare(&cluster, &results).await
 }
 
-/// Compares what callers were told with what upstreams ran.
-async fn compare(cluster: &Cluster, told: &[Told]) -> anyhow::Result<()> {
+/// Compares the answers to callers with the runs of upstreams.
+async fn compare(cluster: &Cluster, results: &[LetterResult]) -> anyhow::Result<()> {
     let mut runs: BTreeMap<String, u32> = BTreeMap::new();
     for run in cluster.pool_runs("letters").await? {
         *runs.entry(run.input).or_default() += 1;
@@ -213,10 +218,10 @@
     let doubled = runs.values().filter(|count| **count > 1).count();
     let mut classes: BTreeMap<String, u64> = BTreeMap::new();
     let (mut lost, mut wrong, mut untrue, mut sends) = (0, 0, 0, 0);
-    for Told { text, answer, sends: times, clean } in told {
+    for LetterResult { text, answer, sends: times, is_settled } in results {
         sends += times;
-        let whole = whole_letter(text);
-        let input = whole.strip_prefix("dispatch(").and_then(|rest| rest.strip_suffix(')'));
+        let expected = expected_letter(text);
+        let input = expected.strip_prefix("dispatch(").and_then(|rest| rest.strip_suffix(')'));
         let count = runs.get(input.unwrap_or_default()).copied().unwrap_or(0);
         let class = answer.as_ref().map_or("NO_ANSWER", |answer| answer.class.as_str());
         *classes.entry(class.to_owned()).or_default() += 1;
@@ -224,16 +229,16 @@
             "ANSWERED" => {
                 lost += u32::from(count == 0);
                 let output = answer.as_ref().and_then(|answer| answer.output.as_deref());
-                wrong += u32::from(output != Some(whole.as_str()));
+                wrong += u32::from(output != Some(expected.as_str()));
             }
             _ => {
                 let advice = answer.as_ref().and_then(|answer| answer.advice.as_deref());
-                let not_run = class == "NOT_RUN" && *clean;
+                let not_run = class == "NOT_RUN" && *is_settled;
                 untrue += u32::from(count > 0 && (not_run || advice == Some("new_key")));
             }
         }
     }
-    let texts: BTreeSet<_> = told.iter().map(|told| &told.text).collect();
+    let texts: BTreeSet<_> = results.iter().map(|result| &result.text).collect();
     println!(
         "{} letters sent {sends} times, {} run; told in the end: {classes:?}",
         texts.len(),
--- a/crates/fernring-standins/examples/promises/leaving.rs
+++ b/crates/fernring-standins/examples/promises/leaving.rs
@@ -1,7 +1,7 @@
-//! How soon an upstream that leaves gets its last new request.
+//! Measures the time until a leaving upstream gets its last new request.
 
 use {
-    crate::{POLL_INTERVAL, start},
+    crate::{POLL_INTERVAL, start_cluster},
     fernring_platform::VmState,
     fernring_standins::{
         caller::{Call, Caller},
@@ -51,7 +51,7 @@
     all
 }
 
-/// Watches an upstream for a while and returns when its last new request came.
+/// Polls an upstream until 4 s after `begin` and returns when its last new request arrived.
 async fn last_request(cluster: &Cluster, name: &str, begin: Instant) -> anyhow::Result<Duration> {
     let mut last = Duration::ZERO;
     let mut known = cluster.runs(name).await?.len();
@@ -67,7 +67,7 @@
 }
 
 pub(crate) async fn measure() -> anyhow::Result<()> {
-    let mut cluster = start().await?;
+    let mut cluster = start_cluster().await?;
     let nodes: Vec<_> = cluster.nodes.iter().map(|node| node.caller_address).collect();
     for (way, name) in [
         ("own report", "retrievers-0"),
@@ -81,10 +81,10 @@
         let usual = cluster.upstreams[name].spec.behaviour.clone();
         match way {
             "VM list" => cluster.set_vm_state(name, VmState::Leaving).await?,
-            // The report tells; the stand-in still takes what it is given.
+            // Only the report says that it is leaving; the stand-in still accepts requests.
             "own report" => {
-                let tells = Behaviour { leaving_report: true, ..usual };
-                cluster.control_upstream(name, &tells).await?;
+                let announces = Behaviour { leaving_report: true, ..usual };
+                cluster.control_upstream(name, &announces).await?;
             }
             _ => {
                 let refuses = Behaviour { leaving: true, silent: true, ..usual };
--- a/crates/fernring-standins/examples/promises/main.rs
+++ b/crates/fernring-standins/examples/promises/main.rs
@@ -1,7 +1,7 @@
-//! Measures what must always hold, with real processes: how soon a configuration is in force, how
-//! soon an upstream that leaves gets its last request, letters through an outage of the log, the
-//! appends that letters cost, and a long run under random faults in which the records of
-//! upstreams, callers and nodes must agree.
+//! Measures the guarantees with real processes: the time until a configuration is in force, the
+//! time until a leaving upstream gets its last request, letters during an outage of the log, the
+//! appends per letter, and a long run under random faults in which the records of upstreams and
+//! callers must agree.
 
 mod config;
 mod faults;
@@ -19,20 +19,20 @@
     std::time::Duration,
 };
 
-/// Pause between two looks at something that is measured.
+/// Pause between two polls of a measured condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Window of a letter in the long run, in milliseconds.
+/// Window of a letter, in milliseconds.
 const LETTER_WINDOW_MS: u64 = 3_000;
 
 /// Measure what must always hold.
 #[derive(Debug, Parser)]
 struct Args {
     #[command(subcommand)]
-    what: What,
+    measurement: Measurement,
 }
 
 #[derive(Debug, Subcommand)]
-enum What {
+enum Measurement {
     /// Seconds until a configuration is in force on all nodes, healthy and after a cut heals
     Config {
         /// Changes to publish
@@ -59,7 +59,7 @@
     },
 }
 
-async fn start() -> anyhow::Result<Cluster> {
+async fn start_cluster() -> anyhow::Result<Cluster> {
     let plain = Behaviour { service_ms: 10.0, concurrency: 32, ..Behaviour::default() };
     let engine = Behaviour { engine: true, parts: 4, service_ms: 40.0, ..plain.clone() };
     Cluster::start(ClusterSpec {
@@ -82,11 +82,11 @@
 
 #[tokio::main]
 async fn main() -> anyhow::Result<()> {
-    match Args::parse().what {
-        What::Config { changes } => config::measure(changes).await,
-        What::Leaving => leaving::measure().await,
-        What::Outage => outage::measure().await,
-        What::Appends => outage::measure_appends().await,
-        What::Faults { seconds, seed, rate } => faults::measure(seconds, seed, rate).await,
+    match Args::parse().measurement {
+        Measurement::Config { changes } => config::measure(changes).await,
+        Measurement::Leaving => leaving::measure().await,
+        Measurement::Outage => outage::measure().await,
+        Measurement::Appends => outage::measure_appends().await,
+        Measurement::Faults { seconds, seed, rate } => faults::measure(seconds, seed, rate).await,
     }
 }
--- a/crates/fernring-standins/examples/promises/outage.rs
+++ b/crates/fernring-standins/examples/promises/outage.rs
@@ -1,7 +1,7 @@
-//! Letters through an outage of the log, and the appends that they cost.
+//! Measures letters during an outage of the log, and the appends per letter.
 
 use {
-    crate::{letter, start},
+    crate::{letter, start_cluster},
     fernring_standins::{
         cluster::Cluster,
         platform::{Control, StreamCount},
@@ -42,12 +42,12 @@
     classes
 }
 
-fn fresh_keys(count: usize) -> Vec<String> {
+fn new_keys(count: usize) -> Vec<String> {
     (0..count).map(|_| Uuid::now_v7().to_string()).collect()
 }
 
 pub(crate) async fn measure() -> anyhow::Result<()> {
-    let cluster = start().await?;
+    let cluster = start_cluster().await?;
     let mut tickets = Vec::new();
     for node in &cluster.nodes {
         let body = json!({ "count": 25 });
@@ -56,7 +56,7 @@
     }
     let down = Control { log_down: true, ..Control::default() };
     cluster.control_platform(&down).await?;
-    let claims = send_letters(&cluster, fresh_keys(200), 20.0).await;
+    let claims = send_letters(&cluster, new_keys(200), 20.0).await;
     println!("log down for 10 s, 200 letters with claims only: {claims:?}");
     tickets.truncate(200);
     let with_tickets = send_letters(&cluster, tickets, 20.0).await;
@@ -68,9 +68,9 @@
 
 pub(crate) async fn measure_appends() -> anyhow::Result<()> {
     for per_s in [10.0, 50.0, 150.0, 300.0] {
-        let cluster = start().await?;
+        let cluster = start_cluster().await?;
         let count = (per_s * 5.0) as usize;
-        let classes = send_letters(&cluster, fresh_keys(count), per_s).await;
+        let classes = send_letters(&cluster, new_keys(count), per_s).await;
         let counts: Vec<StreamCount> =
             cluster.caller.get(cluster.platform, "/control/appends").await?;
         let claims = counts.iter().find(|count| count.stream == "fernring-claims");
--- a/crates/fernring-standins/examples/slopes.rs
+++ b/crates/fernring-standins/examples/slopes.rs
@@ -1,6 +1,6 @@
-//! Slopes for docs/CAPACITY.md: what a node's control work costs as the nodes of its failure
-//! domain, the upstreams, the workspaces, the configuration changes and the claims grow, one at
-//! a time. Processor time and memory are the node's own, from the proc file system.
+//! Measures the slopes in docs/CAPACITY.md: the cost of a node's control work as the number of
+//! nodes in its failure domain, upstreams, workspaces, configuration changes or claims grows, one
+//! at a time. Processor time and memory are those of the node, as read from `/proc`.
 
 use {
     clap::{Parser, ValueEnum},
@@ -25,7 +25,7 @@
     uuid::Uuid,
 };
 
-/// What is varied.
+/// The quantity that is varied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 enum Axis {
     /// Nodes of the failure domain
@@ -78,8 +78,8 @@
     .await
 }
 
-/// Measures the first node for a while, or for as long as its work lasts, and prints one row.
-async fn row(
+/// Measures the first node for `seconds`, or longer if `work` takes longer, and prints one row.
+async fn measure_row(
     cluster: &Cluster,
     axis: &str,
     value: f64,
@@ -89,8 +89,8 @@
     let usage = cluster.nodes[0].process.usage();
     let begin = Instant::now();
     let wait = tokio::time::sleep(Duration::from_secs(seconds));
-    let (done, ()) = tokio::join!(work, wait);
-    print_row(cluster, axis, value, usage, begin, done?);
+    let (count, ()) = tokio::join!(work, wait);
+    print_row(cluster, axis, value, usage, begin, count?);
     Ok(())
 }
 
@@ -100,7 +100,7 @@
     value: f64,
     before: Option<Usage>,
     begin: Instant,
-    done: u64,
+    count: u64,
 ) {
     let elapsed_s = begin.elapsed().as_secs_f64();
     if let (Some(before), Some(after)) = (before, cluster.nodes[0].process.usage()) {
@@ -108,12 +108,12 @@
         println!(
             "{axis:<11} {value:>8.2}  {cpu:>6.2} % of a core  {:>8} kB  {:>8.1} done/s",
             after.resident_kb,
-            done as f64 / elapsed_s
+            count as f64 / elapsed_s
         );
     }
 }
 
-async fn nothing() -> anyhow::Result<u64> {
+async fn no_work() -> anyhow::Result<u64> {
     Ok(0)
 }
 
@@ -123,21 +123,22 @@
             for nodes in [1, 4, 8, 16, 24] {
                 let cluster = cluster(nodes, 3).await?;
                 tokio::time::sleep(Duration::from_secs(1)).await;
-                row(&cluster, "nodes", nodes as f64, seconds, nothing()).await?;
+                measure_row(&cluster, "nodes", nodes as f64, seconds, no_work()).await?;
             }
         }
         Axis::Upstreams => {
             for upstreams in [3, 30, 90, 180, 360] {
-                // A third of them is in the failure domain of the node.
+                // A third of the upstreams is in the failure domain of the node.
                 let cluster = cluster(1, upstreams).await?;
-                row(&cluster, "upstreams", (upstreams / 3) as f64, seconds, nothing()).await?;
+                measure_row(&cluster, "upstreams", (upstreams / 3) as f64, seconds, no_work())
+                    .await?;
             }
         }
         Axis::SharedUpstreams => {
             for upstreams in [3, 90, 180, 360] {
                 let cluster = cluster(8, upstreams).await?;
                 tokio::time::sleep(Duration::from_secs(2)).await;
-                row(&cluster, "shared", (upstreams / 3) as f64, seconds, nothing()).await?;
+                measure_row(&cluster, "shared", (upstreams / 3) as f64, seconds, no_work()).await?;
             }
         }
         Axis::Workspaces => {
@@ -145,7 +146,7 @@
                 let mut cluster = cluster(1, 3).await?;
                 cluster.publish(new_workspaces(workspaces)).await?;
                 cluster.settle().await?;
-                row(&cluster, "workspaces", workspaces as f64, seconds, nothing()).await?;
+                measure_row(&cluster, "workspaces", workspaces as f64, seconds, no_work()).await?;
             }
         }
         Axis::Changes => {
@@ -164,7 +165,7 @@
             for per_s in [10.0, 50.0, 200.0, 500.0] {
                 let cluster = cluster(1, 3).await?;
                 let work = send_letters(&cluster, per_s, seconds);
-                row(&cluster, "claims/s", per_s, seconds, work).await?;
+                measure_row(&cluster, "claims/s", per_s, seconds, work).await?;
                 let appends: Vec<fernring_standins::platform::StreamCount> =
                     cluster.caller.get(cluster.platform, "/control/appends").await?;
                 println!("            {appends:?}");
@@ -218,7 +219,7 @@
 #[tokio::main]
 async fn main() -> anyhow::Result<()> {
     let args = Args::parse();
-    let all = [
+    let axes = [
         Axis::Nodes,
         Axis::Upstreams,
         Axis::SharedUpstreams,
@@ -226,21 +227,22 @@
         Axis::Changes,
         Axis::Claims,
     ];
-    for axis in all.into_iter().filter(|axis| args.axis.is_none_or(|only| only == *axis)) {
+    for axis in axes.into_iter().filter(|axis| args.axis.is_none_or(|only| only == *axis)) {
         measure(axis, args.seconds).await?;
     }
-    sizes()
+    print_sizes()
 }
 
-/// Prints the sizes of what is kept and sent at the long-run size.
-fn sizes() -> anyhow::Result<()> {
+/// Prints the encoded sizes of configuration records with 14,000 workspaces, and of single
+/// declarations.
+fn print_sizes() -> anyhow::Result<()> {
     let operations = new_workspaces(14_000);
     let change = Change { base: 0, id: Uuid::nil(), author: "size".into(), operations };
     let catalog = apply(&Catalog::default(), 0, &change)?;
     let snapshot = Snapshot { version: 1, folded_to: 1, catalog };
     println!("snapshot of 14,000 workspaces: {} bytes", serde_json::to_vec(&snapshot)?.len());
-    let one = Change { operations: new_workspaces(1), ..change };
-    println!("change of one workspace: {} bytes", serde_json::to_vec(&one)?.len());
+    let single = Change { operations: new_workspaces(1), ..change };
+    println!("change of one workspace: {} bytes", serde_json::to_vec(&single)?.len());
     let stage = stage("generate", "engines", 1, 1);
     println!("a stage's declaration: {} bytes", serde_json::to_vec(&stage)?.len());
     Ok(())
--- a/crates/fernring-standins/examples/soak/callers.rs
+++ b/crates/fernring-standins/examples/soak/callers.rs
@@ -62,7 +62,8 @@
         let outcome = match stream.write_all(self.request(&id).as_bytes()).await {
             Ok(()) => {
                 let patience = Duration::from_millis(DEADLINE_MS + 500);
-                let answer = timeout(patience, read_partial_message(&mut stream)).await.ok().flatten();
+                let answer =
+                    timeout(patience, read_partial_message(&mut stream)).await.ok().flatten();
                 self.classify(&id, answer)
             }
             Err(_) => Outcome::Broken,
--- a/crates/fernring-standins/examples/soak/main.rs
+++ b/crates/fernring-standins/examples/soak/main.rs
@@ -1,6 +1,6 @@
 //! A soak test of the gateway under random faults: real `fernring gateway` processes, with
-//! stand-ins for the store and the upstreams that speak the platform's protocol. Faults are injected from
-//! outside, and guarantees are checked only from what callers and upstreams observed.
+//! stand-ins for the store and the upstreams that speak the platform's protocol. Faults are
+//! injected from outside, and guarantees are checked only from what callers and upstreams observed.
 //!
 //! ```text
 //! cargo build --release --workspace --all-targets
--- a/crates/fernring-standins/examples/tour.rs
+++ b/crates/fernring-standins/examples/tour.rs
@@ -1,5 +1,5 @@
-//! The main job from end to end: a stand-in platform and upstreams, nodes in three failure
-//! domains, an event planned and confirmed, its crowd served, a summary, everything ended.
+//! A tour of the main use case: starts a stand-in platform, upstreams and nodes in three failure
+//! domains, plans and confirms an event, serves its crowd, prints a summary and ends all processes.
 
 use {
     anyhow::{Context, ensure},
@@ -14,19 +14,19 @@
     tempfile::TempDir,
 };
 
-/// Requests a second at the event's peak.
+/// Peak rate of the event, in requests per second.
 const PEAK_PER_S: f64 = 30.0;
-/// How long the crowd comes for.
+/// Duration of the load.
 const LENGTH: Duration = Duration::from_secs(5);
 
 const EVENT: &str = "name = \"morning-shift\"\npipeline = \"round-plan\"\n\
                      start = 2100-01-01T05:30:00Z\nduration_s = 600\ncrowd = 6000\n\
                      deadline_ms = 2000\nmodel = \"rounds-v2\"\n";
 
-fn fernctl(platform: SocketAddr, folder: &Path, args: &[&str]) -> anyhow::Result<()> {
+fn fernctl(platform: SocketAddr, directory: &Path, args: &[&str]) -> anyhow::Result<()> {
     println!("\n$ fernctl {}", args.join(" "));
     let mut command = Command::new(find_program("fernctl")?);
-    command.args(args).current_dir(folder).env("FERNRING_LOG", platform.to_string());
+    command.args(args).current_dir(directory).env("FERNRING_LOG", platform.to_string());
     let status = command.status().context("could not start fernctl")?;
     ensure!(status.success(), "fernctl ended with {status}");
     Ok(())
@@ -44,10 +44,10 @@
     })
     .await?;
 
-    let folder = TempDir::new()?;
-    fs::write(folder.path().join("event.toml"), EVENT)?;
-    fernctl(cluster.platform, folder.path(), &["plan", "event.toml"])?;
-    fernctl(cluster.platform, folder.path(), &["confirm", "plan.json"])?;
+    let directory = TempDir::new()?;
+    fs::write(directory.path().join("event.toml"), EVENT)?;
+    fernctl(cluster.platform, directory.path(), &["plan", "event.toml"])?;
+    fernctl(cluster.platform, directory.path(), &["confirm", "plan.json"])?;
 
     let nodes: Vec<SocketAddr> = cluster.nodes.iter().map(|node| node.caller_address).collect();
     let call = Call {
@@ -62,15 +62,15 @@
     println!("\nthe crowd: {PEAK_PER_S} requests a second at the peak, for {LENGTH:?}");
     let spec = BurstSpec { peak_per_s: PEAK_PER_S, length: LENGTH, seed: 1, flood: None };
     let report = run(&cluster, &deployment, &spec, |_| nodes.clone()).await;
-    summarise(&report);
-    fernctl(cluster.platform, folder.path(), &["status", &nodes[0].to_string()])?;
+    print_summary(&report);
+    fernctl(cluster.platform, directory.path(), &["status", &nodes[0].to_string()])?;
     drop(cluster);
     println!("\nevery process has been ended");
     ensure!(report.total.attainment() > 0.9, "the crowd was not served");
     Ok(())
 }
 
-fn summarise(report: &BurstReport) {
+fn print_summary(report: &BurstReport) {
     let percent = report.total.attainment() * 100.0;
     println!("  attainment {percent:.1}% of {} requests", report.total.sent);
     println!("  median {:.0} ms, 99th percentile {:.0} ms", report.median_ms, report.p99_ms);
--- a/crates/fernring-standins/src/link.rs
+++ b/crates/fernring-standins/src/link.rs
@@ -34,7 +34,8 @@
 }
 
 impl Partitions {
-    /// Partitions two addresses from each other in both directions. Existing connections are closed.
+    /// Partitions two addresses from each other in both directions. Existing connections are
+    /// closed.
     pub fn partition(&self, a: IpAddr, b: IpAddr) {
         let mut pairs = self.pairs.lock().unwrap_or_else(PoisonError::into_inner);
         pairs.insert(Pair { from: a, to: b });
--- a/crates/fernring-standins/src/upstream.rs
+++ b/crates/fernring-standins/src/upstream.rs
@@ -35,9 +35,9 @@
 const CACHED_PREFIXES: usize = 8;
 /// Share of the prefill time that a cached prefix saves.
 const CACHED_PREFIX_SAVING: f64 = 0.6;
-/// By which factor a step takes longer in a full batch than alone: 0.5 means 1.5 times as long.
+/// Additional time of a step in a full batch, relative to its time alone.
 const BATCH_SLOWDOWN: f64 = 0.5;
-/// Largest index of a recorded run.
+/// Largest index of a run that is marked as completed.
 const RUNS_MAX: usize = 1_000_000;
 
 /// Kind and behaviour of a stand-in.
--- a/crates/fernring-standins/tests/testsuite/bad_input.rs
+++ b/crates/fernring-standins/tests/testsuite/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input gets its own code or message, and never reaches a log line unescaped.
+//! Each kind of bad input gets its own code or message and never reaches a log line unescaped.
 
 use {
     crate::builder::{Builder, call, keyed},
@@ -16,7 +16,7 @@
     let settings = "[limits]\nbody_max_bytes = 2000\n[policy]\nclaim_horizon_ms = 60000\n";
     let cluster = Builder::new().settings(settings).start().await;
     let node = cluster.nodes[0].caller_address;
-    let old_key = Uuid::new_v7(uuid::Timestamp::from_unix(uuid::NoContext, 1_600_000_000, 0));
+    let expired_key = Uuid::new_v7(uuid::Timestamp::from_unix(uuid::NoContext, 1_600_000_000, 0));
     let future_key = Uuid::new_v7(uuid::Timestamp::from_unix(uuid::NoContext, 6_000_000_000, 0));
     let with_key = |key: String| Call { key: Some(key), ..call("x") };
     let cases = [
@@ -29,7 +29,7 @@
         ("answer", Call { window_ms: Some(0), ..call("x") }, 2006, "NOT_RUN"),
         ("answer", Call { window_ms: Some(u64::MAX), ..call("x") }, 2006, "NOT_RUN"),
         ("letter", with_key(future_key.to_string()), 2007, "NOT_RUN"),
-        ("letter", with_key(old_key.to_string()), 6004, "UNKNOWN"),
+        ("letter", with_key(expired_key.to_string()), 6004, "UNKNOWN"),
         ("answer", call(&"long ".repeat(1_000)), 2001, "NOT_RUN"),
         ("answer", call("\u{0}\n\" odd but allowed"), 1000, "ANSWERED"),
     ];
@@ -53,7 +53,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_body_that_is_too_long_gets_its_answer() {
+async fn too_long_body_gets_an_answer() {
     let settings = "[limits]\nbody_max_bytes = 2000\n";
     let cluster = Builder::new().settings(settings).start().await;
     let node = cluster.nodes[0].caller_address;
@@ -79,33 +79,34 @@
     assert!(node.process.lines().iter().all(|line| line.starts_with("time=")));
 }
 
-fn check(folder: &TempDir, text: &str) -> (Option<i32>, String) {
-    fs::write(folder.path().join("node.toml"), text).unwrap();
+fn check_settings(directory: &TempDir, text: &str) -> (Option<i32>, String) {
+    fs::write(directory.path().join("node.toml"), text).unwrap();
     let mut command = Command::new(find_program("fernring").unwrap());
-    let output = command.args(["check", "node.toml"]).current_dir(folder.path()).output().unwrap();
+    let output =
+        command.args(["check", "node.toml"]).current_dir(directory.path()).output().unwrap();
     (output.status.code(), String::from_utf8(output.stderr).unwrap())
 }
 
-const GOOD: &str = "[node]\nfailure_domain = \"a\"\ncaller_address = \"127.0.0.1:0\"\n\
+const VALID_SETTINGS: &str = "[node]\nfailure_domain = \"a\"\ncaller_address = \"127.0.0.1:0\"\n\
                     peer_address = \"127.0.0.1:0\"\n[platform]\nlog_address = \"127.0.0.1:1\"\n\
                     vm_list_address = \"127.0.0.1:1\"\n";
 
 #[test]
-fn settings_errors_name_file_key_value_and_what_is_allowed() {
-    let folder = TempDir::new().unwrap();
-    assert_eq!(check(&folder, GOOD).0, Some(0));
+fn settings_errors_name_file_key_and_value() {
+    let directory = TempDir::new().unwrap();
+    assert_eq!(check_settings(&directory, VALID_SETTINGS).0, Some(0));
     let cases = [
-        ("unknown_key", format!("{GOOD}[drain]\nlinger_s = 3\n")),
-        ("wrong_type", format!("{GOOD}[limits]\nconnect_timeout_ms = \"5s\"\n")),
-        ("not_allowed", format!("{GOOD}[peers]\nheartbeat_ms = 0\n")),
-        ("policy", format!("{GOOD}[policy]\nretry_budget_percent = 300\n")),
-        ("horizon", GOOD.to_owned() + "log_retention_ms = 1000\n"),
-        ("domain", GOOD.replace("\"a\"", "\"A zone\"")),
+        ("unknown_key", format!("{VALID_SETTINGS}[drain]\nlinger_s = 3\n")),
+        ("wrong_type", format!("{VALID_SETTINGS}[limits]\nconnect_timeout_ms = \"5s\"\n")),
+        ("not_allowed", format!("{VALID_SETTINGS}[peers]\nheartbeat_ms = 0\n")),
+        ("policy", format!("{VALID_SETTINGS}[policy]\nretry_budget_percent = 300\n")),
+        ("horizon", VALID_SETTINGS.to_owned() + "log_retention_ms = 1000\n"),
+        ("domain", VALID_SETTINGS.replace("\"a\"", "\"A zone\"")),
         ("missing", "[node]\nfailure_domain = \"a\"\n".to_owned()),
     ];
     let mut shown = String::new();
     for (name, text) in cases {
-        let (code, error) = check(&folder, &text);
+        let (code, error) = check_settings(&directory, &text);
         assert_eq!(code, Some(2), "{name}: {error}");
         shown += &format!("--- {name}\n{error}");
     }
--- a/crates/fernring-standins/tests/testsuite/builder.rs
+++ b/crates/fernring-standins/tests/testsuite/builder.rs
@@ -10,14 +10,14 @@
     uuid::Uuid,
 };
 
-/// Window that no test reaches unless it means to, in milliseconds.
+/// Request window, in milliseconds, so long that no test reaches it by accident.
 pub(crate) const LONG_WINDOW_MS: u64 = 60_000;
 
-/// Upstreams in each pool, one in each failure domain.
+/// Number of upstreams in each pool, one per failure domain.
 const PER_POOL: usize = 3;
 
-/// Builds the deployment `letters`: a pure pipeline of four stages (`answer`) and one that ends
-/// in a side effect (`letter`).
+/// Builds the deployment `letters`: a pure pipeline of four stages (`answer`) and one whose last
+/// stage is a side effect (`letter`).
 pub(crate) struct Builder {
     nodes: Vec<NodeSpec>,
     extra_settings: String,
@@ -58,25 +58,25 @@
     }
 }
 
-/// A request of the workspace `members`.
+/// Returns a request of the workspace `members`.
 pub(crate) fn call(input: &str) -> Call {
     Call { workspace: "members".to_owned(), input: input.to_owned(), ..Call::default() }
 }
 
-/// A request with a fresh key.
+/// Returns a request with a new key.
 pub(crate) fn keyed(input: &str) -> Call {
     Call { key: Some(Uuid::now_v7().to_string()), ..call(input) }
 }
 
-/// What the pipeline `answer` must make of an input.
-pub(crate) fn whole_answer(input: &str) -> String {
+/// Returns the expected output of the pipeline `answer` for an input.
+pub(crate) fn expected_answer(input: &str) -> String {
     ["encode", "retrieve", "rerank", "generate"]
         .iter()
         .fold(input.to_owned(), |text, stage| output_of(stage, &text))
 }
 
-/// What the pipeline `letter` must make of an input.
-pub(crate) fn whole_letter(input: &str) -> String {
+/// Returns the expected output of the pipeline `letter` for an input.
+pub(crate) fn expected_letter(input: &str) -> String {
     ["retrieve", "generate", "dispatch"]
         .iter()
         .fold(input.to_owned(), |text, stage| output_of(stage, &text))
--- a/crates/fernring-standins/tests/testsuite/drain.rs
+++ b/crates/fernring-standins/tests/testsuite/drain.rs
@@ -1,7 +1,7 @@
-//! Graceful shutdown interrupts nothing.
+//! Graceful shutdown interrupts no request.
 
 use {
-    crate::builder::{Builder, call, keyed, whole_answer, whole_letter},
+    crate::builder::{Builder, call, expected_answer, expected_letter, keyed},
     fernring_standins::{
         cluster::{NodeSpec, nodes_per_domain},
         upstream::Behaviour,
@@ -20,17 +20,17 @@
     let mut cluster = Builder::new().settings(QUICK_DRAIN).engine(slow_engine()).start().await;
     let address = cluster.nodes[0].caller_address;
     let mut streams = Vec::new();
-    let mut wholes = Vec::new();
+    let mut letters = Vec::new();
     for number in 0..5 {
         let caller = cluster.caller.clone();
         let input = format!("stream {number}");
         streams.push(tokio::spawn(async move {
-            (whole_answer(&input), caller.stream(address, "answer", &call(&input)).await)
+            (expected_answer(&input), caller.stream(address, "answer", &call(&input)).await)
         }));
         let caller = cluster.caller.clone();
         let input = format!("letter {number}");
-        wholes.push(tokio::spawn(async move {
-            (whole_letter(&input), caller.call(address, "letter", &keyed(&input)).await)
+        letters.push(tokio::spawn(async move {
+            (expected_letter(&input), caller.call(address, "letter", &keyed(&input)).await)
         }));
     }
     cluster.wait_runs("engines", |runs| runs.len() >= 10).await.unwrap();
@@ -43,14 +43,14 @@
     assert_eq!(ready["ready"], false);
 
     for stream in streams {
-        let (whole, streamed) = stream.await.unwrap();
+        let (expected, streamed) = stream.await.unwrap();
         let streamed = streamed.unwrap();
-        assert_eq!(streamed.parts.concat(), whole);
-        assert_eq!(streamed.answer.unwrap().output, Some(whole));
+        assert_eq!(streamed.parts.concat(), expected);
+        assert_eq!(streamed.answer.unwrap().output, Some(expected));
     }
-    for answer in wholes {
-        let (whole, answer) = answer.await.unwrap();
-        assert_eq!(answer.unwrap().output, Some(whole));
+    for answer in letters {
+        let (expected, answer) = answer.await.unwrap();
+        assert_eq!(answer.unwrap().output, Some(expected));
     }
     let status = cluster.nodes[0].process.wait().unwrap();
     assert!(status.success(), "{status}");
@@ -59,7 +59,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn every_node_of_a_domain_is_replaced_while_requests_run() {
+async fn nodes_are_replaced_while_requests_run() {
     let mut cluster = Builder::new().settings(QUICK_DRAIN).nodes(nodes_per_domain(1)).start().await;
     let mut answers = Vec::new();
     for round in 0..3 {
@@ -70,7 +70,7 @@
             let input = format!("request {round}.{number}");
             let (caller, address) = (cluster.caller.clone(), cluster.nodes[old].caller_address);
             answers.push(tokio::spawn(async move {
-                (whole_answer(&input), caller.call(address, "answer", &call(&input)).await)
+                (expected_answer(&input), caller.call(address, "answer", &call(&input)).await)
             }));
         }
         let accepted =
@@ -80,7 +80,7 @@
         assert!(cluster.nodes[old].process.wait().unwrap().success());
     }
     for answer in answers {
-        let (whole, answer) = answer.await.unwrap();
-        assert_eq!(answer.unwrap().output, Some(whole));
+        let (expected, answer) = answer.await.unwrap();
+        assert_eq!(answer.unwrap().output, Some(expected));
     }
 }
--- a/crates/fernring-standins/tests/testsuite/main.rs
+++ b/crates/fernring-standins/tests/testsuite/main.rs
@@ -1,12 +1,12 @@
-//! Tests with the real programs: nodes, stand-ins for upstreams and for the platform, each a
-//! process of its own. They wait on events, never on the clock.
+//! Tests with the real programs: nodes and stand-ins for upstreams and the platform run as separate
+//! processes. Tests wait for events, never for fixed times.
 
 mod bad_input;
 mod builder;
-mod cuts;
 mod drain;
 mod effects;
 mod operators;
+mod partitions;
 mod path;
 mod soak;
 mod tickets;
--- a/crates/fernring-standins/tests/testsuite/path.rs
+++ b/crates/fernring-standins/tests/testsuite/path.rs
@@ -1,18 +1,20 @@
-//! The whole path: caller, node, the stages of a pipeline, the whole answer back.
+//! The complete path of a request: from the caller through a node and the stages of a pipeline, and
+//! the answer back.
 
 use {
-    crate::builder::{Builder, call, keyed, whole_answer, whole_letter},
+    crate::builder::{Builder, call, expected_answer, expected_letter, keyed},
     fernring_standins::{caller::Call, process::value_of, upstream::Behaviour},
 };
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_passes_every_stage_and_comes_back_whole() {
-    // On a busy machine an attempt may straggle and get a hedge, which is a second route line.
+async fn request_passes_every_stage() {
+    // Without hedging, each stage has exactly one route line: on a busy machine a slow attempt
+    // could otherwise get a hedge, which logs a second one.
     let cluster = Builder::new().settings("[policy]\nhedging = false\n").start().await;
     let node = &cluster.nodes[0];
     let answer = cluster.caller.call(node.caller_address, "answer", &call("hello")).await.unwrap();
     assert_eq!((answer.code, answer.class.as_str()), (1000, "ANSWERED"));
-    assert_eq!(answer.output, Some(whole_answer("hello")));
+    assert_eq!(answer.output, Some(expected_answer("hello")));
 
     let finish = node.process.wait_event("finish");
     let request = value_of(&finish, "request").unwrap();
@@ -28,7 +30,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_streamed_answer_is_whole_whatever_order_its_parts_come_in() {
+async fn streamed_answer_is_complete_in_any_part_order() {
     let engine = Behaviour {
         parts: 6,
         shuffle: true,
@@ -39,23 +41,23 @@
     let cluster = Builder::new().engine(engine).start().await;
     let node = cluster.nodes[1].caller_address;
     let streamed = cluster.caller.stream(node, "answer", &call("hello")).await.unwrap();
-    assert_eq!(streamed.parts.concat(), whole_answer("hello"));
+    assert_eq!(streamed.parts.concat(), expected_answer("hello"));
     assert!(streamed.parts.len() > 1, "{:?}", streamed.parts);
     let answer = streamed.answer.unwrap();
     assert_eq!(answer.code, 1000);
-    assert_eq!(answer.output, Some(whole_answer("hello")));
+    assert_eq!(answer.output, Some(expected_answer("hello")));
     let view = cluster.status(1).await.unwrap();
     assert!(view.counters["parts_misdirected"] >= 1);
     assert!(view.counters["parts_duplicate"] >= 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_letter_runs_once_however_often_it_is_sent() {
+async fn letter_sent_repeatedly_runs_once() {
     let cluster = Builder::new().start().await;
     let letter = keyed("dear member");
     for node in &cluster.nodes {
         let answer = cluster.caller.call(node.caller_address, "letter", &letter).await.unwrap();
-        assert_eq!(answer.output, Some(whole_letter("dear member")), "{answer:?}");
+        assert_eq!(answer.output, Some(expected_letter("dear member")), "{answer:?}");
     }
     let runs = cluster.pool_runs("letters").await.unwrap();
     assert_eq!(runs.len(), 1, "{runs:?}");
@@ -66,7 +68,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_marked_non_idempotent_needs_a_key_and_runs_once() {
+async fn non_idempotent_request_needs_key_and_runs_once() {
     let cluster = Builder::new().start().await;
     let node = cluster.nodes[0].caller_address;
     let without_key = Call { non_idempotent: true, ..call("note") };
@@ -76,7 +78,7 @@
     let with_key = Call { non_idempotent: true, ..keyed("note") };
     for node in &cluster.nodes {
         let answer = cluster.caller.call(node.caller_address, "answer", &with_key).await.unwrap();
-        assert_eq!(answer.output, Some(whole_answer("note")), "{answer:?}");
+        assert_eq!(answer.output, Some(expected_answer("note")), "{answer:?}");
     }
     assert_eq!(cluster.pool_runs("engines").await.unwrap().len(), 1);
 }
--- a/crates/fernring-standins/tests/testsuite/soak.rs
+++ b/crates/fernring-standins/tests/testsuite/soak.rs
@@ -1,36 +1,39 @@
-//! The gateway's soak, short and seeded; longer runs are made by hand (docs/proofs.md).
+//! Short, seeded runs of the gateway's soak test; longer ones are started by hand (docs/proofs.md).
 
 use fernring_standins::process::Process;
 
-/// Runs the soak, which ends with a failure if a promise was broken.
-fn soak(seed: u32, seconds: u32, rate: u32, more: &[&str]) {
+/// Runs the soak test, which exits with a failure if a guarantee was violated.
+fn run_soak(seed: u32, seconds: u32, rate: u32, extra_args: &[&str]) {
     let [seed, seconds, rate] = [seed, seconds, rate].map(|number| number.to_string());
     let args = ["--seed", &seed, "--seconds", &seconds, "--rate", &rate];
-    let mut run = Process::start("soak", "soak", &[&args, more].concat()).unwrap();
-    let status = run.wait().unwrap();
-    assert!(status.success(), "{}", run.lines().join("\n"));
+    let mut process = Process::start("soak", "soak", &[&args, extra_args].concat()).unwrap();
+    let status = process.wait().unwrap();
+    assert!(status.success(), "{}", process.lines().join("\n"));
 }
 
-/// All callers of a kind of request ask the same. While requests came that ended upstream after upstream, that common content
-/// was in hand at three ends before its next answer, and was turned away for a quarter of an hour:
+/// Guards against the quarantine of harmless requests. All callers of one kind of request share one
+/// fingerprint. While deadly requests crashed upstream after upstream, that fingerprint was in
+/// flight at three crashes before its next answer, and was quarantined for 15 minutes:
 ///
 /// ```text
 /// resume   NotRun(429)    39
 /// BROKEN r314 ended no upstream and was turned away
 /// ```
 #[test]
-fn requests_that_end_upstreams_are_turned_away_and_no_others() {
-    soak(303, 15, 60, &["--only", "deadly"]);
+fn only_deadly_requests_are_quarantined() {
+    run_soak(303, 15, 60, &["--only", "deadly"]);
 }
 
-/// Upstreams of plain requests, streams and pieces name limits one after the other, and several at once.
+/// Upstreams of plain requests, streams and pieces announce limits, one after the other and several
+/// at once.
 #[test]
-fn limits_that_upstreams_name_are_kept() {
-    soak(501, 15, 80, &["--only", "limit"]);
+fn announced_limits_are_respected() {
+    run_soak(501, 15, 80, &["--only", "limit"]);
 }
 
-/// A node stood still for 2.4 s while an upstream named a limit of a request in two seconds. When it woke, it sent what callers
-/// had asked for meanwhile before it read what its peers had said:
+/// A node was paused for 2.4 s while an upstream announced a limit of one request in 2 s. When it
+/// resumed, it sent the requests that callers had queued meanwhile before it read the messages of
+/// its peers:
 ///
 /// ```text
 /// 20:05.797 node-5 stood_still for_ms=2402
@@ -39,17 +42,18 @@
 /// BROKEN i-19 takes 0.5 a second and got 10 in 4 s, of 8
 /// ```
 #[test]
-fn a_node_that_wakes_reads_what_binds_it_before_it_sends() {
-    soak(703, 12, 60, &[]);
+fn resumed_node_applies_limits_before_sending() {
+    run_soak(703, 12, 60, &[]);
 }
 
-/// Versions are rolled out one after the other, every second of them bad; when one is completed, the others are stopped at once.
+/// Versions are rolled out one after the other, and every second one is bad. When one is completed,
+/// the upstreams of the others are stopped at once.
 #[test]
 fn versions_are_rolled_out_and_back() {
-    soak(601, 25, 80, &["--only", "rollout"]);
+    run_soak(601, 25, 80, &["--only", "rollout"]);
 }
 
 #[test]
-fn promises_hold_under_faults_of_all_kinds() {
-    soak(311, 20, 40, &[]);
+fn guarantees_hold_under_all_faults() {
+    run_soak(311, 20, 40, &[]);
 }
