--- a/crates/fernring-standins/examples/promises/faults.rs
+++ b/crates/fernring-standins/examples/promises/faults.rs
@@ -45,7 +45,8 @@
 }
 
 /// Sends a letter like a caller that follows the advice: retries with the same key, or with a new
-/// one if the answer advises that. Sometimes a duplicate is sent as well.
+/// one if the answer advises that. Sometimes the letter is sent twice,
+/// the second time as a duplicate after a delay.
 async fn send_until_answered(
     caller: Caller,
     nodes: Nodes,
--- a/crates/fernring-standins/examples/promises/main.rs
+++ b/crates/fernring-standins/examples/promises/main.rs
@@ -28,7 +28,7 @@
 #[derive(Debug, Parser)]
 struct Args {
     #[command(subcommand)]
-    measurement: Measurement,
+    what: Measurement,
 }
 
 #[derive(Debug, Subcommand)]
@@ -82,7 +82,7 @@
 
 #[tokio::main]
 async fn main() -> anyhow::Result<()> {
-    match Args::parse().measurement {
+    match Args::parse().what {
         Measurement::Config { changes } => config::measure(changes).await,
         Measurement::Leaving => leaving::measure().await,
         Measurement::Outage => outage::measure().await,
--- a/crates/fernring-standins/tests/testsuite/effects.rs
+++ b/crates/fernring-standins/tests/testsuite/effects.rs
@@ -211,7 +211,7 @@
     let mut sent = Vec::new();
     for number in 0..60 {
         let letter = keyed(&format!("letter {number}"));
-        // Every letter is sent to two nodes at the same time.
+        // Every letter is sent twice, to two nodes at the same time.
         sent.push((number, send(&cluster, number % 3, &letter)));
         sent.push((number, send(&cluster, (number + 1) % 3, &letter)));
     }
--- a/crates/fernring-standins/tests/testsuite/soak.rs
+++ b/crates/fernring-standins/tests/testsuite/soak.rs
@@ -13,7 +13,8 @@
 
 /// Guards against the quarantine of harmless requests. All callers of one kind of request share one
 /// fingerprint. While deadly requests crashed upstream after upstream, that fingerprint was in
-/// flight at three crashes before its next answer, and was quarantined for 15 minutes:
+/// flight at three crashes before its next answer, and was quarantined for a quarter of an
+/// hour:
 ///
 /// ```text
 /// resume   NotRun(429)    39
@@ -31,9 +32,9 @@
     run_soak(501, 15, 80, &["--only", "limit"]);
 }
 
-/// A node was paused for 2.4 s while an upstream announced a limit of one request in 2 s. When it
-/// resumed, it sent the requests that callers had queued meanwhile before it read the messages of
-/// its peers:
+/// Guards against exceeding a limit after a pause. A node was paused for 2.4 s while an upstream
+/// announced a limit of one request in two seconds. When it resumed, it sent the requests that had
+/// arrived meanwhile before it read the messages of its peers:
 ///
 /// ```text
 /// 20:05.797 node-5 stood_still for_ms=2402
