--- a/crates/fernring-standins/examples/promises/faults.rs
+++ b/crates/fernring-standins/examples/promises/faults.rs
@@ -45,8 +45,8 @@
 }
 
 /// Sends a letter like a caller that follows the advice: retries with the same key, or with a new
-/// one if the answer advises that. Sometimes the letter is sent twice,
-/// the second time as a duplicate after a delay.
+/// one if the answer advises that. Sometimes the letter is sent twice, the second time as a
+/// duplicate after a delay.
 async fn send_until_answered(
     caller: Caller,
     nodes: Nodes,
@@ -99,7 +99,7 @@
     nodes: &Nodes,
     rng: &mut SmallRng,
 ) -> anyhow::Result<&'static str> {
-    // Replaced nodes come after those that the balancer knows.
+    // The nodes that the balancer knows come first; replaced ones follow.
     let known = nodes.lock().unwrap_or_else(PoisonError::into_inner).len();
     let victim = rng.random_range(0..known);
     let pause = Duration::from_millis(rng.random_range(200..2_000));
--- a/crates/fernring-standins/examples/soak/ledger.rs
+++ b/crates/fernring-standins/examples/soak/ledger.rs
@@ -365,7 +365,7 @@
     }
 
     /// Checks everything recorded against the guarantees. `was_undisturbed` returns whether a node
-    /// was undisturbed from some time on, so that it had to learn of a crash since then.
+    /// has been undisturbed since a moment; only then must it know of a crash by now.
     pub(crate) fn check(&self, was_undisturbed: impl Fn(usize, Instant) -> bool) -> Report {
         let inner = self.lock();
         let mut violations = inner.violations.clone();
--- a/crates/fernring-standins/src/lib.rs
+++ b/crates/fernring-standins/src/lib.rs
@@ -5,10 +5,13 @@
 //! `tests/testsuite`.
 //!
 //! - [`platform`]: the append-only log and the VM list, with outages, lost and late responses;
+//! - [`store`]: the keyed store that the gateway reads, with outages and lost history;
+//! - [`message`]: raw HTTP messages read from a socket;
+//! - [`server`]: the HTTP server of a stand-in;
 //! - [`upstream`]: engines and plain services that keep their own record of what they ran;
 //! - [`link`]: a TCP link between nodes that can be partitioned by source address;
 //! - [`process`]: starts the real programs and reads their log lines;
-//! - [`cluster`]: a whole deployment of processes, for tests and examples;
+//! - [`cluster`]: a complete deployment of processes, for tests and examples;
 //! - [`deployment`]: configurations modelled on the two deployments that fernring serves today;
 //! - [`caller`]: a caller of the HTTP interface;
 //! - [`burst`]: an open-loop load driver.
--- a/crates/fernring-standins/src/platform.rs
+++ b/crates/fernring-standins/src/platform.rs
@@ -50,7 +50,7 @@
     pub delay_ms: u64,
     /// What happens to appends.
     pub append_fault: AppendFault,
-    /// Number of appends that the fault applies to.
+    /// Number of appends that the fault applies to before it ends.
     pub append_fault_count: u64,
     /// Appends accepted per second.
     pub appends_per_s: u64,
--- a/crates/fernring-standins/tests/testsuite/operators.rs
+++ b/crates/fernring-standins/tests/testsuite/operators.rs
@@ -110,8 +110,8 @@
     }
 }
 
-/// Returns a start time 55 s ahead, so that model loads, which are due one minute before the start,
-/// are due at once.
+/// Returns a start time 55 s ahead, so that model loads, which are due a minute before the start,
+/// are already due.
 fn imminent_start() -> String {
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
     let at = now.as_secs() as i64 + 55;
