--- a/crates/fernring-standins/examples/soak/faults.rs
+++ b/crates/fernring-standins/examples/soak/faults.rs
@@ -29,7 +29,7 @@
 const CONFIG_IN_FORCE_MAX: Duration = Duration::from_millis(2_600);
 /// How long a leaving upstream continues to serve.
 const LEAVING_TIME: Duration = Duration::from_secs(3);
-/// How often a deadly request is sent, and the pause between two of them.
+/// Number of times that a deadly request is sent, and the pause between two of them.
 const DEADLY_REQUESTS: usize = 24;
 const DEADLY_PAUSE: Duration = Duration::from_millis(300);
 /// How long the store keeps the record of a crashed upstream: three of its heartbeats.
