--- a/crates/fernring-policy/src/plan.rs
+++ b/crates/fernring-policy/src/plan.rs
@@ -204,7 +204,8 @@
 fn plan_stage(catalog: &Catalog, intent: &Intent, stage: &Stage) -> StagePlan {
     let arrivals_per_ms = intent.crowd as f64 / intent.duration_ms as f64;
     let needed = arrivals_per_ms * stage.expected_ms as f64;
-    let available = catalog.pool(&stage.pool).filter(|(_, upstream)| !upstream.draining);
+    let available =
+        catalog.upstreams_in_pool(&stage.pool).filter(|(_, upstream)| !upstream.draining);
     let capacity: u64 = available.map(|(_, upstream)| u64::from(upstream.concurrency)).sum();
     let service_s = intent.crowd as f64 * stage.expected_ms as f64 / 1_000.0;
     StagePlan {
@@ -307,7 +308,8 @@
 ) {
     let available =
         |u: &fernring_core::catalog::Upstream| u.kind == UpstreamKind::Engine && !u.draining;
-    let mut engines: Vec<_> = catalog.pool(&stage.pool).filter(|(_, u)| available(u)).collect();
+    let mut engines: Vec<_> =
+        catalog.upstreams_in_pool(&stage.pool).filter(|(_, u)| available(u)).collect();
     // Sorted by rank within the failure domain first, so that consecutive engines alternate
     // between the domains.
     let mut ranked = Vec::new();
