--- a/crates/fernring-gateway/src/crash_attribution/mod.rs
+++ b/crates/fernring-gateway/src/crash_attribution/mod.rs
@@ -184,7 +184,7 @@
     /// flight there.
     pub fn quarantine_reason(&self, fingerprint: Fingerprint) -> String {
         format!(
-            "upstreams crashed while serving this request: {}",
+            "upstreams ended under it: {}",
             join_names(&self.quarantine.borrow().crashes_of(fingerprint))
         )
     }
--- a/crates/fernring-gateway/src/serving/exchange/sending.rs
+++ b/crates/fernring-gateway/src/serving/exchange/sending.rs
@@ -70,7 +70,7 @@
                 break;
             };
             if self.attempts.next_is_extra() && !self.spend_retry_budget() {
-                reason.push_str("; the retry budget is exhausted");
+                reason.push_str("; the retry budget is spent");
                 break;
             }
             self.tried.push(target.key);
@@ -332,7 +332,7 @@
         };
         let response = match sent {
             None => {
-                let loss = ConnectionLoss::silent("no response before the deadline");
+                let loss = ConnectionLoss::silent("no answer in time");
                 return Err(failed(FailedSend { outcome: SendOutcome::Unknown, loss }));
             }
             Some(Err(SendFailure::NotSent(reason) | SendFailure::ConnectionRefused(reason))) => {
